--- a/internal/lead/ask.go
+++ b/internal/lead/ask.go
@@ -28,29 +28,29 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type reply struct {
-		from string
-		said *found
+		memberID string
+		status   *found
 	}
 	replies := make(chan reply, len(members))
-	others := 0
+	othersPending := 0
 	for _, m := range members {
 		if m.ID != suspect {
-			others++
+			othersPending++
 		}
-		go func() { replies <- reply{from: m.ID, said: c.askOne(ctx, m)} }()
+		go func() { replies <- reply{memberID: m.ID, status: c.askOne(ctx, m)} }()
 	}
 	var answered []found
 	var grace <-chan time.Time
 	for pending := len(members); pending > 0; pending-- {
 		select {
 		case r := <-replies:
-			if r.said != nil {
-				answered = append(answered, *r.said)
+			if r.status != nil {
+				answered = append(answered, *r.status)
 			}
-			if r.from != suspect {
-				others--
+			if r.memberID != suspect {
+				othersPending--
 			}
-			if others <= 0 && grace == nil {
+			if othersPending <= 0 && grace == nil {
 				grace = time.After(suspectGrace)
 			}
 		case <-grace:
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -28,7 +28,7 @@
 
 // Locate sets the distances between data centres. It must be called before the first Tick.
 // Without it all other data centres count as equally far.
-func (c *Controller) Locate(places locality.Map) { c.places = places }
+func (c *Controller) Locate(localities locality.Map) { c.places = localities }
 
 // Attest asks other registered instances whether they know anything newer than the records
 // known here, and confirms the grants for which a quorum knows nothing newer. It is called
@@ -51,10 +51,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, attestTimeout+time.Duration(len(asked))*attestEach)
 	defer cancel()
-	turns := make(chan struct{}, attestAtOnce)
+	slots := make(chan struct{}, attestAtOnce)
 	c.askOthers(asked, func(_ Instance, client leadpb.CoordinationClient) error {
-		turns <- struct{}{}
-		defer func() { <-turns }()
+		slots <- struct{}{}
+		defer func() { <-slots }()
 		reply, err := client.Attest(ctx, req)
 		if err == nil {
 			round.note(reply)
@@ -64,9 +64,9 @@
 	c.applyAttestation(req, round, sent)
 	c.log.WithFields(logrus.Fields{"answers": round.answers, "needed": round.needed, "newer": len(round.news)}).
 		Info("lead: requested attestations from other instances because the store does not answer")
-	enough := round.answers >= round.needed
-	c.attestAll.Store(!enough)
-	return sent, enough
+	quorum := round.answers >= round.needed
+	c.attestAll.Store(!quorum)
+	return sent, quorum
 }
 
 // attestSpare is the divisor for the share of the instances that is asked beyond a quorum,
@@ -78,7 +78,7 @@
 // others. Each asking instance uses a different order within a distance, which spreads the
 // requests. Asking only a part saves calls, most of them between data centres. If no quorum
 // answers, the next round asks all instances.
-func attestors(registered []Instance, self Instance, needed int, places locality.Map) []Instance {
+func attestors(registered []Instance, self Instance, needed int, localities locality.Map) []Instance {
 	var near, far []Instance
 	for _, i := range registered {
 		switch {
@@ -91,7 +91,7 @@
 	}
 	slices.SortFunc(far, func(a, b Instance) int {
 		return cmp.Or(
-			cmp.Compare(places.Distance(a.DataCentre, self.DataCentre), places.Distance(b.DataCentre, self.DataCentre)),
+			cmp.Compare(localities.Distance(a.DataCentre, self.DataCentre), localities.Distance(b.DataCentre, self.DataCentre)),
 			cmp.Compare(ownership.Score(self.Name, a.Name), ownership.Score(self.Name, b.Name)),
 		)
 	})
@@ -123,12 +123,12 @@
 	for _, known := range req.Known {
 		gate := c.around.Gate(known.Group)
 		for _, news := range round.news[known.Group] {
-			heard, err := decodeNews(news)
+			update, err := decodeNews(news)
 			if err != nil {
 				c.log.WithField("group", known.Group).WithError(err).Error("lead: cannot decode an update from another instance; ignoring it")
 				continue
 			}
-			gate.Hear(heard)
+			gate.Hear(update)
 		}
 		if len(round.news[known.Group]) == 0 && round.answers >= round.needed {
 			gate.Attest(sent, known.Revision)
--- a/internal/lead/attest_test.go
+++ b/internal/lead/attest_test.go
@@ -43,15 +43,15 @@
 	for n := range 88 {
 		all = append(all, Instance{Name: fmt.Sprint(n), DataCentre: fmt.Sprint("dc", n%4)})
 	}
-	places := locality.New(map[string]string{"dc0": "x", "dc1": "x", "dc2": "y", "dc3": "y"})
+	localities := locality.New(map[string]string{"dc0": "x", "dc1": "x", "dc2": "y", "dc3": "y"})
 	for _, self := range all {
-		crossing, others := 0, attestors(all, self, AttestQuorum(len(all)), places)
+		otherRegion, others := 0, attestors(all, self, AttestQuorum(len(all)), localities)
 		for _, other := range others {
-			if places.Distance(self.DataCentre, other.DataCentre) == locality.OtherRegion {
-				crossing++
+			if localities.Distance(self.DataCentre, other.DataCentre) == locality.OtherRegion {
+				otherRegion++
 			}
 		}
-		must.Eq(t, len(others)-43, crossing)
+		must.Eq(t, len(others)-43, otherRegion)
 	}
 }
 
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -112,10 +112,10 @@
 	}
 	g.plannedAt = c.now()
 	s, waited := c.survey(ctx), c.now()-g.postponedSince
-	if why := postponedBecause(s, waited, c.drainTime-grantsLapsed-changeTime); why != "" {
+	if reason := postponedBecause(s, waited, c.drainTime-grantsLapsed-changeTime); reason != "" {
 		log.WithFields(logrus.Fields{
 			"answered": s.answered, "needed": s.needed, "silent": s.silent, "lapsing": s.lapsing, "waited_ms": waited.Milliseconds(),
-		}).Info("lead: the primary is to be replaced as planned, and serves meanwhile: " + why)
+		}).Info("lead: the primary is to be replaced as planned, and serves meanwhile: " + reason)
 		return false
 	}
 	g.postponedSince = 0
@@ -140,13 +140,13 @@
 
 // successors returns the members that could replace the primary.
 func (c *Controller) successors(group, primary string) []topology.Member {
-	var fit []topology.Member
+	var candidates []topology.Member
 	for _, m := range c.around.Topology().MembersOf(group) {
 		if m.ID != primary && !m.Draining {
-			fit = append(fit, m)
+			candidates = append(candidates, m)
 		}
 	}
-	return fit
+	return candidates
 }
 
 // write stores the record on the condition that this instance leads and the record still
@@ -228,27 +228,27 @@
 	if g.announced != change.ID {
 		g.announced, g.announcedAt = change.ID, c.now()
 	}
-	cleared := c.clearGrants(ctx, group, revision, change, record, g.announcedAt)
-	if !cleared.done && !cleared.stays {
+	grants := c.clearGrants(ctx, group, revision, change, record, g.announcedAt)
+	if !grants.done && !grants.stays {
 		return nil, errGrantsRemain
 	}
 	record.Change = nil
-	if change.Planned && !cleared.stays {
-		if !c.hasSuccessor(group, record.Primary, cleared) {
+	if change.Planned && !grants.stays {
+		if !c.hasSuccessor(group, record.Primary, grants) {
 			return nil, fmt.Errorf("%w: instances that were not reached may not know of the others", errNoCandidate)
 		}
-		cleared.last, cleared.steppedDown = c.finalStatus(ctx, record)
+		grants.last, grants.steppedDown = c.finalStatus(ctx, record)
 	}
-	if cleared.stays {
+	if grants.stays {
 		c.log.WithFields(logrus.Fields{"group": group, "member": record.Primary}).Info("lead: the primary answers again and is not replaced")
 		return &outcome{record: record, revision: revision}, nil
 	}
-	candidate, found, err := c.choose(ctx, group, record, change, cleared)
+	candidate, candidateStatus, err := c.choose(ctx, group, record, change, grants)
 	if err != nil {
 		return nil, err
 	}
-	if found.Primary {
-		record.Primary, record.Term = candidate.ID, found.Term
+	if candidateStatus.Primary {
+		record.Primary, record.Term = candidate.ID, candidateStatus.Term
 		return &outcome{record: record, revision: revision}, nil
 	}
 	if g.inherited == change.ID && c.now()-g.takenAt < inheritedWait {
@@ -262,7 +262,7 @@
 			return nil, err
 		}
 	}
-	status, err := c.promote(ctx, record, candidate, found.Received)
+	status, err := c.promote(ctx, record, candidate, candidateStatus.Received)
 	if err != nil {
 		return nil, err
 	}
@@ -286,25 +286,25 @@
 // choose requests the status of all members until Select decides on one, for at most
 // catchUp. It returns a member that is already primary in a newer term, the old primary if
 // it is healthy again, or the member in service with the longest log.
-func (c *Controller) choose(ctx context.Context, name string, record Record, change Change, cleared clearing) (topology.Member, member.Status, error) {
-	until := c.now() + catchUp
+func (c *Controller) choose(ctx context.Context, name string, record Record, change Change, grants clearing) (topology.Member, member.Status, error) {
+	deadline := c.now() + catchUp
 	for {
 		members := c.around.Topology().MembersOf(name)
 		answers := c.askAll(ctx, members, record.Primary)
-		s := c.selection(cleared)
+		s := c.selection(grants)
 		s.Old, s.Term, s.Planned = record.Primary, record.Term, change.Planned
 		s.Replicas, s.SyncReplicas = len(members)-1, c.around.Topology().Groups[name].SyncReplicas
-		known := s // prefer a member that all instances know, if it has the whole log
-		known.Unreached = cleared.unreached
-		best, decided := Select(answers, known)
+		strict := s // prefer a member that all instances know, if it has the whole log
+		strict.Unreached = grants.unreached
+		best, decided := Select(answers, strict)
 		if !decided {
-			s.Hurry = c.now() >= until
+			s.Hurry = c.now() >= deadline
 			best, decided = Select(answers, s)
 		}
 		if decided {
 			return best.member, best.status, nil
 		}
-		if ctx.Err() != nil || c.now() >= until {
+		if ctx.Err() != nil || c.now() >= deadline {
 			return topology.Member{}, member.Status{}, errNoCandidate
 		}
 		pause(ctx, pollInterval)
@@ -316,32 +316,32 @@
 // refuses their writes, and they do not pass on what they read from it, because they ask it
 // too whether it is primary. An instance that does not report a seen revision runs a
 // version that does not ask it.
-func (c *Controller) selection(cleared clearing) Selection {
+func (c *Controller) selection(grants clearing) Selection {
 	return Selection{
-		Last: cleared.last.Received, KnownBefore: c.now() - verifiableLapsed, Seen: cleared.seen,
-		Unreached: cleared.unreached && (!cleared.steppedDown || cleared.seen == 0),
+		Last: grants.last.Received, KnownBefore: c.now() - verifiableLapsed, Seen: grants.seen,
+		Unreached: grants.unreached && (!grants.steppedDown || grants.seen == 0),
 	}
 }
 
 // hasSuccessor reports whether any other member can be promoted after the old primary has
 // stepped down. If not, the old primary must not be told to step down.
-func (c *Controller) hasSuccessor(group, primary string, cleared clearing) bool {
-	cleared.steppedDown = true
-	s := c.selection(cleared)
+func (c *Controller) hasSuccessor(group, primary string, grants clearing) bool {
+	grants.steppedDown = true
+	s := c.selection(grants)
 	return slices.ContainsFunc(c.successors(group, primary), func(m topology.Member) bool { return !s.Unreached || s.known(m) })
 }
 
 // awaitLead polls a member until it is primary in a term above the given one, for at most
 // promoteWait.
-func (c *Controller) awaitLead(ctx context.Context, m topology.Member, above uint64) (member.Status, error) {
-	until := c.now() + promoteWait
+func (c *Controller) awaitLead(ctx context.Context, m topology.Member, aboveTerm uint64) (member.Status, error) {
+	deadline := c.now() + promoteWait
 	var conn member.Conn
 	defer func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}()
-	for c.now() < until && ctx.Err() == nil {
+	for c.now() < deadline && ctx.Err() == nil {
 		if conn == nil || !conn.Silent() {
 			var err error
 			if conn, err = c.connect(ctx, m); err != nil {
@@ -351,7 +351,7 @@
 			}
 		}
 		status, err := conn.Status(time.Now().Add(probeTimeout))
-		if err == nil && status.Primary && status.Term > above {
+		if err == nil && status.Primary && status.Term > aboveTerm {
 			c.around.NoteAnswer(m.ID)
 			return status, nil
 		}
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -224,7 +224,7 @@
 		c.look(ctx, view, lease, group)
 	}
 	for _, group := range view.Led(c.self.Name, c.self.Incarnation) {
-		if _, looked := slices.BinarySearch(carried, group); !looked {
+		if _, checked := slices.BinarySearch(carried, group); !checked {
 			c.look(ctx, view, lease, group)
 		}
 	}
@@ -242,7 +242,7 @@
 		return
 	}
 	for group := range groups {
-		if _, looked := slices.BinarySearch(carried, group); !looked {
+		if _, checked := slices.BinarySearch(carried, group); !checked {
 			c.look(ctx, view, lease, group)
 		}
 	}
@@ -282,11 +282,11 @@
 		return c.takeOver
 	}
 	since, known := view.Leaderless(c.now(), group)
-	last := 0 // highest rank that may take over now; only the first-ranked creates a missing record
+	maxRank := 0 // highest rank that may take over now; only the first-ranked creates a missing record
 	if known {
-		last = int(since / rankDelay)
+		maxRank = int(since / rankDelay)
 	}
-	if c.around.Rank(group, last+1) > last {
+	if c.around.Rank(group, maxRank+1) > maxRank {
 		return nil
 	}
 	return c.takeOver
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -222,7 +222,7 @@
 	for name, c := range map[string]struct {
 		replies   []*leadpb.ReleaseReply // received at the announcement; two make a quorum
 		goneSince time.Duration
-		until     time.Duration // when its grant lapses
+		lapsesAt  time.Duration // when its grant lapses
 	}{
 		"no quorum":                                       {[]*leadpb.ReleaseReply{reply(announced)}, 10 * time.Second, announced + storelessLapsed},
 		"its lease is valid":                              {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 0, announced + grantsLapsed},
@@ -235,8 +235,8 @@
 			for _, reply := range c.replies {
 				r.note(announced, reply)
 			}
-			must.False(t, r.lapsed(c.until-1, "x", c.goneSince))
-			must.True(t, r.lapsed(c.until, "x", c.goneSince))
+			must.False(t, r.lapsed(c.lapsesAt-1, "x", c.goneSince))
+			must.True(t, r.lapsed(c.lapsesAt, "x", c.goneSince))
 		})
 	}
 }
@@ -272,18 +272,18 @@
 			return false
 		}
 	}
-	learn := func(revision int64) bool {
+	wakes := func(revision int64) bool {
 		changed := g.Changed()
 		g.Learn(record, revision)
 		return woken(changed)
 	}
-	must.True(t, learn(1))
-	must.True(t, learn(1), must.Sprint("the grant is not confirmed yet"))
+	must.True(t, wakes(1))
+	must.True(t, wakes(1), must.Sprint("the grant is not confirmed yet"))
 	g.Confirm(now)
-	must.False(t, learn(1))
-	must.True(t, learn(2))
+	must.False(t, wakes(1))
+	must.True(t, wakes(2))
 	now += VerifiableFor + time.Second
-	must.True(t, learn(2), must.Sprint("the grant has expired"))
+	must.True(t, wakes(2), must.Sprint("the grant has expired"))
 }
 
 // Usable must agree with Authority in every state of a grant.
--- a/internal/lead/gate.go
+++ b/internal/lead/gate.go
@@ -89,7 +89,7 @@
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, out := g.passes[p]; !out {
+	if _, held := g.passes[p]; !held {
 		return
 	}
 	delete(g.passes, p)
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -17,9 +17,9 @@
 // if it is dead. While the primary is healthy, checkHealth gives up the leadership if this
 // instance does not serve the group, and replaces a primary that is overloaded.
 func (c *Controller) checkHealth(ctx context.Context, group string, g *ledGroup, primary topology.Member) {
-	age, heard := c.around.Heard(primary.ID)
+	age, answered := c.around.Heard(primary.ID)
 	now := c.now()
-	if heard && age < probeAfter && !c.around.Doubtful(primary.ID) && c.connected(g, primary) {
+	if answered && age < probeAfter && !c.around.Doubtful(primary.ID) && c.connected(g, primary) {
 		g.refused, g.silent, g.doubtAt = 0, false, 0
 		if c.misplaced(group, g) {
 			c.stepAside(ctx, group, g)
@@ -49,12 +49,12 @@
 	if g.doubtAt == 0 {
 		g.doubtAt = now
 	}
-	age, heard = c.around.Heard(primary.ID)
-	if !dead(g.refused, g.silent, age, heard, now-g.takenAt) {
+	age, answered = c.around.Heard(primary.ID)
+	if !dead(g.refused, g.silent, age, answered, now-g.takenAt) {
 		return
 	}
-	if name, recently := c.witnessed(ctx, group, primary.ID, g.doubtAt); recently {
-		c.log.WithFields(logrus.Fields{"group": group, "member": primary.ID, "witness": name, "refused": g.refused}).
+	if witness, elsewhere := c.witnessed(ctx, group, primary.ID, g.doubtAt); elsewhere {
+		c.log.WithFields(logrus.Fields{"group": group, "member": primary.ID, "witness": witness, "refused": g.refused}).
 			Info("lead: the primary does not answer here, but another instance hears it; it is not replaced")
 		return
 	}
@@ -99,12 +99,12 @@
 
 // dead reports whether a primary that did not answer a probe must be replaced: it refused
 // several connections in a row, or has been unresponsive for long enough.
-func dead(refused int, silent bool, sinceAnswer time.Duration, heard bool, led time.Duration) bool {
+func dead(refused int, silent bool, sinceAnswer time.Duration, everAnswered bool, leaderFor time.Duration) bool {
 	if refused >= refusals {
 		return true
 	}
-	if !heard {
-		sinceAnswer = led // it never answered: count from when this instance became leader
+	if !everAnswered {
+		sinceAnswer = leaderFor // it never answered: count from when this instance became leader
 	}
 	return silent && sinceAnswer >= silence
 }
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -51,8 +51,8 @@
 
 // Witness implements leadpb.CoordinationServer.
 func (s *Server) Witness(_ context.Context, req *leadpb.WitnessRequest) (*leadpb.WitnessReply, error) {
-	age, heard := s.heard(req.Member)
-	return &leadpb.WitnessReply{Heard: heard, AgeUs: age.Microseconds()}, nil
+	age, ever := s.heard(req.Member)
+	return &leadpb.WitnessReply{Heard: ever, AgeUs: age.Microseconds()}, nil
 }
 
 // Attest implements leadpb.CoordinationServer. It fails until the process has read the
--- a/internal/lead/planned_test.go
+++ b/internal/lead/planned_test.go
@@ -20,9 +20,9 @@
 func TestPutOff(t *testing.T) {
 	const patience = 4 * time.Second
 	for name, c := range map[string]struct {
-		s       survey
-		waited  time.Duration
-		putsOff bool
+		s         survey
+		waited    time.Duration
+		postponed bool
 	}{
 		"all instances answer":                                  {survey{answered: 9, needed: 6}, 0, false},
 		"fewer than needed answer":                              {survey{answered: 5, needed: 6, silent: 4}, time.Hour, true},
@@ -33,7 +33,7 @@
 		"one is unresponsive for long enough, one has no lease": {survey{answered: 7, needed: 6, silent: 1, lapsing: 1}, silentTimeout, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			must.Eq(t, c.putsOff, postponedBecause(c.s, c.waited, patience) != "")
+			must.Eq(t, c.postponed, postponedBecause(c.s, c.waited, patience) != "")
 		})
 	}
 	must.Eq(t, "", postponedBecause(survey{answered: 8, needed: 6, silent: 1, lapsing: 1}, 0, -time.Second),
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -340,23 +340,23 @@
 }
 
 func TestNewsOfAnotherInstance(t *testing.T) {
-	var teller, hearer Grant
-	hearer.Confirm(0)
-	hearer.Learn(Record{Primary: "a", Term: 1}, 5)
-	teller.Learn(Record{Primary: "a", Term: 1}, 5)
-	_, newer := teller.NewsSince(5)
+	var source, receiver Grant
+	receiver.Confirm(0)
+	receiver.Learn(Record{Primary: "a", Term: 1}, 5)
+	source.Learn(Record{Primary: "a", Term: 1}, 5)
+	_, newer := source.NewsSince(5)
 	must.False(t, newer)
-	teller.Release(6)
-	news, newer := teller.NewsSince(5)
+	source.Release(6)
+	news, newer := source.NewsSince(5)
 	must.True(t, newer)
-	hearer.Hear(news)
-	_, err := hearer.Authority(0)
+	receiver.Hear(news)
+	_, err := receiver.Authority(0)
 	must.Error(t, err, must.Sprint("a change is in progress"))
-	teller.Settle(Record{Primary: "b", Term: 2}, 6)
-	news, newer = teller.NewsSince(5)
+	source.Settle(Record{Primary: "b", Term: 2}, 6)
+	news, newer = source.NewsSince(5)
 	must.True(t, newer)
-	hearer.Hear(news)
-	a, err := hearer.Authority(0)
+	receiver.Hear(news)
+	a, err := receiver.Authority(0)
 	must.NoError(t, err)
 	must.Eq(t, "b", a.Primary)
 }
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -125,8 +125,8 @@
 // have lapsed: since its lease ended no answer of the store has confirmed them, and
 // attestations can replace the store only for StorelessValidity.
 func (r *registry) lapsed(now time.Duration, name string) bool {
-	since, gone := r.missing[name]
-	return gone && now-since > storelessLapsed
+	since, missing := r.missing[name]
+	return missing && now-since > storelessLapsed
 }
 
 // Registered returns all instances that may hold grants.
@@ -161,13 +161,13 @@
 	if now-r.began < storelessLapsed {
 		return len(r.joined) / youngShare
 	}
-	lately := 0
+	recent := 0
 	for _, at := range r.joined {
 		if now-at < storelessLapsed {
-			lately++
+			recent++
 		}
 	}
-	return lately
+	return recent
 }
 
 // MissingSince returns since when the process of an entry has been without a lease, and
@@ -181,13 +181,13 @@
 // grants have lapsed, with the revisions of their entries. These entries are to be deleted,
 // so that processes that start later need not wait for the same grants again.
 func (r *registry) Forgettable(now time.Duration) map[string]int64 {
-	gone := make(map[string]int64)
+	expired := make(map[string]int64)
 	for name, since := range r.missing {
 		if now-since > storelessLapsed {
-			gone[name] = r.instances[name].revision
+			expired[name] = r.instances[name].revision
 		}
 	}
-	return gone
+	return expired
 }
 
 // Names returns the names of all registered instances, sorted.
@@ -199,13 +199,13 @@
 
 // RankUpTo returns the smaller of Rank and limit. It stops counting at limit, which makes
 // it cheaper.
-func (r *registry) RankUpTo(key, name string, most int) int {
+func (r *registry) RankUpTo(key, name string, limit int) int {
 	if _, alive := r.alive[name]; !alive {
-		return min(len(r.living), most)
+		return min(len(r.living), limit)
 	}
 	own, before := ownership.Score(key, name), 0
 	for _, i := range r.living {
-		if before >= most {
+		if before >= limit {
 			break
 		}
 		if score := ownership.Score(key, i.Name); score > own || score == own && i.Name < name {
--- a/internal/lead/release.go
+++ b/internal/lead/release.go
@@ -43,17 +43,17 @@
 	r := &release{group: group, revision: revision, drain: drain, announced: announced}
 	released := make(chan error, 1)
 	go func() { released <- c.releaseAll(ctx, r) }()
-	patience := releaseTimeout
+	wait := releaseTimeout
 	if change.Planned {
-		patience += drain // transactions in progress get the drain before the old primary steps down
+		wait += drain // transactions in progress get the drain before the old primary steps down
 	}
 	for {
 		select {
 		case err := <-released:
-			cleared := clearing{done: err == nil}
-			cleared.seen, cleared.unreached = r.unreached()
-			return cleared
-		case <-time.After(patience):
+			result := clearing{done: err == nil}
+			result.seen, result.unreached = r.unreached()
+			return result
+		case <-time.After(wait):
 		case <-ctx.Done():
 			return clearing{}
 		}
@@ -119,10 +119,10 @@
 		defer close(released)
 		c.releaseEach(ctx, r, known)
 	}()
-	later, err := c.registeredLater(ctx, r.revision, known)
+	others, err := c.registeredLater(ctx, r.revision, known)
 	if err == nil {
-		r.expect(len(known), joined, len(later))
-		c.releaseEach(ctx, r, later)
+		r.expect(len(known), joined, len(others))
+		c.releaseEach(ctx, r, others)
 	} else {
 		cancel()
 	}
@@ -149,12 +149,12 @@
 func (c *Controller) registeredLater(ctx context.Context, revision int64, known []Entry) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	items, at, err := c.store.List(ctx, PrefixInstances)
+	items, listedAt, err := c.store.List(ctx, PrefixInstances)
 	if err != nil {
 		return nil, fmt.Errorf("reading the registered instances: %w", err)
 	}
-	if at < revision {
-		return nil, fmt.Errorf("reading the registered instances: the store returned revision %d, older than %d", at, revision)
+	if listedAt < revision {
+		return nil, fmt.Errorf("reading the registered instances: the store returned revision %d, older than %d", listedAt, revision)
 	}
 	return notAmong(known, items)
 }
@@ -241,11 +241,11 @@
 func (r *release) leave(now, goneSince time.Duration, seen int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard := r.announced // the last answer of the store to that instance is not newer
+	lastAnswer := r.announced // the last answer of the store to that instance is not newer
 	if goneSince > 0 {
-		heard = min(heard, goneSince)
+		lastAnswer = min(lastAnswer, goneSince)
 	}
-	if now-heard >= verifiableLapsed {
+	if now-lastAnswer >= verifiableLapsed {
 		return // the grant does not even permit verified use any more
 	}
 	if !r.left || seen < r.seen {
@@ -264,10 +264,10 @@
 
 // expect raises the number of needed releases for further instances that were found to be
 // registered.
-func (r *release) expect(known, joined, more int) {
+func (r *release) expect(known, joined, added int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.missing += ReleaseQuorum(known+more, joined+more) - ReleaseQuorum(known, joined)
+	r.missing += ReleaseQuorum(known+added, joined+added) - ReleaseQuorum(known, joined)
 }
 
 func (c *Controller) releaseOne(ctx context.Context, r *release, instance Entry) {
@@ -326,8 +326,8 @@
 // another process has registered under its name, or once its grants have lapsed. A view
 // that is older than the entry does not show that.
 func (c *Controller) stillRegistered(entry Entry) bool {
-	now, registered := c.around.View().Entry(c.now(), entry.Name)
-	return now.revision < entry.revision || registered && now.Incarnation == entry.Incarnation
+	current, registered := c.around.View().Entry(c.now(), entry.Name)
+	return current.revision < entry.revision || registered && current.Incarnation == entry.Incarnation
 }
 
 func (r *release) request() *leadpb.ReleaseRequest {
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -150,17 +150,17 @@
 }
 
 func (e *edit) setLeader(group string, event kv.Event) error {
-	before, known := e.leaders.Get(group)
+	previous, hadLeader := e.leaders.Get(group)
 	leaders, err := set(e.leaders, group, event)
 	if err != nil {
 		return err
 	}
-	if known {
-		e.unlead(before.value.Instance, group)
+	if hadLeader {
+		e.unlead(previous.value.Instance, group)
 	}
 	e.leaders = leaders
-	if now, leads := leaders.Get(group); leads {
-		e.lead(now.value.Instance, group)
+	if current, hasLeader := leaders.Get(group); hasLeader {
+		e.lead(current.value.Instance, group)
 	}
 	e.groups[group] = struct{}{}
 	return nil
@@ -202,10 +202,10 @@
 		e.registry.note(e.now, e.instances)
 	}
 	for group := range e.groups {
-		_, known := e.records.Get(group)
-		_, led := e.leaders.Get(group)
+		_, hasRecord := e.records.Get(group)
+		_, hasLeader := e.leaders.Get(group)
 		_, noted := e.leaderless.Get(group)
-		switch isLeaderless := known && !led; {
+		switch isLeaderless := hasRecord && !hasLeader; {
 		case isLeaderless && !noted:
 			e.leaderless = e.leaderless.Set(group, e.now)
 		case !isLeaderless && noted:
@@ -263,8 +263,8 @@
 	if revision == 0 {
 		return false
 	}
-	now, known := v.Instance(leader.Instance)
-	return known > 0 && now.Incarnation != leader.Incarnation
+	current, registered := v.Instance(leader.Instance)
+	return registered > 0 && current.Incarnation != leader.Incarnation
 }
 
 // Leaderless returns for how long a group that has a record has been without a leader, and
