--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -16,62 +16,62 @@
 
 // Limits of one round of attestation requests.
 const (
-	// attestTimeout plus attestEach for each instance asked bounds a round. Connections to
-	// the instances have to be opened first, perhaps by an instance that has a fifth of a
-	// core.
-	attestTimeout = 300 * time.Millisecond
-	attestEach    = 3 * time.Millisecond
-	// attestAtOnce is how many requests are in flight at a time, so that statements get
-	// their share of the processor.
-	attestAtOnce = 16
+	// attestTimeout plus attestTimeoutPerInstance for each instance asked bounds a round.
+	// Connections to the instances have to be opened first, perhaps by an instance that has
+	// a fifth of a core.
+	attestTimeout            = 300 * time.Millisecond
+	attestTimeoutPerInstance = 3 * time.Millisecond
+	// maxConcurrentAttests is how many requests are in flight at a time, so that statements
+	// get their share of the processor.
+	maxConcurrentAttests = 16
 )
 
 // Locate sets the distances between data centres. It must be called before the first Tick.
 // Without it all other data centres count as equally far.
-func (c *Controller) Locate(localities locality.Map) { c.places = localities }
+func (c *Controller) Locate(localities locality.Map) { c.localities = localities }
 
 // Attest asks other registered instances whether they know anything newer than the records
 // known here, and confirms the grants for which a quorum knows nothing newer. It is called
 // while the store does not answer this instance. It returns when the requests were sent and
 // whether a quorum answered at all.
 func (c *Controller) Attest(ctx context.Context) (time.Duration, bool) {
-	registered := c.around.View().Registered(c.now())
+	registered := c.env.View().Registered(c.now())
 	needed := AttestQuorum(len(registered))
 	req := &leadpb.AttestRequest{From: c.self.Name}
-	for _, group := range c.around.Carried() {
-		if _, revision := c.around.Gate(group).Record(); revision > 0 {
+	for _, group := range c.env.Carried() {
+		if _, revision := c.env.Gate(group).Record(); revision > 0 {
 			req.Known = append(req.Known, &leadpb.GroupRevision{Group: group, Revision: revision})
 		}
 	}
-	round := &attestation{needed: needed, answers: 1, news: make(map[string][]*leadpb.GroupNews)}
+	round := &attestationRound{needed: needed, answers: 1, updates: make(map[string][]*leadpb.GroupNews)}
 	sent := c.now()
 	asked := registered
-	if !c.attestAll.Load() {
-		asked = attestors(registered, c.self, needed, c.places)
+	if !c.askAllInstances.Load() {
+		asked = attestors(registered, c.self, needed, c.localities)
 	}
-	ctx, cancel := context.WithTimeout(ctx, attestTimeout+time.Duration(len(asked))*attestEach)
+	ctx, cancel := context.WithTimeout(ctx, attestTimeout+time.Duration(len(asked))*attestTimeoutPerInstance)
 	defer cancel()
-	slots := make(chan struct{}, attestAtOnce)
-	c.askOthers(asked, func(_ Instance, client leadpb.CoordinationClient) error {
+	slots := make(chan struct{}, maxConcurrentAttests)
+	c.callOthers(asked, func(_ Instance, client leadpb.CoordinationClient) error {
 		slots <- struct{}{}
 		defer func() { <-slots }()
 		reply, err := client.Attest(ctx, req)
 		if err == nil {
-			round.note(reply)
+			round.addReply(reply)
 		}
 		return err
 	})
 	c.applyAttestation(req, round, sent)
-	c.log.WithFields(logrus.Fields{"answers": round.answers, "needed": round.needed, "newer": len(round.news)}).
+	c.log.WithFields(logrus.Fields{"answers": round.answers, "needed": round.needed, "newer": len(round.updates)}).
 		Info("lead: requested attestations from other instances because the store does not answer")
 	quorum := round.answers >= round.needed
-	c.attestAll.Store(!quorum)
+	c.askAllInstances.Store(!quorum)
 	return sent, quorum
 }
 
-// attestSpare is the divisor for the share of the instances that is asked beyond a quorum,
-// in case some do not answer: one in ten.
-const attestSpare = 10
+// spareAttestorsDivisor is the divisor for the share of the instances that is asked beyond
+// a quorum, in case some do not answer: one in ten.
+const spareAttestorsDivisor = 10
 
 // attestors returns the instances to ask: enough for a quorum and some spare ones.
 // Instances of the own data centre come first, then those of the own region, then the
@@ -96,41 +96,41 @@
 		)
 	})
 	asked := append(near, far...)
-	return asked[:min(len(asked), needed-1+max(1, len(registered)/attestSpare))]
+	return asked[:min(len(asked), needed-1+max(1, len(registered)/spareAttestorsDivisor))]
 }
 
-// attestation collects the replies of one round of requests.
-type attestation struct {
+// attestationRound collects the replies of one round of requests.
+type attestationRound struct {
 	needed int
 
 	mu      sync.Mutex // guards the rest
 	answers int        // including this instance's own
-	news    map[string][]*leadpb.GroupNews
+	updates map[string][]*leadpb.GroupNews
 }
 
-func (a *attestation) note(reply *leadpb.AttestReply) {
+func (a *attestationRound) addReply(reply *leadpb.AttestReply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.answers++
 	for _, n := range reply.News {
-		a.news[n.Group] = append(a.news[n.Group], n)
+		a.updates[n.Group] = append(a.updates[n.Group], n)
 	}
 }
 
 // applyAttestation applies what other instances know beyond the known records. If a quorum
 // answered, it confirms the grants for which no instance knows anything newer.
-func (c *Controller) applyAttestation(req *leadpb.AttestRequest, round *attestation, sent time.Duration) {
+func (c *Controller) applyAttestation(req *leadpb.AttestRequest, round *attestationRound, sent time.Duration) {
 	for _, known := range req.Known {
-		gate := c.around.Gate(known.Group)
-		for _, news := range round.news[known.Group] {
-			update, err := decodeNews(news)
+		gate := c.env.Gate(known.Group)
+		for _, news := range round.updates[known.Group] {
+			update, err := decodeUpdate(news)
 			if err != nil {
 				c.log.WithField("group", known.Group).WithError(err).Error("lead: cannot decode an update from another instance; ignoring it")
 				continue
 			}
 			gate.Hear(update)
 		}
-		if len(round.news[known.Group]) == 0 && round.answers >= round.needed {
+		if len(round.updates[known.Group]) == 0 && round.answers >= round.needed {
 			gate.Attest(sent, known.Revision)
 		}
 	}
--- a/internal/lead/attest_test.go
+++ b/internal/lead/attest_test.go
@@ -38,7 +38,7 @@
 
 // While the store is unavailable to all instances, an instance asks those of its own region
 // first, and of another region only as many as are needed for a quorum and the spare ones.
-func TestAttestorsStayInTheirRegion(t *testing.T) {
+func TestAttestorsPreferOwnRegion(t *testing.T) {
 	var all []Instance
 	for n := range 88 {
 		all = append(all, Instance{Name: fmt.Sprint(n), DataCentre: fmt.Sprint("dc", n%4)})
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -28,28 +28,30 @@
 	urgentDrain = 60 * time.Millisecond
 	// releaseTimeout bounds one release call to an instance, in addition to the drain.
 	releaseTimeout = 400 * time.Millisecond
-	// releaseRetry is the pause before a failed release call is repeated, and before a
+	// releaseRetryPause is the pause before a failed release call is repeated, and before a
 	// failed change is.
-	releaseRetry = 100 * time.Millisecond
-	// storeRetry is the pause after a store write that failed. Each store call is billed.
-	storeRetry = 300 * time.Millisecond
-	// leaderProof is how old the last successful conditional write may be when the platform
-	// is asked to promote. Such a write proves that no other instance leads.
-	leaderProof = 500 * time.Millisecond
-	// promoteTimeout bounds the promotion call to the platform.
-	promoteTimeout = time.Second
-	// promoteWait bounds the wait until the promoted member is primary. The member is
+	releaseRetryPause = 100 * time.Millisecond
+	// storeRetryPause is the pause after a store write that failed. Each store call is
+	// billed.
+	storeRetryPause = 300 * time.Millisecond
+	// maxLeadershipProofAge is how old the last successful conditional write may be when
+	// the platform is asked to promote. Such a write proves that no other instance leads.
+	maxLeadershipProofAge = 500 * time.Millisecond
+	// promoteCallTimeout bounds the promotion call to the platform.
+	promoteCallTimeout = time.Second
+	// promotionTimeout bounds the wait until the promoted member is primary. The member is
 	// polled every pollInterval. The bound matters only if a promotion has failed without
 	// an error. A promotion that takes longer is found by the next attempt.
-	promoteWait = 2500 * time.Millisecond
+	promotionTimeout = 2500 * time.Millisecond
 	// pollInterval is the pause between two status requests while waiting for a log
 	// position or a role. A request occupies a slot of the member for a moment.
 	pollInterval = 25 * time.Millisecond
-	// catchUp bounds the wait until a replica has received the old primary's last writes.
-	catchUp = 1500 * time.Millisecond
-	// inheritedWait is how long a new leader waits for a promotion that an earlier leader
-	// may have requested, before it requests one itself.
-	inheritedWait = promoteTimeout + promoteWait
+	// catchUpTimeout bounds the wait until a replica has received the old primary's last
+	// writes.
+	catchUpTimeout = 1500 * time.Millisecond
+	// inheritedPromotionTimeout is how long a new leader waits for a promotion that an
+	// earlier leader may have requested, before it requests one itself.
+	inheritedPromotionTimeout = promoteCallTimeout + promotionTimeout
 )
 
 // Errors that end an attempt. The next Tick starts another.
@@ -59,10 +61,10 @@
 	errGrantsRemain = errors.New("instances that cannot be reached may still hold grants")
 )
 
-// begin announces a change of primary in the record and executes it. A planned change is
-// skipped while no successor is in service or while it would wait for other instances.
-func (c *Controller) begin(ctx context.Context, group string, g *ledGroup, reason string, planned bool) {
-	record, revision := c.around.Gate(group).Record()
+// startChange announces a change of primary in the record and executes it. A planned change
+// is skipped while no successor is in service or while it would wait for other instances.
+func (c *Controller) startChange(ctx context.Context, group string, g *ledGroup, reason string, planned bool) {
+	record, revision := c.env.Gate(group).Record()
 	change := Change{ID: uuid.NewString(), Reason: reason, Planned: planned}
 	record.Change = &change
 	log := c.log.WithFields(logrus.Fields{
@@ -76,27 +78,27 @@
 		return
 	}
 	log.Info("lead: the primary is to be replaced: " + reason)
-	c.around.Event("change", group, record.Primary, record.Term, reason)
+	c.env.Event("change", group, record.Primary, record.Term, reason)
 	if _, err := c.write(ctx, group, g, record, revision); err != nil {
 		log.WithError(err).Warn("lead: could not write the announcement of the change to the store")
-		pause(ctx, storeRetry)
+		sleep(ctx, storeRetryPause)
 		return
 	}
-	c.replace(ctx, group, g, change)
+	c.replacePrimary(ctx, group, g, change)
 }
 
 // Timing of a planned change before its announcement, while the primary still serves.
 const (
-	// plannedPause is the interval between two checks whether a postponed planned change
-	// can be announced.
-	plannedPause = 500 * time.Millisecond
-	// changeTime is how long a change takes apart from waiting for grants to lapse: the
-	// drain, the promotion, and until the new primary is known.
-	changeTime = plannedDrain + time.Second
-	// silentTimeout is how long a planned change is postponed for an instance that does not
-	// answer although its lease is valid. It may be restarting. If it stays unresponsive,
-	// the change waits for it after the announcement.
-	silentTimeout = time.Second
+	// plannedCheckInterval is the interval between two checks whether a postponed planned
+	// change can be announced.
+	plannedCheckInterval = 500 * time.Millisecond
+	// expectedChangeDuration is how long a change takes apart from waiting for grants to
+	// lapse: the drain, the promotion, and until the new primary is known.
+	expectedChangeDuration = plannedDrain + time.Second
+	// unresponsivePostponement is how long a planned change is postponed for an instance
+	// that does not answer although its lease is valid. It may be restarting. If it stays
+	// unresponsive, the change waits for it after the announcement.
+	unresponsivePostponement = time.Second
 )
 
 // mayAnnounce reports whether a planned change can be announced without a long wait after
@@ -104,17 +106,17 @@
 // has to be awaited. From the announcement on the group has no primary; until then the old
 // one serves.
 func (c *Controller) mayAnnounce(ctx context.Context, g *ledGroup, log *logrus.Entry) bool {
-	if g.plannedAt > 0 && c.now()-g.plannedAt < plannedPause {
+	if g.plannedCheckedAt > 0 && c.now()-g.plannedCheckedAt < plannedCheckInterval {
 		return false
 	}
-	if g.postponedSince == 0 || c.now()-g.plannedAt > 4*plannedPause {
+	if g.postponedSince == 0 || c.now()-g.plannedCheckedAt > 4*plannedCheckInterval {
 		g.postponedSince = c.now()
 	}
-	g.plannedAt = c.now()
+	g.plannedCheckedAt = c.now()
 	s, waited := c.survey(ctx), c.now()-g.postponedSince
-	if reason := postponedBecause(s, waited, c.drainTime-grantsLapsed-changeTime); reason != "" {
+	if reason := postponeReason(s, waited, c.drainTimeout-grantLapseTime-expectedChangeDuration); reason != "" {
 		log.WithFields(logrus.Fields{
-			"answered": s.answered, "needed": s.needed, "silent": s.silent, "lapsing": s.lapsing, "waited_ms": waited.Milliseconds(),
+			"answered": s.answered, "needed": s.releasesNeeded, "silent": s.unresponsive, "lapsing": s.lapsing, "waited_ms": waited.Milliseconds(),
 		}).Info("lead: the primary is to be replaced as planned, and serves meanwhile: " + reason)
 		return false
 	}
@@ -122,17 +124,17 @@
 	return true
 }
 
-// postponedBecause returns why a planned change is not announced yet, empty if it can be.
+// postponeReason returns why a planned change is not announced yet, empty if it can be.
 // waited is how long it has been postponed, patience how long it may be postponed in all.
 // patience leaves enough time for the remaining grants to lapse before work on the old
 // primary must have ended.
-func postponedBecause(s survey, waited, patience time.Duration) string {
+func postponeReason(s surveyResult, waited, patience time.Duration) string {
 	switch {
-	case s.answered < s.needed:
+	case s.answered < s.releasesNeeded:
 		return "too few instances can be reached"
 	case s.lapsing > 0 && waited < patience:
 		return "the grant of an instance that is gone has not lapsed"
-	case s.silent > 0 && waited < min(patience, silentTimeout):
+	case s.unresponsive > 0 && waited < min(patience, unresponsivePostponement):
 		return "an instance that may hold a grant does not answer"
 	}
 	return ""
@@ -141,7 +143,7 @@
 // successors returns the members that could replace the primary.
 func (c *Controller) successors(group, primary string) []topology.Member {
 	var candidates []topology.Member
-	for _, m := range c.around.Topology().MembersOf(group) {
+	for _, m := range c.env.Topology().MembersOf(group) {
 		if m.ID != primary && !m.Draining {
 			candidates = append(candidates, m)
 		}
@@ -157,7 +159,7 @@
 func (c *Controller) write(ctx context.Context, group string, g *ledGroup, record Record, expected int64) (int64, error) {
 	key, value := prefixGroup+group, encode(record)
 	txn := kv.Txn{
-		Expect: []kv.Expect{{Key: prefixLeader + group, Revision: g.leading}, {Key: key, Revision: expected}},
+		Expect: []kv.Expect{{Key: prefixLeader + group, Revision: g.leaderRevision}, {Key: key, Revision: expected}},
 		Puts:   []kv.Put{{Key: key, Value: value}},
 	}
 	for {
@@ -166,8 +168,8 @@
 		revision, err := c.store.Commit(callCtx, txn)
 		cancel()
 		if err == nil {
-			g.provenAt = sent
-			c.around.Gate(group).Learn(record, revision)
+			g.leadershipProvenAt = sent
+			c.env.Gate(group).Learn(record, revision)
 			return revision, nil
 		}
 		if errors.Is(err, kv.ErrUnavailable) {
@@ -178,8 +180,8 @@
 		case readErr != nil:
 			return 0, fmt.Errorf("%w; reading back: %w", err, readErr)
 		case item.Revision != expected && bytes.Equal(item.Value, value):
-			g.provenAt = sent
-			c.around.Gate(group).Learn(record, item.Revision)
+			g.leadershipProvenAt = sent
+			c.env.Gate(group).Learn(record, item.Revision)
 			return item.Revision, nil // the write took effect, and its response was lost
 		case item.Revision != expected || errors.As(err, new(*kv.ConflictError)):
 			return 0, fmt.Errorf("%w: %w", errNotLeader, err)
@@ -195,55 +197,55 @@
 	return c.store.Get(ctx, key)
 }
 
-// replace executes an announced change of primary. It can resume a change that an earlier
-// attempt or leader left unfinished.
-func (c *Controller) replace(ctx context.Context, group string, g *ledGroup, change Change) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+// replacePrimary executes an announced change of primary. It can resume a change that an
+// earlier attempt or leader left unfinished.
+func (c *Controller) replacePrimary(ctx context.Context, group string, g *ledGroup, change Change) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	started := c.now()
 	log := c.log.WithFields(logrus.Fields{"group": group, "change": change.ID, "reason": change.Reason})
-	out, err := c.carryOut(ctx, group, g, change)
+	out, err := c.executeChange(ctx, group, g, change)
 	if err != nil {
 		log.WithError(err).WithField("after_ms", (c.now() - started).Milliseconds()).Warn("lead: the change of primary failed; it will be retried")
-		pause(ctx, releaseRetry)
+		sleep(ctx, releaseRetryPause)
 		return
 	}
-	g.outcome, g.refused, g.silent, g.doubtAt = out, 0, false, 0
-	c.hangUp(g)
+	g.outcome, g.refusedInRow, g.unresponsive, g.unansweredSince = out, 0, false, 0
+	c.closeProbeConn(g)
 	c.publish(ctx, group, out)
 	log.WithFields(logrus.Fields{"member": out.record.Primary, "term": out.record.Term, "after_ms": (c.now() - started).Milliseconds()}).
 		Info("lead: the group has its primary")
-	c.around.Event("primary", group, out.record.Primary, out.record.Term, "primary after: "+change.Reason)
-	c.recordOutcome(ctx, group, g)
+	c.env.Event("primary", group, out.record.Primary, out.record.Term, "primary after: "+change.Reason)
+	c.writeOutcome(ctx, group, g)
 }
 
-// carryOut executes the steps of a change: it ends the grants for the old primary, chooses
-// a candidate, proves the leadership, and has the candidate promoted. It returns which
-// member is primary then.
-func (c *Controller) carryOut(ctx context.Context, group string, g *ledGroup, change Change) (*outcome, error) {
-	record, revision := c.around.Gate(group).Record()
+// executeChange executes the steps of a change: it ends the grants for the old primary,
+// chooses a candidate, proves the leadership, and has the candidate promoted. It returns
+// which member is primary then.
+func (c *Controller) executeChange(ctx context.Context, group string, g *ledGroup, change Change) (*outcome, error) {
+	record, revision := c.env.Gate(group).Record()
 	if record.Change == nil || record.Change.ID != change.ID {
 		return nil, fmt.Errorf("%w: its record is another now", errNotLeader)
 	}
-	if g.announced != change.ID {
-		g.announced, g.announcedAt = change.ID, c.now()
+	if g.announcedChange != change.ID {
+		g.announcedChange, g.announcedAt = change.ID, c.now()
 	}
-	grants := c.clearGrants(ctx, group, revision, change, record, g.announcedAt)
-	if !grants.done && !grants.stays {
+	grants := c.endGrants(ctx, group, revision, change, record, g.announcedAt)
+	if !grants.ended && !grants.primaryStays {
 		return nil, errGrantsRemain
 	}
 	record.Change = nil
-	if change.Planned && !grants.stays {
+	if change.Planned && !grants.primaryStays {
 		if !c.hasSuccessor(group, record.Primary, grants) {
 			return nil, fmt.Errorf("%w: instances that were not reached may not know of the others", errNoCandidate)
 		}
-		grants.last, grants.steppedDown = c.finalStatus(ctx, record)
+		grants.finalStatus, grants.steppedDown = c.stepDownOldPrimary(ctx, record)
 	}
-	if grants.stays {
+	if grants.primaryStays {
 		c.log.WithFields(logrus.Fields{"group": group, "member": record.Primary}).Info("lead: the primary answers again and is not replaced")
 		return &outcome{record: record, revision: revision}, nil
 	}
-	candidate, candidateStatus, err := c.choose(ctx, group, record, change, grants)
+	candidate, candidateStatus, err := c.chooseCandidate(ctx, group, record, change, grants)
 	if err != nil {
 		return nil, err
 	}
@@ -251,10 +253,10 @@
 		record.Primary, record.Term = candidate.ID, candidateStatus.Term
 		return &outcome{record: record, revision: revision}, nil
 	}
-	if g.inherited == change.ID && c.now()-g.takenAt < inheritedWait {
+	if g.inheritedChange == change.ID && c.now()-g.tookOverAt < inheritedPromotionTimeout {
 		return nil, fmt.Errorf("%w: a promotion by an earlier leader may be under way", errNoCandidate)
 	}
-	if g.provenAt == 0 || c.now()-g.provenAt > leaderProof {
+	if g.leadershipProvenAt == 0 || c.now()-g.leadershipProvenAt > maxLeadershipProofAge {
 		// Writing the record again succeeds only while this instance is the leader.
 		announced := record
 		announced.Change = &change
@@ -272,7 +274,7 @@
 
 // promote asks the platform to make a member the primary and waits until it is.
 func (c *Controller) promote(ctx context.Context, record Record, candidate topology.Member, position group.Position) (member.Status, error) {
-	promoteCtx, cancel := context.WithTimeout(ctx, promoteTimeout)
+	promoteCtx, cancel := context.WithTimeout(ctx, promoteCallTimeout)
 	defer cancel()
 	err := c.promoter.Promote(promoteCtx, record.Group, candidate.ID, c.self.Name, record.Generation)
 	c.log.WithFields(logrus.Fields{
@@ -280,22 +282,22 @@
 	}).Info("lead: the platform was asked to promote")
 	// After an error the promotion may have happened nevertheless; the member's status
 	// shows it.
-	return c.awaitLead(ctx, candidate, record.Term)
+	return c.awaitPromotion(ctx, candidate, record.Term)
 }
 
-// choose requests the status of all members until Select decides on one, for at most
-// catchUp. It returns a member that is already primary in a newer term, the old primary if
-// it is healthy again, or the member in service with the longest log.
-func (c *Controller) choose(ctx context.Context, name string, record Record, change Change, grants clearing) (topology.Member, member.Status, error) {
-	deadline := c.now() + catchUp
+// chooseCandidate requests the status of all members until Select decides on one, for at
+// most catchUpTimeout. It returns a member that is already primary in a newer term, the old
+// primary if it is healthy again, or the member in service with the longest log.
+func (c *Controller) chooseCandidate(ctx context.Context, name string, record Record, change Change, grants grantsOutcome) (topology.Member, member.Status, error) {
+	deadline := c.now() + catchUpTimeout
 	for {
-		members := c.around.Topology().MembersOf(name)
-		answers := c.askAll(ctx, members, record.Primary)
+		members := c.env.Topology().MembersOf(name)
+		answers := c.queryMembers(ctx, members, record.Primary)
 		s := c.selection(grants)
 		s.Old, s.Term, s.Planned = record.Primary, record.Term, change.Planned
-		s.Replicas, s.SyncReplicas = len(members)-1, c.around.Topology().Groups[name].SyncReplicas
+		s.Replicas, s.SyncReplicas = len(members)-1, c.env.Topology().Groups[name].SyncReplicas
 		strict := s // prefer a member that all instances know, if it has the whole log
-		strict.Unreached = grants.unreached
+		strict.Unreached = grants.unreachable
 		best, decided := Select(answers, strict)
 		if !decided {
 			s.Hurry = c.now() >= deadline
@@ -307,7 +309,7 @@
 		if ctx.Err() != nil || c.now() >= deadline {
 			return topology.Member{}, member.Status{}, errNoCandidate
 		}
-		pause(ctx, pollInterval)
+		sleep(ctx, pollInterval)
 	}
 }
 
@@ -316,25 +318,25 @@
 // refuses their writes, and they do not pass on what they read from it, because they ask it
 // too whether it is primary. An instance that does not report a seen revision runs a
 // version that does not ask it.
-func (c *Controller) selection(grants clearing) Selection {
+func (c *Controller) selection(grants grantsOutcome) Selection {
 	return Selection{
-		Last: grants.last.Received, KnownBefore: c.now() - verifiableLapsed, Seen: grants.seen,
-		Unreached: grants.unreached && (!grants.steppedDown || grants.seen == 0),
+		Last: grants.finalStatus.Received, KnownBefore: c.now() - unconfirmedUseLapseTime, Seen: grants.seenRevision,
+		Unreached: grants.unreachable && (!grants.steppedDown || grants.seenRevision == 0),
 	}
 }
 
 // hasSuccessor reports whether any other member can be promoted after the old primary has
 // stepped down. If not, the old primary must not be told to step down.
-func (c *Controller) hasSuccessor(group, primary string, grants clearing) bool {
+func (c *Controller) hasSuccessor(group, primary string, grants grantsOutcome) bool {
 	grants.steppedDown = true
 	s := c.selection(grants)
-	return slices.ContainsFunc(c.successors(group, primary), func(m topology.Member) bool { return !s.Unreached || s.known(m) })
+	return slices.ContainsFunc(c.successors(group, primary), func(m topology.Member) bool { return !s.Unreached || s.knownToUnreachable(m) })
 }
 
-// awaitLead polls a member until it is primary in a term above the given one, for at most
-// promoteWait.
-func (c *Controller) awaitLead(ctx context.Context, m topology.Member, aboveTerm uint64) (member.Status, error) {
-	deadline := c.now() + promoteWait
+// awaitPromotion polls a member until it is primary in a term above the given one, for at
+// most promotionTimeout.
+func (c *Controller) awaitPromotion(ctx context.Context, m topology.Member, aboveTerm uint64) (member.Status, error) {
+	deadline := c.now() + promotionTimeout
 	var conn member.Conn
 	defer func() {
 		if conn != nil {
@@ -346,65 +348,65 @@
 			var err error
 			if conn, err = c.connect(ctx, m); err != nil {
 				conn = nil
-				pause(ctx, pollInterval)
+				sleep(ctx, pollInterval)
 				continue
 			}
 		}
 		status, err := conn.Status(time.Now().Add(probeTimeout))
 		if err == nil && status.Primary && status.Term > aboveTerm {
-			c.around.NoteAnswer(m.ID)
+			c.env.NoteAnswer(m.ID)
 			return status, nil
 		}
-		pause(ctx, pollInterval)
+		sleep(ctx, pollInterval)
 	}
 	return member.Status{}, fmt.Errorf("member %s does not lead after the promotion", m.ID)
 }
 
-// recordOutcome writes the outcome of a change to the store. Each Tick retries until it
+// writeOutcome writes the outcome of a change to the store. Each Tick retries until it
 // succeeds.
-func (c *Controller) recordOutcome(ctx context.Context, group string, g *ledGroup) {
+func (c *Controller) writeOutcome(ctx context.Context, group string, g *ledGroup) {
 	if _, err := c.write(ctx, group, g, g.outcome.record, g.outcome.revision); err != nil {
 		c.log.WithField("group", group).WithError(err).Warn("lead: could not write the new primary to the store; it will be retried")
-		pause(ctx, storeRetry)
+		sleep(ctx, storeRetryPause)
 		return
 	}
 	g.outcome = nil
 }
 
-// discover finds the primary of a group whose record names none, and writes it to the
+// discoverPrimary finds the primary of a group whose record names none, and writes it to the
 // record.
-func (c *Controller) discover(ctx context.Context, group string, g *ledGroup) {
-	if c.turns.paused(c.now()) {
+func (c *Controller) discoverPrimary(ctx context.Context, group string, g *ledGroup) {
+	if c.throttle.isBlocked(c.now()) {
 		return
 	}
-	record, revision := c.around.Gate(group).Record()
+	record, revision := c.env.Gate(group).Record()
 	record = c.findPrimary(ctx, record)
 	began := c.now()
-	if record.Primary == "" || !c.turns.begin(began) {
+	if record.Primary == "" || !c.throttle.tryBegin(began) {
 		return
 	}
 	_, err := c.write(ctx, group, g, record, revision)
-	c.turns.end(began, c.now(), err)
+	c.throttle.end(began, c.now(), err)
 	if err != nil {
 		c.log.WithField("group", group).WithError(err).Warn("lead: could not write the discovered primary to the store")
 		return
 	}
-	c.around.Event("primary", group, record.Primary, record.Term, "found as the primary")
+	c.env.Event("primary", group, record.Primary, record.Term, "found as the primary")
 }
 
 // findPrimary requests the status of a group's members and returns the record with the
 // member that is primary, or unchanged if none is.
 func (c *Controller) findPrimary(ctx context.Context, record Record) Record {
-	for _, f := range c.askAll(ctx, c.around.Topology().MembersOf(record.Group), "") {
+	for _, f := range c.queryMembers(ctx, c.env.Topology().MembersOf(record.Group), "") {
 		if f.status.Primary && f.status.Term >= record.Term {
 			record.Primary, record.Term = f.member.ID, f.status.Term
-			c.around.NoteAnswer(f.member.ID)
+			c.env.NoteAnswer(f.member.ID)
 		}
 	}
 	return record
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -21,53 +21,55 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// fixture implements Surroundings with state that tests set.
-type fixture struct {
-	name  string
-	view  *View
-	gate  *Gate
-	snap  *topology.Snapshot
-	lease kv.LeaseID
+// fakeEnvironment implements Surroundings with state that tests set.
+type fakeEnvironment struct {
+	name     string
+	view     *View
+	gate     *Gate
+	topology *topology.Snapshot
+	lease    kv.LeaseID
 
-	alone  bool
-	behind time.Duration
-	idle   bool // the instance does not serve the group
+	overloaded bool
+	replicaLag time.Duration
+	servesNone bool // the instance does not serve the group
 }
 
-func (f *fixture) Topology() *topology.Snapshot       { return f.snap }
-func (f *fixture) View() *View                        { return f.view }
-func (f *fixture) Lease() kv.LeaseID                  { return f.lease }
-func (f *fixture) Gate(string) *Gate                  { return f.gate }
-func (f *fixture) Heard(string) (time.Duration, bool) { return 0, false }
-func (f *fixture) Doubtful(string) bool               { return false }
-func (f *fixture) NoteAnswer(string)                  {}
-func (f *fixture) Carries(string) bool                { return !f.idle }
-func (f *fixture) Carried() []string {
-	if f.idle {
+func (f *fakeEnvironment) Topology() *topology.Snapshot       { return f.topology }
+func (f *fakeEnvironment) View() *View                        { return f.view }
+func (f *fakeEnvironment) Lease() kv.LeaseID                  { return f.lease }
+func (f *fakeEnvironment) Gate(string) *Gate                  { return f.gate }
+func (f *fakeEnvironment) Heard(string) (time.Duration, bool) { return 0, false }
+func (f *fakeEnvironment) Doubtful(string) bool               { return false }
+func (f *fakeEnvironment) NoteAnswer(string)                  {}
+func (f *fakeEnvironment) Carries(string) bool                { return !f.servesNone }
+func (f *fakeEnvironment) Carried() []string {
+	if f.servesNone {
 		return nil
 	}
 	return []string{"g"}
 }
-func (f *fixture) Users(string) []Instance                      { return f.view.Alive() }
-func (f *fixture) Rank(group string, most int) int              { return f.view.RankUpTo(group, f.name, most) }
-func (f *fixture) Alone(string, string) bool                    { return f.alone }
-func (f *fixture) Behind(string, group.Position) time.Duration  { return f.behind }
-func (f *fixture) Event(string, string, string, uint64, string) {}
+func (f *fakeEnvironment) Users(string) []Instance { return f.view.Alive() }
+func (f *fakeEnvironment) Rank(group string, most int) int {
+	return f.view.RankUpTo(group, f.name, most)
+}
+func (f *fakeEnvironment) Alone(string, string) bool                    { return f.overloaded }
+func (f *fakeEnvironment) Behind(string, group.Position) time.Duration  { return f.replicaLag }
+func (f *fakeEnvironment) Event(string, string, string, uint64, string) {}
 
 // membersSince sets since when the members have been known, and the revision of their
 // entries.
-func (f *fixture) membersSince(since time.Duration, revision int64) {
+func (f *fakeEnvironment) membersSince(since time.Duration, revision int64) {
 	state := topology.New(0, 0)
-	state.SetConfig(f.snap.Config)
-	for _, m := range f.snap.MembersOf("g") {
+	state.SetConfig(f.topology.Config)
+	for _, m := range f.topology.MembersOf("g") {
 		m.Revision = revision
 		state.SetMember(since, m, false)
 	}
-	f.snap = state.Snapshot()
+	f.topology = state.Snapshot()
 }
 
 // refresh updates the view and the guard from the store.
-func (f *fixture) refresh(t *testing.T, store kv.Store) {
+func (f *fakeEnvironment) refresh(t *testing.T, store kv.Store) {
 	items, _, err := store.List(t.Context(), "")
 	must.NoError(t, err)
 	f.view, err = f.view.Replace(0, items)
@@ -77,7 +79,7 @@
 	}
 }
 
-func newController(t *testing.T, name string, store kv.Store) (*Controller, *fixture) {
+func newController(t *testing.T, name string, store kv.Store) (*Controller, *fakeEnvironment) {
 	now := func() time.Duration { return 0 }
 	group := membergroup.New("g", "m1", "m2")
 	state := topology.New(0, 0)
@@ -85,7 +87,7 @@
 	for _, id := range []string{"m1", "m2"} {
 		state.SetMember(0, group.Entry(id), false)
 	}
-	f := &fixture{name: name, view: NewView(), gate: NewGate(now), snap: state.Snapshot()}
+	f := &fakeEnvironment{name: name, view: NewView(), gate: NewGate(now), topology: state.Snapshot()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	self := Instance{Name: name, Incarnation: name + "-1"}
@@ -116,7 +118,7 @@
 	led := &ledGroup{}
 	first.takeOver(t.Context(), "g", led)
 	around.refresh(t, store.Client())
-	_, led.leading = around.view.Leader("g")
+	_, led.leaderRevision = around.view.Leader("g")
 	record, revision := around.gate.Record()
 	revision, err := first.write(t.Context(), "g", led, record, revision)
 	must.NoError(t, err)
@@ -137,7 +139,7 @@
 // A replaced leader that the store refuses learns from other instances that its successor
 // has announced a change. It must not execute that change. Otherwise two instances promote
 // with the same fencing token.
-func TestChangeOfASuccessorIsNotCarriedOut(t *testing.T) {
+func TestReplacedLeaderDoesNotExecuteSuccessorsChange(t *testing.T) {
 	store := memstore.New()
 	first, around := newController(t, "a", store.Client())
 	second, aroundSecond := newController(t, "b", store.Client())
@@ -180,7 +182,7 @@
 
 // An instance that has registered, and so may hold a grant, must be asked to release even
 // if the leader's view does not show it yet.
-func TestInstanceThatRegisteredAMomentAgoReleases(t *testing.T) {
+func TestRecentlyRegisteredInstanceIsAskedToRelease(t *testing.T) {
 	store := memstore.New()
 	leader, around := newController(t, "a", store.Client())
 	stale := around.view
@@ -188,7 +190,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer()
-	leadpb.RegisterCoordinationServer(server, other.own)
+	leadpb.RegisterCoordinationServer(server, other.server)
 	go func() { _ = server.Serve(l) }() // stopped at the end of the test
 	t.Cleanup(server.Stop)
 	other.self.Address = l.Addr().String()
@@ -196,7 +198,7 @@
 	must.NoError(t, err)
 	around.view = stale
 
-	must.NoError(t, leader.releaseAll(t.Context(), &release{group: "g", revision: revision, drain: urgentDrain}))
+	must.NoError(t, leader.releaseAll(t.Context(), &grantRelease{group: "g", revision: revision, drain: urgentDrain}))
 	news, _ := aroundOther.gate.NewsSince(0)
 	must.Eq(t, revision, news.Released)
 }
@@ -207,10 +209,10 @@
 	client := store.Client()
 	leader, _ := newController(t, "a", client)
 	client.Set(memstore.Faults{Refuse: true})
-	must.Error(t, leader.releaseAll(t.Context(), &release{group: "g", revision: 7, drain: urgentDrain}))
+	must.Error(t, leader.releaseAll(t.Context(), &grantRelease{group: "g", revision: 7, drain: urgentDrain}))
 }
 
-func TestReleaseOfInstancesThatCannotBeReached(t *testing.T) {
+func TestGrantOfUnreachableInstanceLapses(t *testing.T) {
 	const announced = 100 * time.Second
 	reply := func(uptime time.Duration, attested ...string) *leadpb.ReleaseReply {
 		r := &leadpb.ReleaseReply{UptimeUs: uptime.Microseconds(), AttestedUs: make(map[string]int64)}
@@ -224,19 +226,19 @@
 		goneSince time.Duration
 		lapsesAt  time.Duration // when its grant lapses
 	}{
-		"no quorum":                                       {[]*leadpb.ReleaseReply{reply(announced)}, 10 * time.Second, announced + storelessLapsed},
-		"its lease is valid":                              {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 0, announced + grantsLapsed},
-		"no lease, and never attested":                    {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 95 * time.Second, 95*time.Second + grantsLapsed},
-		"no lease, and attested a second ago":             {[]*leadpb.ReleaseReply{reply(announced), reply(announced, "x")}, 80 * time.Second, 99*time.Second + grantsLapsed},
-		"no lease, and a releasing process started later": {[]*leadpb.ReleaseReply{reply(announced), reply(3 * time.Second)}, 80 * time.Second, 97*time.Second + grantsLapsed},
+		"no quorum":                                       {[]*leadpb.ReleaseReply{reply(announced)}, 10 * time.Second, announced + attestedUseLapseTime},
+		"its lease is valid":                              {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 0, announced + grantLapseTime},
+		"no lease, and never attested":                    {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 95 * time.Second, 95*time.Second + grantLapseTime},
+		"no lease, and attested a second ago":             {[]*leadpb.ReleaseReply{reply(announced), reply(announced, "x")}, 80 * time.Second, 99*time.Second + grantLapseTime},
+		"no lease, and a releasing process started later": {[]*leadpb.ReleaseReply{reply(announced), reply(3 * time.Second)}, 80 * time.Second, 97*time.Second + grantLapseTime},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &release{announced: announced, missing: 2}
+			r := &grantRelease{announced: announced, releasesNeeded: 2}
 			for _, reply := range c.replies {
-				r.note(announced, reply)
+				r.addReply(announced, reply)
 			}
-			must.False(t, r.lapsed(c.lapsesAt-1, "x", c.goneSince))
-			must.True(t, r.lapsed(c.lapsesAt, "x", c.goneSince))
+			must.False(t, r.hasLapsed(c.lapsesAt-1, "x", c.goneSince))
+			must.True(t, r.hasLapsed(c.lapsesAt, "x", c.goneSince))
 		})
 	}
 }
@@ -244,23 +246,23 @@
 // Guards against a take-over that is repeated at each Tick, based on the same outdated
 // view. In a long-running test about 16 conditional writes were made until the view showed
 // the first one.
-func TestTakeOverIsNotRepeatedAtOnce(t *testing.T) {
-	first, ok := attempt{}.next(0, 0, 7)
+func TestTakeOverBacksOff(t *testing.T) {
+	first, ok := takeOverAttempt{}.next(0, 0, 7)
 	must.True(t, ok)
-	_, ok = first.next(minTakeOverPause-1, 0, 7)
+	_, ok = first.next(minTakeOverBackoff-1, 0, 7)
 	must.False(t, ok)
-	again, ok := first.next(minTakeOverPause, 0, 7)
+	again, ok := first.next(minTakeOverBackoff, 0, 7)
 	must.True(t, ok)
-	must.Eq(t, 2*minTakeOverPause, again.pause)
-	moved, ok := again.next(minTakeOverPause, 0, 8)
+	must.Eq(t, 2*minTakeOverBackoff, again.backoff)
+	moved, ok := again.next(minTakeOverBackoff, 0, 8)
 	must.True(t, ok, must.Sprint("based on another revision"))
-	must.Eq(t, minTakeOverPause, moved.pause)
+	must.Eq(t, minTakeOverBackoff, moved.backoff)
 }
 
 // With a thousand groups an instance applies all records again on each change in the store.
 // A record that is already known must not wake waiters, unless it makes the grant usable or
 // unusable.
-func TestAKnownRecordWakesNobody(t *testing.T) {
+func TestKnownRecordDoesNotWakeWaiters(t *testing.T) {
 	now := time.Duration(0)
 	g := NewGate(func() time.Duration { return now })
 	record := Record{Group: "g", Primary: "m1", Term: 1}
@@ -287,7 +289,7 @@
 }
 
 // Usable must agree with Authority in every state of a grant.
-func TestUsableIsAuthority(t *testing.T) {
+func TestUsableAgreesWithPrimary(t *testing.T) {
 	for _, record := range []Record{{}, {Primary: "m1", Term: 1}, {Primary: "m1", Change: &Change{ID: "c"}}} {
 		for _, change := range []func(*Grant){
 			func(*Grant) {},
@@ -330,9 +332,9 @@
 	first, around := newController(t, "a", store.Client())
 	led := &ledGroup{}
 	first.takeOver(t.Context(), "g", led)
-	_, due := led.tried.next(minTakeOverPause, 0, 0)
+	_, due := led.lastTakeOver.next(minTakeOverBackoff, 0, 0)
 	must.False(t, due)
-	_, due = led.tried.next(maxTakeOverPause, 0, 0)
+	_, due = led.lastTakeOver.next(maxTakeOverBackoff, 0, 0)
 	must.True(t, due)
 	around.refresh(t, store.Client())
 	record, revision := around.view.Record("g")
@@ -343,10 +345,10 @@
 
 // In a fleet with many groups an instance checks the groups that it serves on each Tick,
 // but those that only others serve once a second, and only while one of them has no leader.
-func TestLooksAtGroupsOfOthersNowAndThen(t *testing.T) {
+func TestUnservedGroupsAreCheckedOncePerSecond(t *testing.T) {
 	store := memstore.New()
 	c, around := newController(t, "a", store.Client())
-	around.idle = true
+	around.servesNone = true
 	clock := time.Minute
 	c.now = func() time.Duration { return clock }
 	c.Tick(t.Context())
@@ -358,7 +360,7 @@
 	must.NoError(t, err)
 	around.lease = lease.ID
 	around.refresh(t, store.Client())
-	clock += lookElsewhere - 1
+	clock += otherGroupsInterval - 1
 	c.Tick(t.Context())
 	around.refresh(t, store.Client())
 	_, revision := around.view.Leader("g")
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -12,7 +12,7 @@
 	// GrantValidity is how long a grant stays confirmed, counted from when the call that
 	// confirmed it was sent: a store call, or the requests for attestation that a majority
 	// answered. A change of primary waits as long for an instance that cannot be reached.
-	// Together with the time to detect a failure (0.9 s), watchDeafness and the promotion,
+	// Together with the time to detect a failure (0.9 s), maxWatchGap and the promotion,
 	// that keeps a change within the 6 s that the project promises. GrantValidity is three
 	// times ConfirmEvery, so that in normal operation no grant lapses.
 	GrantValidity = 3 * ConfirmEvery
@@ -28,19 +28,19 @@
 	// StorelessValidity is how long after the last answer of the store attestations can
 	// confirm a grant. It bounds how outdated the list of registered instances can be.
 	StorelessValidity = 30 * time.Second
-	// driftShare is the divisor for the difference in rate that is allowed between two
+	// clockDriftDivisor is the divisor for the difference in rate that is allowed between two
 	// monotonic clocks: 1/40 = 2.5%. That covers two clocks that are each off by 1%, far
 	// more than quartz clocks show.
-	driftShare = 40
-	// grantsLapsed, verifiableLapsed and storelessLapsed are how long the leader waits, on
-	// its own clock, until the limits above have certainly passed on the clock of another
-	// instance.
-	grantsLapsed     = GrantValidity + GrantValidity/driftShare + watchDeafness
-	verifiableLapsed = VerifiableFor + VerifiableFor/driftShare + watchDeafness
-	storelessLapsed  = StorelessValidity + StorelessValidity/driftShare + watchDeafness
-	// watchDeafness is how long a watch may miss a change before the store reports that its
+	clockDriftDivisor = 40
+	// grantLapseTime, unconfirmedUseLapseTime and attestedUseLapseTime are how long the
+	// leader waits, on its own clock, until the limits above have certainly passed on the
+	// clock of another instance.
+	grantLapseTime          = GrantValidity + GrantValidity/clockDriftDivisor + maxWatchGap
+	unconfirmedUseLapseTime = VerifiableFor + VerifiableFor/clockDriftDivisor + maxWatchGap
+	attestedUseLapseTime    = StorelessValidity + StorelessValidity/clockDriftDivisor + maxWatchGap
+	// maxWatchGap is how long a watch may miss a change before the store reports that its
 	// history is gone.
-	watchDeafness = time.Second
+	maxWatchGap = time.Second
 )
 
 // AttestQuorum returns how many of the registered instances must attest a grant, its holder
@@ -67,34 +67,34 @@
 // instance's monotonic clock, and callers pass the current time. A Grant is not safe for
 // concurrent use.
 type Grant struct {
-	record    Record
-	revision  int64         // of the record; 0: none known
-	heard     bool          // the store has answered this instance at least once
-	settled   bool          // the record is the outcome of its change, as published by the leader
-	confirmed time.Duration // when the last store call was sent that returned no newer record
-	attested  time.Duration // when the last requests were sent that a quorum answered with an attestation
-	released  int64         // grants of records before this revision are released
+	record           Record
+	revision         int64         // of the record; 0: none known
+	storeAnswered    bool          // the store has answered this instance at least once
+	isOutcome        bool          // the record is the outcome of its change, as published by the leader
+	confirmedAt      time.Duration // when the last store call was sent that returned no newer record
+	attestedAt       time.Duration // when the last requests were sent that a quorum answered with an attestation
+	releasedRevision int64         // grants of records before this revision are released
 }
 
 // Learn applies a record read from the store. Older records are ignored.
 func (g *Grant) Learn(record Record, revision int64) {
 	if revision > g.revision {
-		g.record, g.revision, g.settled = record, revision, false
+		g.record, g.revision, g.isOutcome = record, revision, false
 	}
 }
 
 // Settle applies the outcome of a change that the leader published, perhaps before it wrote
 // it to the store. revision is that of the record that announced the change.
 func (g *Grant) Settle(record Record, revision int64) {
-	if revision > g.revision || revision == g.revision && !g.settled {
-		g.record, g.revision, g.settled = record, revision, true
+	if revision > g.revision || revision == g.revision && !g.isOutcome {
+		g.record, g.revision, g.isOutcome = record, revision, true
 	}
 }
 
 // Confirm records that a store call sent at that time returned no record newer than the
 // known one.
 func (g *Grant) Confirm(sent time.Duration) {
-	g.confirmed, g.heard = max(g.confirmed, sent), true
+	g.confirmedAt, g.storeAnswered = max(g.confirmedAt, sent), true
 }
 
 // Attest records that a quorum of instances, asked at that time, knew of no record newer
@@ -102,7 +102,7 @@
 // now.
 func (g *Grant) Attest(sent time.Duration, revision int64) {
 	if revision == g.revision {
-		g.attested = max(g.attested, sent)
+		g.attestedAt = max(g.attestedAt, sent)
 	}
 }
 
@@ -117,11 +117,11 @@
 // NewsSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
 func (g *Grant) NewsSince(revision int64) (News, bool) {
-	news := News{Released: g.released}
+	news := News{Released: g.releasedRevision}
 	if g.revision > revision {
-		news.Record, news.Revision, news.Settled = g.record, g.revision, g.settled
+		news.Record, news.Revision, news.Settled = g.record, g.revision, g.isOutcome
 	}
-	return news, g.revision > revision || g.released > revision
+	return news, g.revision > revision || g.releasedRevision > revision
 }
 
 // Hear applies what another instance knows.
@@ -139,7 +139,7 @@
 // Release ends the grants of all records before the one that announces a change, which has
 // this revision. That record itself grants nothing until the outcome of its change is
 // known.
-func (g *Grant) Release(revision int64) { g.released = max(g.released, revision) }
+func (g *Grant) Release(revision int64) { g.releasedRevision = max(g.releasedRevision, revision) }
 
 // Authority returns the primary that the instance may use, or an error that says why there
 // is none. Unless the grant is Confirmed, each answer of the primary must be verified
@@ -152,28 +152,28 @@
 		return Authority{}, fmt.Errorf("no primary is known")
 	case g.record.Change != nil:
 		return Authority{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
-	case g.revision < g.released:
+	case g.revision < g.releasedRevision:
 		return Authority{}, fmt.Errorf("the grant was released for a change of primary")
 	case g.Over(now):
-		return Authority{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmed)
+		return Authority{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmedAt)
 	}
 	return a, nil
 }
 
 // Usable reports whether Authority returns a primary instead of an error.
 func (g *Grant) Usable(now time.Duration) bool {
-	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.released && !g.Over(now)
+	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.releasedRevision && !g.Over(now)
 }
 
 // Confirmed reports whether it is certain that no other member has been promoted.
 func (g *Grant) Confirmed(now time.Duration) bool {
-	return g.heard && now-g.confirmed < StorelessValidity && now-max(g.confirmed, g.attested) < GrantValidity
+	return g.storeAnswered && now-g.confirmedAt < StorelessValidity && now-max(g.confirmedAt, g.attestedAt) < GrantValidity
 }
 
 // Over reports whether the grant has expired: the store has never answered this instance,
 // or its last answer is too old even for verified use of the primary.
 func (g *Grant) Over(now time.Duration) bool {
-	return !g.heard || !g.Confirmed(now) && now-g.confirmed >= VerifiableFor
+	return !g.storeAnswered || !g.Confirmed(now) && now-g.confirmedAt >= VerifiableFor
 }
 
 // Changing returns the change in progress, nil if there is none.
--- a/internal/lead/gate.go
+++ b/internal/lead/guard.go
@@ -11,27 +11,27 @@
 type Gate struct {
 	now func() time.Duration
 
-	mu      sync.Mutex // guards all fields below
-	grant   Grant
-	passes  map[*Pass]struct{}
-	changed chan struct{} // closed on each change of the grant
-	idle    chan struct{} // closed while no permit is held
-	lostAt  time.Duration // when the grant became unusable; meaningful while lost
-	lost    bool
+	mu            sync.Mutex // guards all fields below
+	grant         Grant
+	permits       map[*Pass]struct{}
+	changed       chan struct{} // closed on each change of the grant
+	idle          chan struct{} // closed while no permit is held
+	unusableSince time.Duration // when the grant became unusable; meaningful while unusable
+	unusable      bool
 }
 
 // NewGate returns a guard without a grant. now is a monotonic clock.
 func NewGate(now func() time.Duration) *Gate {
-	g := &Gate{now: now, passes: make(map[*Pass]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
+	g := &Gate{now: now, permits: make(map[*Pass]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
 	close(g.idle)
-	g.lost, g.lostAt = true, now()
+	g.unusable, g.unusableSince = true, now()
 	return g
 }
 
 // Pass is the permission for one piece of work to use the primary.
 type Pass struct {
 	Authority
-	gate    *Gate
+	guard   *Gate
 	abort   func()
 	aborted bool // guarded by gate.mu
 }
@@ -46,11 +46,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Pass{Authority: a, gate: g, abort: abort}
-	if len(g.passes) == 0 {
+	p := &Pass{Authority: a, guard: g, abort: abort}
+	if len(g.permits) == 0 {
 		g.idle = make(chan struct{})
 	}
-	g.passes[p] = struct{}{}
+	g.permits[p] = struct{}{}
 	return p, nil
 }
 
@@ -68,7 +68,7 @@
 // grant in progress does not change the result, because the release waits until the permit
 // is returned.
 func (p *Pass) Standing() Standing {
-	g := p.gate
+	g := p.guard
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch now := g.now(); {
@@ -86,14 +86,14 @@
 
 // Done returns the permit. Further calls have no effect.
 func (p *Pass) Done() {
-	g := p.gate
+	g := p.guard
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, held := g.passes[p]; !held {
+	if _, held := g.permits[p]; !held {
 		return
 	}
-	delete(g.passes, p)
-	if len(g.passes) == 0 {
+	delete(g.permits, p)
+	if len(g.permits) == 0 {
 		close(g.idle)
 	}
 }
@@ -117,10 +117,10 @@
 func (g *Gate) LostFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.lost {
+	if !g.unusable {
 		return 0
 	}
-	return g.now() - g.lostAt
+	return g.now() - g.unusableSince
 }
 
 // Record returns the latest known record of the group and its revision, 0 if there is none.
@@ -134,19 +134,19 @@
 // already known does not close the Changed channel: on each change in the store an instance
 // applies the records of all groups again.
 func (g *Gate) Learn(record Record, revision int64) {
-	if g.knows(revision) {
+	if g.isCurrent(revision) {
 		return
 	}
 	g.update(func(grant *Grant) { grant.Learn(record, revision) })
 }
 
-// knows reports whether the grant is usable and rests on the record with this revision or a
-// later one.
-func (g *Gate) knows(revision int64) bool {
+// isCurrent reports whether the grant is usable and rests on the record with this revision
+// or a later one.
+func (g *Gate) isCurrent(revision int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.noteLoss()
-	return !g.lost && revision <= g.grant.revision
+	g.updateUsability()
+	return !g.unusable && revision <= g.grant.revision
 }
 
 // Settle applies the outcome of a change that the leader published.
@@ -159,7 +159,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.grant.Confirm(sent)
-	g.noteLoss()
+	g.updateUsability()
 }
 
 // Attest records that a quorum of instances, asked at that time, knew of no record newer
@@ -168,7 +168,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.grant.Attest(sent, revision)
-	g.noteLoss()
+	g.updateUsability()
 }
 
 // NewsSince returns what this instance knows beyond the record with this revision, and
@@ -185,13 +185,13 @@
 	g.update(func(grant *Grant) { grant.Hear(n) })
 }
 
-// noteLoss updates lost and lostAt. The caller holds mu.
-func (g *Gate) noteLoss() {
+// updateUsability updates unusable and unusableSince. The caller holds mu.
+func (g *Gate) updateUsability() {
 	now := g.now()
 	if g.grant.Usable(now) {
-		g.lost = false
-	} else if !g.lost {
-		g.lost, g.lostAt = true, now
+		g.unusable = false
+	} else if !g.unusable {
+		g.unusable, g.unusableSince = true, now
 	}
 }
 
@@ -199,7 +199,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.grant)
-	g.noteLoss()
+	g.updateUsability()
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
@@ -235,7 +235,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a, err := g.grant.Authority(g.now())
-	for p := range g.passes {
+	for p := range g.permits {
 		if !p.aborted && (err != nil || a.Primary != p.Primary || a.Term != p.Term) {
 			p.aborted = true
 			go p.abort()
@@ -247,8 +247,8 @@
 // than drain. It must be called regularly.
 func (g *Gate) Enforce(drain time.Duration) {
 	g.mu.Lock()
-	g.noteLoss()
-	overdue := g.lost && len(g.passes) > 0 && g.now()-g.lostAt > drain
+	g.updateUsability()
+	overdue := g.unusable && len(g.permits) > 0 && g.now()-g.unusableSince > drain
 	g.mu.Unlock()
 	if overdue {
 		g.abortOutdated()
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -17,79 +17,79 @@
 // if it is dead. While the primary is healthy, checkHealth gives up the leadership if this
 // instance does not serve the group, and replaces a primary that is overloaded.
 func (c *Controller) checkHealth(ctx context.Context, group string, g *ledGroup, primary topology.Member) {
-	age, answered := c.around.Heard(primary.ID)
+	age, answered := c.env.Heard(primary.ID)
 	now := c.now()
-	if answered && age < probeAfter && !c.around.Doubtful(primary.ID) && c.connected(g, primary) {
-		g.refused, g.silent, g.doubtAt = 0, false, 0
-		if c.misplaced(group, g) {
-			c.stepAside(ctx, group, g)
+	if answered && age < probeAfter && !c.env.Doubtful(primary.ID) && c.probeConnOpen(g, primary) {
+		g.refusedInRow, g.unresponsive, g.unansweredSince = 0, false, 0
+		if c.shouldRelinquish(group, g) {
+			c.relinquish(ctx, group, g)
 			return
 		}
-		c.relieve(ctx, group, g, primary)
+		c.replaceOverloaded(ctx, group, g, primary)
 		return
 	}
-	if now-g.probedAt < probePause {
+	if now-g.probedAt < probeInterval {
 		return
 	}
 	g.probedAt = now
-	status, err := c.ask(ctx, g, primary)
-	switch verdict := judge(err); verdict {
-	case answers:
-		g.refused, g.silent, g.doubtAt = 0, false, 0
-		c.around.NoteAnswer(primary.ID)
+	status, err := c.probe(ctx, g, primary)
+	switch verdict := classifyProbe(err); verdict {
+	case probeAnswered:
+		g.refusedInRow, g.unresponsive, g.unansweredSince = 0, false, 0
+		c.env.NoteAnswer(primary.ID)
 		if err == nil && !status.Primary {
-			c.begin(ctx, group, g, "the primary does not lead any more", false)
+			c.startChange(ctx, group, g, "the primary does not lead any more", false)
 		}
 		return
-	case refuses:
-		g.refused++
-	case isSilent:
-		g.silent = true
+	case probeRefused:
+		g.refusedInRow++
+	case probeTimedOut:
+		g.unresponsive = true
 	}
-	if g.doubtAt == 0 {
-		g.doubtAt = now
+	if g.unansweredSince == 0 {
+		g.unansweredSince = now
 	}
-	age, answered = c.around.Heard(primary.ID)
-	if !dead(g.refused, g.silent, age, answered, now-g.takenAt) {
+	age, answered = c.env.Heard(primary.ID)
+	if !isDead(g.refusedInRow, g.unresponsive, age, answered, now-g.tookOverAt) {
 		return
 	}
-	if witness, elsewhere := c.witnessed(ctx, group, primary.ID, g.doubtAt); elsewhere {
-		c.log.WithFields(logrus.Fields{"group": group, "member": primary.ID, "witness": witness, "refused": g.refused}).
+	if witness, elsewhere := c.answeredElsewhere(ctx, group, primary.ID, g.unansweredSince); elsewhere {
+		c.log.WithFields(logrus.Fields{"group": group, "member": primary.ID, "witness": witness, "refused": g.refusedInRow}).
 			Info("lead: the primary does not answer here, but another instance hears it; it is not replaced")
 		return
 	}
 	reason := "the primary is silent"
-	if g.refused >= refusals {
+	if g.refusedInRow >= maxRefusedConnections {
 		reason = "the primary refuses connections"
 	}
-	c.begin(ctx, group, g, reason, false)
+	c.startChange(ctx, group, g, reason, false)
 }
 
-// verdict classifies the result of a probe.
-type verdict int
+// probeResult classifies the result of a probe.
+type probeResult int
 
 const (
-	answers verdict = iota
-	refuses
-	isSilent
+	probeAnswered probeResult = iota
+	probeRefused
+	probeTimedOut
 )
 
-// judge classifies the result of a probe. Any reply of the member counts as an answer, also
-// an error, unless another member replied.
-func judge(err error) verdict {
+// classifyProbe classifies the result of a probe. Any reply of the member counts as an
+// answer, also an error, unless another member replied.
+func classifyProbe(err error) probeResult {
 	var refusal *statement.Error
 	switch {
 	case err == nil:
-		return answers
+		return probeAnswered
 	case errors.As(err, &refusal):
 		if refusal.Code == statement.Misrouted {
-			return refuses // another member listens at the address
+			return probeRefused // another member listens at the address
 		}
-		return answers
+		return probeAnswered
 	case isTimeout(err):
-		return isSilent
+		return probeTimedOut
 	}
-	return refuses
+	return probeRefused
 }
 
 func isTimeout(err error) bool {
@@ -97,49 +97,49 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// dead reports whether a primary that did not answer a probe must be replaced: it refused
+// isDead reports whether a primary that did not answer a probe must be replaced: it refused
 // several connections in a row, or has been unresponsive for long enough.
-func dead(refused int, silent bool, sinceAnswer time.Duration, everAnswered bool, leaderFor time.Duration) bool {
-	if refused >= refusals {
+func isDead(refused int, silent bool, sinceAnswer time.Duration, everAnswered bool, leaderFor time.Duration) bool {
+	if refused >= maxRefusedConnections {
 		return true
 	}
 	if !everAnswered {
 		sinceAnswer = leaderFor // it never answered: count from when this instance became leader
 	}
-	return silent && sinceAnswer >= silence
+	return silent && sinceAnswer >= unresponsiveTimeout
 }
 
-// ask requests the primary's status on the controller's own connection, which it opens if
+// probe requests the primary's status on the controller's own connection, which it opens if
 // needed.
-func (c *Controller) ask(ctx context.Context, g *ledGroup, m topology.Member) (member.Status, error) {
+func (c *Controller) probe(ctx context.Context, g *ledGroup, m topology.Member) (member.Status, error) {
 	deadline := time.Now().Add(probeTimeout)
-	if !c.connected(g, m) {
-		c.hangUp(g)
+	if !c.probeConnOpen(g, m) {
+		c.closeProbeConn(g)
 		dialCtx, cancel := context.WithDeadline(ctx, deadline)
 		defer cancel()
 		conn, err := c.dialer.Dial(dialCtx, m, account.Anonymous)
 		if err != nil {
 			return member.Status{}, err
 		}
-		g.conn, g.connTo = conn, m.ID
+		g.probeConn, g.probeConnMember = conn, m.ID
 	}
-	status, err := g.conn.Status(deadline)
+	status, err := g.probeConn.Status(deadline)
 	if errors.Is(err, member.ErrBroken) {
-		c.hangUp(g)
+		c.closeProbeConn(g)
 	}
 	return status, err
 }
 
-// connected reports whether the controller's own connection to the primary is open. When
+// probeConnOpen reports whether the controller's own connection to the primary is open. When
 // the primary's process ends, the connection breaks at once, without a statement being
 // sent.
-func (c *Controller) connected(g *ledGroup, m topology.Member) bool {
-	return g.conn != nil && g.connTo == m.ID && g.conn.Silent()
+func (c *Controller) probeConnOpen(g *ledGroup, m topology.Member) bool {
+	return g.probeConn != nil && g.probeConnMember == m.ID && g.probeConn.Silent()
 }
 
-func (c *Controller) hangUp(g *ledGroup) {
-	if g.conn != nil {
-		g.conn.Close()
-		g.conn = nil
+func (c *Controller) closeProbeConn(g *ledGroup) {
+	if g.probeConn != nil {
+		g.probeConn.Close()
+		g.probeConn = nil
 	}
 }
--- a/internal/lead/ask.go
+++ b/internal/lead/member_query.go
@@ -15,21 +15,21 @@
 	return c.dialer.Dial(ctx, m, account.Anonymous)
 }
 
-// found is a member and the status that it reported.
-type found struct {
+// memberStatus is a member and the status that it reported.
+type memberStatus struct {
 	member topology.Member
 	status member.Status
 }
 
-// askAll requests the status of members concurrently and returns those that answered. Once
-// all others have answered or failed, a suspect, which may be dead, gets only suspectGrace
-// more.
-func (c *Controller) askAll(ctx context.Context, members []topology.Member, suspect string) []found {
+// queryMembers requests the status of members concurrently and returns those that answered.
+// Once all others have answered or failed, a suspect, which may be dead, gets only
+// suspectGrace more.
+func (c *Controller) queryMembers(ctx context.Context, members []topology.Member, suspect string) []memberStatus {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type reply struct {
 		memberID string
-		status   *found
+		status   *memberStatus
 	}
 	replies := make(chan reply, len(members))
 	othersPending := 0
@@ -37,9 +37,9 @@
 		if m.ID != suspect {
 			othersPending++
 		}
-		go func() { replies <- reply{memberID: m.ID, status: c.askOne(ctx, m)} }()
+		go func() { replies <- reply{memberID: m.ID, status: c.queryMember(ctx, m)} }()
 	}
-	var answered []found
+	var answered []memberStatus
 	var grace <-chan time.Time
 	for pending := len(members); pending > 0; pending-- {
 		select {
@@ -60,12 +60,12 @@
 	return answered
 }
 
-// suspectGrace is how much longer askAll waits for a suspect: several round trips between
-// data centres.
+// suspectGrace is how much longer queryMembers waits for a suspect: several round trips
+// between data centres.
 const suspectGrace = 20 * time.Millisecond
 
-// askOne returns the status of a member, nil if it does not answer.
-func (c *Controller) askOne(ctx context.Context, m topology.Member) *found {
+// queryMember returns the status of a member, nil if it does not answer.
+func (c *Controller) queryMember(ctx context.Context, m topology.Member) *memberStatus {
 	conn, err := c.connect(ctx, m)
 	if err != nil {
 		c.log.WithField("member", m.ID).WithError(err).Info("lead: could not get the status of a member")
@@ -77,5 +77,5 @@
 		c.log.WithField("member", m.ID).WithError(err).Info("lead: could not get the status of a member")
 		return nil
 	}
-	return &found{member: m, status: status}
+	return &memberStatus{member: m, status: status}
 }
--- a/internal/lead/relieve_test.go
+++ b/internal/lead/overload_test.go
@@ -12,7 +12,7 @@
 
 // An overloaded primary that serves its group alone is replaced by a replica, but only by
 // one that has received the log.
-func TestRelieve(t *testing.T) {
+func TestReplaceOverloadedPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
 		alone  bool
 		behind time.Duration
@@ -21,23 +21,23 @@
 	}{
 		"alone, with a replica at the log's end": {true, 0, func(*ledGroup) {}, true},
 		"replicas can serve reads":               {false, 0, func(*ledGroup) {}, false},
-		"no replica has received the log":        {true, mostBehind + 1, func(*ledGroup) {}, false},
+		"no replica has received the log":        {true, maxCandidateLag + 1, func(*ledGroup) {}, false},
 		"the replica lag is unknown":             {true, -1, func(*ledGroup) {}, false},
-		"replaced for this reason a moment ago":  {true, 0, func(g *ledGroup) { g.relievedAt = 1 }, false},
+		"replaced for this reason a moment ago":  {true, 0, func(g *ledGroup) { g.overloadChangeAt = 1 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := memstore.New()
 			leader, around := newController(t, "a", store.Client())
 			clock := time.Minute
 			leader.now = func() time.Duration { return clock }
-			g := led(t, leader, around, store)
-			around.alone, around.behind = c.alone, c.behind
+			g := newLeader(t, leader, around, store)
+			around.overloaded, around.replicaLag = c.alone, c.behind
 			c.before(g)
-			if g.relievedAt > 0 {
-				g.relievedAt = clock - reliefPause + 1
+			if g.overloadChangeAt > 0 {
+				g.overloadChangeAt = clock - overloadChangeInterval + 1
 			}
-			primary, _ := around.snap.Member("m1")
-			leader.relieve(t.Context(), "g", g, primary)
+			primary, _ := around.topology.Member("m1")
+			leader.replaceOverloaded(t.Context(), "g", g, primary)
 			around.refresh(t, store.Client())
 			record, _ := around.view.Record("g")
 			must.Eq(t, c.want, record.Primary == "m2")
@@ -47,26 +47,26 @@
 
 // An overloaded primary is not replaced if the change would have to wait for an unreachable
 // instance.
-func TestRelieveWaitsForNobody(t *testing.T) {
+func TestOverloadedPrimaryStaysWhileInstanceIsUnreachable(t *testing.T) {
 	store := memstore.New()
 	leader, around := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	g := led(t, leader, around, store)
+	g := newLeader(t, leader, around, store)
 	_, err := store.Client().Commit(t.Context(), around.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, around.lease))
 	must.NoError(t, err)
 	around.refresh(t, store.Client())
-	around.alone = true
-	primary, _ := around.snap.Member("m1")
-	leader.relieve(t.Context(), "g", g, primary)
+	around.overloaded = true
+	primary, _ := around.topology.Member("m1")
+	leader.replaceOverloaded(t.Context(), "g", g, primary)
 	around.refresh(t, store.Client())
 	record, _ := around.view.Record("g")
 	must.Eq(t, "m1", record.Primary)
 	must.Nil(t, record.Change)
 }
 
-// led makes a controller the leader of group g and has it find the primary.
-func led(t *testing.T, c *Controller, around *fixture, store *memstore.Store) *ledGroup {
+// newLeader makes a controller the leader of group g and has it find the primary.
+func newLeader(t *testing.T, c *Controller, around *fakeEnvironment, store *memstore.Store) *ledGroup {
 	g := &ledGroup{}
 	c.takeOver(t.Context(), "g", g)
 	around.refresh(t, store.Client())
@@ -83,14 +83,14 @@
 func TestStepDownDoesNotEndGrants(t *testing.T) {
 	store := memstore.New()
 	leader, around := newController(t, "a", store.Client())
-	led(t, leader, around, store)
+	newLeader(t, leader, around, store)
 	revision, err := store.Client().Commit(t.Context(), around.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, around.lease))
 	must.NoError(t, err)
 	around.refresh(t, store.Client())
 	ctx, cancel := context.WithTimeout(t.Context(), plannedDrain+2*releaseTimeout)
 	defer cancel()
 	record, _ := around.gate.Record()
-	cleared := leader.clearGrants(ctx, "g", revision, Change{ID: "x", Planned: true}, record, leader.now())
-	must.False(t, cleared.done)
-	must.False(t, cleared.stays)
+	cleared := leader.endGrants(ctx, "g", revision, Change{ID: "x", Planned: true}, record, leader.now())
+	must.False(t, cleared.ended)
+	must.False(t, cleared.primaryStays)
 }
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -2,104 +2,125 @@
 
 import (
 	"context"
-	"fmt"
 	"sync"
 	"time"
 
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
+	"github.com/sirupsen/logrus"
 
 	"github.com/stackspindle/stackspindle/internal/lead/leadpb"
 )
 
-// Server answers the coordination calls of other instances. It implements
-// leadpb.CoordinationServer.
-type Server struct {
-	leadpb.UnimplementedCoordinationServer
-	incarnation string
-	gates       func(group string) *Gate
-	informed    func() bool
-	now         func() time.Duration // monotonic, since the process started
-	heard       func(member string) (time.Duration, bool)
-
-	mu       sync.Mutex               // guards attested
-	attested map[string]time.Duration // when an instance last requested an attestation, by name
-}
-
-// NewServer returns the server of a process. gates returns the guard of a group, informed
-// whether the process has read the store, now the time since the process started, and heard
-// how long ago a member last answered, if it ever did.
-func NewServer(incarnation string, gates func(group string) *Gate, informed func() bool, now func() time.Duration, heard func(member string) (time.Duration, bool)) *Server {
-	return &Server{incarnation: incarnation, gates: gates, informed: informed, now: now, heard: heard, attested: make(map[string]time.Duration)}
+// forEachConcurrently calls f concurrently for all instances and returns when all calls
+// have returned.
+func forEachConcurrently(instances []Instance, f func(Instance)) {
+	var wg sync.WaitGroup
+	for _, instance := range instances {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			f(instance)
+		}()
+	}
+	wg.Wait()
 }
 
-// Release implements leadpb.CoordinationServer. Its reply says how long ago this process
-// attested which instance, so that the leader knows until when their grants may be
-// confirmed.
-func (s *Server) Release(ctx context.Context, req *leadpb.ReleaseRequest) (*leadpb.ReleaseReply, error) {
-	if err := s.gates(req.Group).Release(ctx, req.Revision, time.Duration(req.DrainUs)*time.Microsecond); err != nil {
+func (c *Controller) client(address string) (leadpb.CoordinationClient, error) {
+	conn, err := c.peers.Get(address)
+	if err != nil {
 		return nil, err
 	}
-	reply := &leadpb.ReleaseReply{Incarnation: s.incarnation, UptimeUs: s.now().Microseconds(), AttestedUs: make(map[string]int64)}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for name, at := range s.attested {
-		reply.AttestedUs[name] = (s.now() - at).Microseconds()
-	}
-	return reply, nil
+	return leadpb.NewCoordinationClient(conn), nil
 }
 
-// Witness implements leadpb.CoordinationServer.
-func (s *Server) Witness(_ context.Context, req *leadpb.WitnessRequest) (*leadpb.WitnessReply, error) {
-	age, ever := s.heard(req.Member)
-	return &leadpb.WitnessReply{Heard: ever, AgeUs: age.Microseconds()}, nil
+// callOthers makes a call to each of the instances except this one, concurrently, and
+// returns when all calls have returned.
+func (c *Controller) callOthers(instances []Instance, call func(Instance, leadpb.CoordinationClient) error) {
+	forEachConcurrently(instances, func(instance Instance) {
+		if instance.Name == c.self.Name {
+			return
+		}
+		client, err := c.client(instance.Address)
+		if err == nil {
+			err = call(instance, client)
+		}
+		if err != nil {
+			c.log.WithField("instance", instance.Name).WithError(err).Debug("lead: the call to another instance failed")
+		}
+	})
 }
 
-// Attest implements leadpb.CoordinationServer. It fails until the process has read the
-// store.
-func (s *Server) Attest(_ context.Context, req *leadpb.AttestRequest) (*leadpb.AttestReply, error) {
-	if !s.informed() {
-		return nil, errUninformed
-	}
-	s.mu.Lock()
-	s.attested[req.From] = s.now()
-	s.mu.Unlock()
-	reply := &leadpb.AttestReply{}
-	for _, known := range req.Known {
-		if news, newer := s.gates(known.Group).NewsSince(known.Revision); newer {
-			reply.News = append(reply.News, encodeNews(known.Group, news))
+// publish sends the outcome of a change to all instances that serve the group, before it is
+// in the store. Other instances do not need it at once, and read it from the store later.
+func (c *Controller) publish(ctx context.Context, group string, out *outcome) {
+	c.env.Gate(group).Settle(out.record, out.revision)
+	req := &leadpb.PublishRequest{Group: group, Revision: out.revision, Record: encode(out.record)}
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
+	defer cancel()
+	c.callOthers(c.env.Users(group), func(instance Instance, client leadpb.CoordinationClient) error {
+		_, err := client.Publish(ctx, req)
+		if err != nil {
+			c.log.WithFields(logrus.Fields{"group": group, "instance": instance.Name}).WithError(err).
+				Info("lead: could not publish the new primary to an instance; it will read it from the store")
 		}
-	}
-	return reply, nil
+		return err
+	})
 }
 
-func encodeNews(group string, n News) *leadpb.GroupNews {
-	news := &leadpb.GroupNews{Group: group, Revision: n.Revision, Settled: n.Settled, Released: n.Released}
-	if n.Revision > 0 {
-		news.Record = encode(n.Record)
-	}
-	return news
+// surveyResult counts the registered instances by whether a change of primary would have to
+// wait for them.
+type surveyResult struct {
+	answered       int // registered instances that answer, including this one
+	releasesNeeded int // releases after which no grant can be attested any more
+	unresponsive   int // instances that do not answer although their leases are valid
+	lapsing        int // instances whose leases are gone but whose grants have not lapsed yet
 }
 
-func decodeNews(news *leadpb.GroupNews) (News, error) {
-	n := News{Revision: news.Revision, Settled: news.Settled, Released: news.Released}
-	if n.Revision == 0 {
-		return n, nil
-	}
-	var err error
-	n.Record, err = decode[Record](news.Record)
-	return n, err
-}
+// possibleHolders returns how many instances that do not answer may still hold grants.
+func (s surveyResult) possibleHolders() int { return s.unresponsive + s.lapsing }
 
-// errUninformed refuses an attestation.
-var errUninformed = status.Error(codes.FailedPrecondition, "the instance has not read the store yet")
+// survey calls all registered instances to see which of them answer.
+func (c *Controller) survey(ctx context.Context) surveyResult {
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
+	defer cancel()
+	view, now := c.env.View(), c.now()
+	registered := view.Registered(now)
+	s := surveyResult{answered: 1, releasesNeeded: ReleaseQuorum(len(registered), view.Joined(now))}
+	var mu sync.Mutex // guards s
+	c.callOthers(registered, func(instance Instance, client leadpb.CoordinationClient) error {
+		_, err := client.Witness(ctx, &leadpb.WitnessRequest{})
+		entry, _ := view.Entry(now, instance.Name)
+		since, gone := view.MissingSince(entry)
+		mu.Lock()
+		defer mu.Unlock()
+		switch {
+		case err == nil:
+			s.answered++
+		case !gone:
+			s.unresponsive++
+		case now-since < grantLapseTime:
+			s.lapsing++
+		}
+		return err
+	})
+	return s
+}
 
-// Publish implements leadpb.CoordinationServer.
-func (s *Server) Publish(_ context.Context, req *leadpb.PublishRequest) (*leadpb.PublishReply, error) {
-	record, err := decode[Record](req.Record)
-	if err != nil {
-		return nil, fmt.Errorf("record of group %s: %w", req.Group, err)
-	}
-	s.gates(req.Group).Settle(record, req.Revision)
-	return &leadpb.PublishReply{}, nil
+// answeredElsewhere asks the other instances that serve a group whether a member has
+// answered one of them after it first failed to answer this instance, at since. It returns
+// the name of one such instance.
+func (c *Controller) answeredElsewhere(ctx context.Context, group, id string, since time.Duration) (string, bool) {
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
+	defer cancel()
+	others := c.env.Users(group)
+	names := make(chan string, len(others))
+	c.callOthers(others, func(instance Instance, client leadpb.CoordinationClient) error {
+		reply, err := client.Witness(ctx, &leadpb.WitnessRequest{Member: id})
+		if err == nil && reply.Heard && time.Duration(reply.AgeUs)*time.Microsecond < c.now()-since {
+			names <- instance.Name
+		}
+		return err
+	})
+	close(names)
+	name, ok := <-names
+	return name, ok
 }
--- a/internal/lead/planned_test.go
+++ b/internal/lead/planned_change_test.go
@@ -17,31 +17,31 @@
 // A draining primary still serves, but once a change is announced its group has no primary.
 // Whatever the change would have to wait for must therefore be awaited before the
 // announcement.
-func TestPutOff(t *testing.T) {
+func TestPostponePlannedChange(t *testing.T) {
 	const patience = 4 * time.Second
 	for name, c := range map[string]struct {
-		s         survey
+		s         surveyResult
 		waited    time.Duration
 		postponed bool
 	}{
-		"all instances answer":                                  {survey{answered: 9, needed: 6}, 0, false},
-		"fewer than needed answer":                              {survey{answered: 5, needed: 6, silent: 4}, time.Hour, true},
-		"one has no lease and its grant has not lapsed":         {survey{answered: 8, needed: 6, lapsing: 1}, patience - 1, true},
-		"one has no lease and no patience is left":              {survey{answered: 8, needed: 6, lapsing: 1}, patience, false},
-		"one is unresponsive and its lease is valid":            {survey{answered: 8, needed: 6, silent: 1}, silentTimeout - 1, true},
-		"one is unresponsive for long enough to have restarted": {survey{answered: 8, needed: 6, silent: 1}, silentTimeout, false},
-		"one is unresponsive for long enough, one has no lease": {survey{answered: 7, needed: 6, silent: 1, lapsing: 1}, silentTimeout, true},
+		"all instances answer":                                  {surveyResult{answered: 9, releasesNeeded: 6}, 0, false},
+		"fewer than needed answer":                              {surveyResult{answered: 5, releasesNeeded: 6, unresponsive: 4}, time.Hour, true},
+		"one has no lease and its grant has not lapsed":         {surveyResult{answered: 8, releasesNeeded: 6, lapsing: 1}, patience - 1, true},
+		"one has no lease and no patience is left":              {surveyResult{answered: 8, releasesNeeded: 6, lapsing: 1}, patience, false},
+		"one is unresponsive and its lease is valid":            {surveyResult{answered: 8, releasesNeeded: 6, unresponsive: 1}, unresponsivePostponement - 1, true},
+		"one is unresponsive for long enough to have restarted": {surveyResult{answered: 8, releasesNeeded: 6, unresponsive: 1}, unresponsivePostponement, false},
+		"one is unresponsive for long enough, one has no lease": {surveyResult{answered: 7, releasesNeeded: 6, unresponsive: 1, lapsing: 1}, unresponsivePostponement, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			must.Eq(t, c.postponed, postponedBecause(c.s, c.waited, patience) != "")
+			must.Eq(t, c.postponed, postponeReason(c.s, c.waited, patience) != "")
 		})
 	}
-	must.Eq(t, "", postponedBecause(survey{answered: 8, needed: 6, silent: 1, lapsing: 1}, 0, -time.Second),
+	must.Eq(t, "", postponeReason(surveyResult{answered: 8, releasesNeeded: 6, unresponsive: 1, lapsing: 1}, 0, -time.Second),
 		must.Sprint("no postponement if work on the primary must end at once"))
 }
 
-// gone registers an instance that cannot be reached and whose lease has ended.
-func gone(t *testing.T, store *memstore.Store, around *fixture, instance Instance) {
+// registerUnreachable registers an instance that cannot be reached and whose lease has ended.
+func registerUnreachable(t *testing.T, store *memstore.Store, around *fakeEnvironment, instance Instance) {
 	lease, err := store.Client().Grant(t.Context(), time.Second)
 	must.NoError(t, err)
 	_, err = store.Client().Commit(t.Context(), around.view.Registration(instance, lease.ID))
@@ -54,24 +54,24 @@
 // replaced as planned. The primary must serve until the missing instance's grant has lapsed
 // and must be replaced then, although the leader has known the other members for less time
 // than an instance may use an unconfirmed grant.
-func TestPlannedChangeBesideAnInstanceThatIsGone(t *testing.T) {
+func TestPlannedChangeWaitsForLapsingGrant(t *testing.T) {
 	store := memstore.New()
 	leader, around := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	leader.own.now = leader.now
-	g := led(t, leader, around, store)
-	gone(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1", Seen: 7})
-	around.view.missing["b"] = clock
+	leader.server.now = leader.now
+	g := newLeader(t, leader, around, store)
+	registerUnreachable(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1", Seen: 7})
+	around.view.missingSince["b"] = clock
 	around.membersSince(clock, 7)
 
-	leader.begin(t.Context(), "g", g, "the primary drains", true)
+	leader.startChange(t.Context(), "g", g, "the primary drains", true)
 	record, _ := around.gate.Record()
 	must.Nil(t, record.Change, must.Sprint("the grant of the instance without a lease has not lapsed"))
 	must.Eq(t, "m1", record.Primary)
 
-	clock += grantsLapsed
-	leader.begin(t.Context(), "g", g, "the primary drains", true)
+	clock += grantLapseTime
+	leader.startChange(t.Context(), "g", g, "the primary drains", true)
 	record, _ = around.gate.Record()
 	must.Nil(t, record.Change)
 	must.Eq(t, "m2", record.Primary)
@@ -79,7 +79,7 @@
 
 // Guards against a group that loses a serving primary without a successor: the primary must
 // be told to step down only if another member can be promoted.
-func TestNoStepDownWithoutASuccessor(t *testing.T) {
+func TestNoStepDownWithoutSuccessor(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen int64
 		want bool
@@ -93,13 +93,13 @@
 			leader, around := newController(t, "a", store.Client())
 			clock := time.Minute
 			leader.now = func() time.Duration { return clock }
-			led(t, leader, around, store)
+			newLeader(t, leader, around, store)
 			since := clock
 			if c.seen < 0 {
-				since -= verifiableLapsed + 1
+				since -= unconfirmedUseLapseTime + 1
 			}
 			around.membersSince(since, 7)
-			cleared := clearing{done: true, unreached: true, seen: max(0, c.seen)}
+			cleared := grantsOutcome{ended: true, unreachable: true, seenRevision: max(0, c.seen)}
 			must.Eq(t, c.want, leader.hasSuccessor("g", "m1", cleared))
 			must.Eq(t, "m1", leader.dialer.(*membergroup.Group).Primary())
 		})
@@ -109,64 +109,64 @@
 // The member with the longest log may be promoted only if each unreachable instance knows
 // it and so asks it during verification. A member whose entry has been unchanged since all
 // of them read it is known to them, no matter how short a time the leader has known it.
-func TestSelectByWhatOthersHaveSeen(t *testing.T) {
-	member := func(id string, revision int64, index uint64) found {
+func TestSelectByRevisionSeenByUnreachableInstances(t *testing.T) {
+	member := func(id string, revision int64, index uint64) memberStatus {
 		f := replica(id, index)
 		f.member = topology.Member{ID: id, Since: 9, Revision: revision}
 		return f
 	}
 	s := Selection{Old: "old", Term: 1, Replicas: 2, Unreached: true, KnownBefore: 8, Seen: 20, Last: group.Position{}}
-	got, decided := Select([]found{member("a", 20, 3), member("b", 21, 5)}, s)
+	got, decided := Select([]memberStatus{member("a", 20, 3), member("b", 21, 5)}, s)
 	must.True(t, decided)
 	must.Eq(t, "a", got.member.ID)
-	_, decided = Select([]found{member("b", 21, 5), member("c", 0, 6)}, s)
+	_, decided = Select([]memberStatus{member("b", 21, 5), member("c", 0, 6)}, s)
 	must.False(t, decided, must.Sprint("one entry was written later, the other at an unknown revision"))
 }
 
 // Of several unreachable instances the lowest seen revision decides. An instance that has
 // been without a lease for so long that it may use no primary any more does not count.
-func TestWhatThoseHaveSeenThatWereNotReached(t *testing.T) {
+func TestLowestRevisionSeenByUnreachableInstances(t *testing.T) {
 	const announced = time.Minute
-	r := &release{announced: announced}
-	_, left := r.unreached()
+	r := &grantRelease{announced: announced}
+	_, left := r.unreleased()
 	must.False(t, left)
-	r.leave(announced+grantsLapsed, announced-verifiableLapsed, 3)
-	_, left = r.unreached()
+	r.addUnreleased(announced+grantLapseTime, announced-unconfirmedUseLapseTime, 3)
+	_, left = r.unreleased()
 	must.False(t, left, must.Sprint("it has been without a lease for too long to use any primary"))
 	for _, seen := range []int64{9, 5, 7} {
-		r.leave(announced+grantsLapsed, 0, seen)
+		r.addUnreleased(announced+grantLapseTime, 0, seen)
 	}
-	seen, left := r.unreached()
+	seen, left := r.unreleased()
 	must.True(t, left)
 	must.Eq(t, 5, seen)
-	r.leave(announced+grantsLapsed, 0, 0)
-	seen, _ = r.unreached()
+	r.addUnreleased(announced+grantLapseTime, 0, 0)
+	seen, _ = r.unreleased()
 	must.Zero(t, seen, must.Sprint("one of them reports no seen revision"))
 }
 
 // The old primary must not be told to step down while there is no possible successor. Here
 // an unreachable instance reports no seen revision and may not know the other member.
-func TestChangeWithoutASuccessorLeavesThePrimary(t *testing.T) {
+func TestChangeWithoutSuccessorKeepsPrimary(t *testing.T) {
 	store := memstore.New()
 	leader, around := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	g := led(t, leader, around, store)
-	gone(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"})
-	around.view.missing["b"] = clock
+	g := newLeader(t, leader, around, store)
+	registerUnreachable(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"})
+	around.view.missingSince["b"] = clock
 	around.membersSince(time.Hour, 7)
 	record, revision := around.gate.Record()
 	change := Change{ID: "x", Planned: true}
 	record.Change = &change
 	_, err := leader.write(t.Context(), "g", g, record, revision)
 	must.NoError(t, err)
-	leader.own.now = func() time.Duration { return clock - time.Millisecond }
+	leader.server.now = func() time.Duration { return clock - time.Millisecond }
 	var ticks atomic.Int64
 	leader.now = func() time.Duration { return clock + time.Duration(ticks.Add(1))*100*time.Millisecond }
-	_, err = leader.carryOut(t.Context(), "g", g, change)
+	_, err = leader.executeChange(t.Context(), "g", g, change)
 	must.ErrorIs(t, err, errNoCandidate)
 	must.SliceEmpty(t, leader.promoter.(*membergroup.Group).Promotions())
-	primary, _ := around.snap.Member("m1")
+	primary, _ := around.topology.Member("m1")
 	conn, err := leader.dialer.Dial(t.Context(), primary, account.Anonymous)
 	must.NoError(t, err)
 	defer conn.Close()
@@ -177,21 +177,21 @@
 
 // An unresponsive instance postpones a planned change for a limited time only. The limit
 // starts again if the change has not been considered for a while.
-func TestPuttingOffEnds(t *testing.T) {
+func TestPostponementIsLimited(t *testing.T) {
 	store := memstore.New()
 	leader, around := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	g := led(t, leader, around, store)
+	g := newLeader(t, leader, around, store)
 	_, err := store.Client().Commit(t.Context(), around.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, around.lease))
 	must.NoError(t, err)
 	around.refresh(t, store.Client())
-	around.view.joined["b"] = 0
+	around.view.joinedAt["b"] = 0
 	due := func() bool { return leader.mayAnnounce(t.Context(), g, leader.log) }
 	must.False(t, due())
-	clock += plannedPause
+	clock += plannedCheckInterval
 	must.False(t, due())
-	clock += silentTimeout - plannedPause
+	clock += unresponsivePostponement - plannedCheckInterval
 	must.True(t, due(), must.Sprint("unresponsive for longer than the limit"))
 	must.False(t, due(), must.Sprint("considered again too soon"))
 	clock += time.Minute
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -106,5 +106,5 @@
 	return v, err
 }
 
-// keyOf returns the key without the prefix, and whether the key had it.
-func keyOf(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
+// trimKeyPrefix returns the key without the prefix, and whether the key had it.
+func trimKeyPrefix(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
--- a/internal/lead/record_test.go
+++ b/internal/lead/record_test.go
@@ -10,7 +10,7 @@
 
 // An entry without a capacity must equal that of a version that does not know the field,
 // and an entry with a capacity must survive a round trip.
-func TestRegistrationWithAndWithoutStrength(t *testing.T) {
+func TestRegistrationWithAndWithoutCapacity(t *testing.T) {
 	plain := Instance{Name: "i", Incarnation: "x", Address: "10.0.0.1:1", DataCentre: "a"}
 	must.Eq(t, `{"name":"i","incarnation":"x","address":"10.0.0.1:1","data_centre":"a"}`, string(encode(plain)))
 	strong := plain
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -13,33 +13,33 @@
 // registry is the part of a View about instances. Views that differ only in groups share
 // it.
 type registry struct {
-	instances map[string]held[Instance] // entries by name
-	alive     map[string]string         // incarnation by name, of instances whose lease is valid
-	living    []Instance                // the alive instances that are registered, ordered by name
-	missing   map[string]time.Duration  // when a registered name was first seen without a valid lease
-	joined    map[string]time.Duration  // when a registered name was first seen
-	began     time.Duration             // when the first snapshot was applied; meaningful once joined is not empty
+	instances         map[string]versioned[Instance] // entries by name
+	aliveIncarnations map[string]string              // incarnation by name, of instances whose lease is valid
+	aliveInstances    []Instance                     // the alive instances that are registered, ordered by name
+	missingSince      map[string]time.Duration       // when a registered name was first seen without a valid lease
+	joinedAt          map[string]time.Duration       // when a registered name was first seen
+	followedSince     time.Duration                  // when the first snapshot was applied; meaningful once joinedAt is not empty
 }
 
 func newRegistry() *registry {
 	return &registry{
-		instances: make(map[string]held[Instance]), alive: make(map[string]string),
-		missing: make(map[string]time.Duration), joined: make(map[string]time.Duration),
+		instances: make(map[string]versioned[Instance]), aliveIncarnations: make(map[string]string),
+		missingSince: make(map[string]time.Duration), joinedAt: make(map[string]time.Duration),
 	}
 }
 
 func (r *registry) clone() *registry {
 	return &registry{
-		instances: maps.Clone(r.instances), alive: maps.Clone(r.alive), living: r.living,
-		missing: maps.Clone(r.missing), joined: maps.Clone(r.joined), began: r.began,
+		instances: maps.Clone(r.instances), aliveIncarnations: maps.Clone(r.aliveIncarnations), aliveInstances: r.aliveInstances,
+		missingSince: maps.Clone(r.missingSince), joinedAt: maps.Clone(r.joinedAt), followedSince: r.followedSince,
 	}
 }
 
-// emptied returns a registry without instances that keeps the times in missing and joined.
-func (r *registry) emptied() *registry {
+// withoutInstances returns a registry without instances that keeps missingSince and joinedAt.
+func (r *registry) withoutInstances() *registry {
 	next := r.clone()
 	clear(next.instances)
-	clear(next.alive)
+	clear(next.aliveIncarnations)
 	return next
 }
 
@@ -47,23 +47,24 @@
 // differ between them.
 func (v *View) SameInstances(other *View) bool { return v.registry == other.registry }
 
-// note updates joined and missing for the given names, and the list of alive instances.
-func (r *registry) note(now time.Duration, names map[string]struct{}) {
-	r.living = r.listAlive()
-	if len(r.joined) == 0 {
-		r.began = now
+// updateTimes updates joinedAt and missingSince for the given names, and the list of alive
+// instances.
+func (r *registry) updateTimes(now time.Duration, names map[string]struct{}) {
+	r.aliveInstances = r.listAlive()
+	if len(r.joinedAt) == 0 {
+		r.followedSince = now
 	}
 	for name := range names {
 		_, known := r.instances[name]
-		_, isAlive := r.alive[name]
-		noteSince(r.joined, name, now, known)
-		noteSince(r.missing, name, now, known && !isAlive)
+		_, isAlive := r.aliveIncarnations[name]
+		trackSince(r.joinedAt, name, now, known)
+		trackSince(r.missingSince, name, now, known && !isAlive)
 	}
 }
 
-// noteSince sets since[name] to now if the condition has just begun to hold, and deletes it
+// trackSince sets since[name] to now if the condition has just begun to hold, and deletes it
 // if it does not hold.
-func noteSince(since map[string]time.Duration, name string, now time.Duration, holds bool) {
+func trackSince(since map[string]time.Duration, name string, now time.Duration, holds bool) {
 	_, noted := since[name]
 	switch {
 	case !holds:
@@ -80,16 +81,18 @@
 }
 
 // IsAlive reports whether the lease of this process is valid.
-func (r *registry) IsAlive(name, incarnation string) bool { return r.alive[name] == incarnation }
+func (r *registry) IsAlive(name, incarnation string) bool {
+	return r.aliveIncarnations[name] == incarnation
+}
 
 // Alive returns the registered instances whose lease is valid, ordered by name. The caller
 // must not modify the slice.
-func (r *registry) Alive() []Instance { return r.living }
+func (r *registry) Alive() []Instance { return r.aliveInstances }
 
 // listAlive returns the registered instances whose lease is valid, ordered by name.
 func (r *registry) listAlive() []Instance {
-	alive := make([]Instance, 0, len(r.alive))
-	for name := range r.alive {
+	alive := make([]Instance, 0, len(r.aliveIncarnations))
+	for name := range r.aliveIncarnations {
 		if h, ok := r.instances[name]; ok {
 			alive = append(alive, h.value)
 		}
@@ -107,7 +110,7 @@
 // Entry returns the entry of an instance, and whether it may hold grants.
 func (r *registry) Entry(now time.Duration, name string) (Entry, bool) {
 	h, known := r.instances[name]
-	return Entry{Instance: h.value, revision: h.revision}, known && !r.lapsed(now, name)
+	return Entry{Instance: h.value, revision: h.revision}, known && !r.hasLapsed(now, name)
 }
 
 // Entries returns the entries of all instances that may hold grants.
@@ -121,12 +124,12 @@
 	return entries
 }
 
-// lapsed reports whether an instance has been without a lease for so long that its grants
+// hasLapsed reports whether an instance has been without a lease for so long that its grants
 // have lapsed: since its lease ended no answer of the store has confirmed them, and
 // attestations can replace the store only for StorelessValidity.
-func (r *registry) lapsed(now time.Duration, name string) bool {
-	since, missing := r.missing[name]
-	return missing && now-since > storelessLapsed
+func (r *registry) hasLapsed(now time.Duration, name string) bool {
+	since, missing := r.missingSince[name]
+	return missing && now-since > attestedUseLapseTime
 }
 
 // Registered returns all instances that may hold grants.
@@ -141,29 +144,29 @@
 // CountRegistered returns how many instances may hold grants.
 func (r *registry) CountRegistered(now time.Duration) int {
 	count := len(r.instances)
-	for name := range r.missing {
-		if r.lapsed(now, name) {
+	for name := range r.missingSince {
+		if r.hasLapsed(now, name) {
 			count--
 		}
 	}
 	return count
 }
 
-// youngShare is the divisor for the share of the instances that is assumed to have joined
-// recently, by an instance that has not followed the store for long enough to know: one in
-// five. The share is not larger because all registered instances may have just started
-// together, and then they know of one another.
-const youngShare = 5
+// assumedJoinedDivisor is the divisor for the share of the instances that is assumed to
+// have joined recently, by an instance that has not followed the store for long enough to
+// know: one in five. The share is not larger because all registered instances may have just
+// started together, and then they know of one another.
+const assumedJoinedDivisor = 5
 
 // Joined returns how many of the registered instances may be unknown to an instance whose
 // last answer of the store is as old as attestations permit.
 func (r *registry) Joined(now time.Duration) int {
-	if now-r.began < storelessLapsed {
-		return len(r.joined) / youngShare
+	if now-r.followedSince < attestedUseLapseTime {
+		return len(r.joinedAt) / assumedJoinedDivisor
 	}
 	recent := 0
-	for _, at := range r.joined {
-		if now-at < storelessLapsed {
+	for _, at := range r.joinedAt {
+		if now-at < attestedUseLapseTime {
 			recent++
 		}
 	}
@@ -173,7 +176,7 @@
 // MissingSince returns since when the process of an entry has been without a lease, and
 // whether it is. A newer entry under the same name does not count.
 func (r *registry) MissingSince(e Entry) (time.Duration, bool) {
-	since, missing := r.missing[e.Name]
+	since, missing := r.missingSince[e.Name]
 	return since, missing && r.instances[e.Name].revision == e.revision
 }
 
@@ -182,8 +185,8 @@
 // so that processes that start later need not wait for the same grants again.
 func (r *registry) Forgettable(now time.Duration) map[string]int64 {
 	expired := make(map[string]int64)
-	for name, since := range r.missing {
-		if now-since > storelessLapsed {
+	for name, since := range r.missingSince {
+		if now-since > attestedUseLapseTime {
 			expired[name] = r.instances[name].revision
 		}
 	}
@@ -195,16 +198,16 @@
 
 // Rank returns the rank of an instance for a key among the alive instances, by rendezvous
 // hashing. 0 is the first. An instance without a lease ranks last.
-func (r *registry) Rank(key, name string) int { return r.RankUpTo(key, name, len(r.living)) }
+func (r *registry) Rank(key, name string) int { return r.RankUpTo(key, name, len(r.aliveInstances)) }
 
 // RankUpTo returns the smaller of Rank and limit. It stops counting at limit, which makes
 // it cheaper.
 func (r *registry) RankUpTo(key, name string, limit int) int {
-	if _, alive := r.alive[name]; !alive {
-		return min(len(r.living), limit)
+	if _, alive := r.aliveIncarnations[name]; !alive {
+		return min(len(r.aliveInstances), limit)
 	}
 	own, before := ownership.Score(key, name), 0
-	for _, i := range r.living {
+	for _, i := range r.aliveInstances {
 		if before >= limit {
 			break
 		}
--- a/internal/lead/release.go
+++ b/internal/lead/release.go
@@ -15,32 +15,32 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// clearing is the result of ending the grants for the old primary.
-type clearing struct {
-	done        bool          // no grant for the old primary is confirmed any more
-	stays       bool          // the old primary is healthy and must not be replaced
-	last        member.Status // status of the old primary when it stepped down
-	steppedDown bool          // the old primary confirmed that it stepped down
+// grantsOutcome is the result of ending the grants for the old primary.
+type grantsOutcome struct {
+	ended        bool          // no grant for the old primary is confirmed any more
+	primaryStays bool          // the old primary is healthy and must not be replaced
+	finalStatus  member.Status // status of the old primary when it stepped down
+	steppedDown  bool          // the old primary confirmed that it stepped down
 
-	// unreached reports that unreachable instances may still use the old primary, with each
+	// unreachable reports that unreachable instances may still use the old primary, with each
 	// answer verified by the other members that they know. Each of them knows what the
-	// store contained at revision seen.
-	unreached bool
-	seen      int64
+	// store contained at seenRevision.
+	unreachable  bool
+	seenRevision int64
 }
 
-// clearGrants returns once all grants for the old primary are released or have lapsed, or
+// endGrants returns once all grants for the old primary are released or have lapsed, or
 // once the old primary answers as healthy in a change that is not planned. It is not enough
 // that the old primary has stepped down: then it runs no writes, but still the strict reads
 // of an instance that does not know of the change.
-func (c *Controller) clearGrants(ctx context.Context, group string, revision int64, change Change, record Record, announced time.Duration) clearing {
+func (c *Controller) endGrants(ctx context.Context, group string, revision int64, change Change, record Record, announced time.Duration) grantsOutcome {
 	drain := urgentDrain
 	if change.Planned {
 		drain = plannedDrain
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &release{group: group, revision: revision, drain: drain, announced: announced}
+	r := &grantRelease{group: group, revision: revision, drain: drain, announced: announced}
 	released := make(chan error, 1)
 	go func() { released <- c.releaseAll(ctx, r) }()
 	wait := releaseTimeout
@@ -50,37 +50,37 @@
 	for {
 		select {
 		case err := <-released:
-			result := clearing{done: err == nil}
-			result.seen, result.unreached = r.unreached()
+			result := grantsOutcome{ended: err == nil}
+			result.seenRevision, result.unreachable = r.unreleased()
 			return result
 		case <-time.After(wait):
 		case <-ctx.Done():
-			return clearing{}
+			return grantsOutcome{}
 		}
-		old, known := c.around.Topology().Member(record.Primary)
+		old, known := c.env.Topology().Member(record.Primary)
 		if !known {
 			continue
 		}
-		if !change.Planned && !old.Draining && c.leads(ctx, old, record.Term) {
-			return clearing{stays: true}
+		if !change.Planned && !old.Draining && c.isPrimary(ctx, old, record.Term) {
+			return grantsOutcome{primaryStays: true}
 		}
 	}
 }
 
-// finalStatus makes the old primary of a planned change step down and returns the status
-// that it reports, so that the change can wait until the successor has received its whole
-// log. The result is false if it did not step down.
-func (c *Controller) finalStatus(ctx context.Context, record Record) (member.Status, bool) {
-	old, known := c.around.Topology().Member(record.Primary)
+// stepDownOldPrimary makes the old primary of a planned change step down and returns the
+// status that it reports, so that the change can wait until the successor has received its
+// whole log. The result is false if it did not step down.
+func (c *Controller) stepDownOldPrimary(ctx context.Context, record Record) (member.Status, bool) {
+	old, known := c.env.Topology().Member(record.Primary)
 	if !known {
 		return member.Status{}, false
 	}
 	return c.stepDown(ctx, old, record.Term)
 }
 
-// leads reports whether a member answers that it is the primary of a term.
-func (c *Controller) leads(ctx context.Context, m topology.Member, term uint64) bool {
-	f := c.askOne(ctx, m)
+// isPrimary reports whether a member answers that it is the primary of a term.
+func (c *Controller) isPrimary(ctx context.Context, m topology.Member, term uint64) bool {
+	f := c.queryMember(ctx, m)
 	if f == nil {
 		return false
 	}
@@ -108,20 +108,20 @@
 // releaseAll returns nil once every registered instance has released its grant or its grant
 // has lapsed. It calls the instances known here at once, and meanwhile reads from the store
 // which others have registered. It fails if the store does not answer or ctx ends.
-func (c *Controller) releaseAll(ctx context.Context, r *release) error {
+func (c *Controller) releaseAll(ctx context.Context, r *grantRelease) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	view := c.around.View()
+	view := c.env.View()
 	known, joined := view.Entries(c.now()), view.Joined(c.now())
-	r.missing = ReleaseQuorum(len(known), joined)
+	r.releasesNeeded = ReleaseQuorum(len(known), joined)
 	released := make(chan struct{})
 	go func() {
 		defer close(released)
 		c.releaseEach(ctx, r, known)
 	}()
-	others, err := c.registeredLater(ctx, r.revision, known)
+	others, err := c.listOtherRegistered(ctx, r.revision, known)
 	if err == nil {
-		r.expect(len(known), joined, len(others))
+		r.addInstances(len(known), joined, len(others))
 		c.releaseEach(ctx, r, others)
 	} else {
 		cancel()
@@ -130,7 +130,7 @@
 	return errors.Join(err, ctx.Err())
 }
 
-func (c *Controller) releaseEach(ctx context.Context, r *release, entries []Entry) {
+func (c *Controller) releaseEach(ctx context.Context, r *grantRelease, entries []Entry) {
 	var wg sync.WaitGroup
 	for _, entry := range entries {
 		wg.Add(1)
@@ -142,11 +142,11 @@
 	wg.Wait()
 }
 
-// registeredLater reads from the store which instances were registered when it contained
+// listOtherRegistered reads from the store which instances were registered when it contained
 // the record with this revision, and returns those that are not known. This instance's own
 // view may be older. An instance that registers later sees that record before it can hold a
 // grant.
-func (c *Controller) registeredLater(ctx context.Context, revision int64, known []Entry) ([]Entry, error) {
+func (c *Controller) listOtherRegistered(ctx context.Context, revision int64, known []Entry) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	items, listedAt, err := c.store.List(ctx, PrefixInstances)
@@ -156,13 +156,13 @@
 	if listedAt < revision {
 		return nil, fmt.Errorf("reading the registered instances: the store returned revision %d, older than %d", listedAt, revision)
 	}
-	return notAmong(known, items)
+	return unknownEntries(known, items)
 }
 
-// notAmong returns the entries whose process is not known, or that were rewritten after the
-// known revision: such a process has registered again, so what was known of its lease no
-// longer applies.
-func notAmong(known []Entry, items []kv.Item) ([]Entry, error) {
+// unknownEntries returns the entries whose process is not known, or that were rewritten
+// after the known revision: such a process has registered again, so what was known of its
+// lease no longer applies.
+func unknownEntries(known []Entry, items []kv.Item) ([]Entry, error) {
 	processes := make(map[string]int64, len(known))
 	for _, e := range known {
 		processes[e.Incarnation] = e.revision
@@ -180,142 +180,142 @@
 	return others, nil
 }
 
-// release tracks the release of all grants that a change of primary ends. Times are on the
-// leader's clock.
-type release struct {
+// grantRelease tracks the release of all grants that a change of primary ends. Times are on
+// the leader's clock.
+type grantRelease struct {
 	group     string
 	revision  int64
 	drain     time.Duration
 	announced time.Duration
 
-	mu       sync.Mutex // guards the rest
-	missing  int        // releases that are still needed for a ReleaseQuorum
-	quorumAt time.Duration
-	attested map[string]time.Duration // when an instance that released last attested another one, by the other's name
-	oldest   time.Duration            // start of the youngest process that released; earlier attestations are unknown
-	left     bool                     // the grant of at least one instance lapsed without a release
-	seen     int64                    // store revision that all of those instances had applied; meaningful while left
+	mu                     sync.Mutex // guards the rest
+	releasesNeeded         int        // releases that are still needed for a ReleaseQuorum
+	quorumAt               time.Duration
+	attestedAt             map[string]time.Duration // when an instance that released last attested another one, by the other's name
+	attestationsKnownSince time.Duration            // start of the youngest process that released; earlier attestations are unknown
+	hasUnreleased          bool                     // the grant of at least one instance lapsed without a release
+	seenRevision           int64                    // store revision that all of those instances had applied; meaningful while hasUnreleased
 }
 
-// note counts the reply of an instance that has released, and records whom it attested
+// addReply counts the reply of an instance that has released, and records whom it attested
 // when.
-func (r *release) note(now time.Duration, reply *leadpb.ReleaseReply) {
+func (r *grantRelease) addReply(now time.Duration, reply *leadpb.ReleaseReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.missing--
-	if r.missing == 0 {
+	r.releasesNeeded--
+	if r.releasesNeeded == 0 {
 		r.quorumAt = now
 	}
-	r.oldest = max(r.oldest, now-time.Duration(reply.UptimeUs)*time.Microsecond)
-	if r.attested == nil {
-		r.attested = make(map[string]time.Duration)
+	r.attestationsKnownSince = max(r.attestationsKnownSince, now-time.Duration(reply.UptimeUs)*time.Microsecond)
+	if r.attestedAt == nil {
+		r.attestedAt = make(map[string]time.Duration)
 	}
 	for name, age := range reply.AttestedUs {
-		r.attested[name] = max(r.attested[name], now-time.Duration(age)*time.Microsecond)
+		r.attestedAt[name] = max(r.attestedAt[name], now-time.Duration(age)*time.Microsecond)
 	}
 }
 
-// lapsed reports whether the grant of an instance that did not release can no longer be
+// hasLapsed reports whether the grant of an instance that did not release can no longer be
 // confirmed. goneSince is since when its lease has been gone, zero if the lease is valid;
 // since then no answer of the store has confirmed the grant. Until enough instances have
 // released, the grant may be attested for as long as attestations can replace the store.
-func (r *release) lapsed(now time.Duration, name string, goneSince time.Duration) bool {
+func (r *grantRelease) hasLapsed(now time.Duration, name string, goneSince time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.missing > 0 {
-		return now-r.announced >= storelessLapsed
+	if r.releasesNeeded > 0 {
+		return now-r.announced >= attestedUseLapseTime
 	}
 	confirmed := max(r.announced, r.quorumAt)
 	if goneSince > 0 {
 		// Every quorum includes an instance that has released, so none attested the grant
 		// later than the last of these did.
-		confirmed = min(confirmed, max(goneSince, r.attested[name], r.oldest))
+		confirmed = min(confirmed, max(goneSince, r.attestedAt[name], r.attestationsKnownSince))
 	}
-	return now-confirmed >= grantsLapsed
+	return now-confirmed >= grantLapseTime
 }
 
-// leave records an instance whose grant has lapsed without a release. goneSince is since
-// when its lease has been gone, zero if the lease is valid. The instance may still use the
-// old primary and then asks the members that it knows: at least those that were in the
-// store at revision seen.
-func (r *release) leave(now, goneSince time.Duration, seen int64) {
+// addUnreleased records an instance whose grant has lapsed without a release. goneSince is
+// since when its lease has been gone, zero if the lease is valid. The instance may still
+// use the old primary and then asks the members that it knows: at least those that were in
+// the store at revision seen.
+func (r *grantRelease) addUnreleased(now, goneSince time.Duration, seen int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	lastAnswer := r.announced // the last answer of the store to that instance is not newer
 	if goneSince > 0 {
 		lastAnswer = min(lastAnswer, goneSince)
 	}
-	if now-lastAnswer >= verifiableLapsed {
+	if now-lastAnswer >= unconfirmedUseLapseTime {
 		return // the grant does not even permit verified use any more
 	}
-	if !r.left || seen < r.seen {
-		r.seen = seen
+	if !r.hasUnreleased || seen < r.seenRevision {
+		r.seenRevision = seen
 	}
-	r.left = true
+	r.hasUnreleased = true
 }
 
-// unreached reports whether unreachable instances may still use the old primary, and
+// unreleased reports whether unreachable instances may still use the old primary, and
 // returns a store revision whose contents all of them know.
-func (r *release) unreached() (int64, bool) {
+func (r *grantRelease) unreleased() (int64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen, r.left
+	return r.seenRevision, r.hasUnreleased
 }
 
-// expect raises the number of needed releases for further instances that were found to be
-// registered.
-func (r *release) expect(known, joined, added int) {
+// addInstances raises the number of needed releases for further instances that were found
+// to be registered.
+func (r *grantRelease) addInstances(known, joined, added int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.missing += ReleaseQuorum(known+added, joined+added) - ReleaseQuorum(known, joined)
+	r.releasesNeeded += ReleaseQuorum(known+added, joined+added) - ReleaseQuorum(known, joined)
 }
 
-func (c *Controller) releaseOne(ctx context.Context, r *release, instance Entry) {
+func (c *Controller) releaseOne(ctx context.Context, r *grantRelease, instance Entry) {
 	if instance.Name == c.self.Name {
-		if reply, err := c.own.Release(ctx, r.request()); err == nil {
-			r.note(c.now(), reply)
+		if reply, err := c.server.Release(ctx, r.request()); err == nil {
+			r.addReply(c.now(), reply)
 		}
 		return
 	}
 	for tries := 0; ctx.Err() == nil; tries++ {
 		log := c.log.WithFields(logrus.Fields{"group": r.group, "instance": instance.Name, "waited_ms": (c.now() - r.announced).Milliseconds(), "tries": tries + 1})
-		goneSince, gone := c.around.View().MissingSince(instance)
+		goneSince, gone := c.env.View().MissingSince(instance)
 		if !gone {
 			goneSince = 0 // its lease is valid, as far as is known
 		}
-		if r.lapsed(c.now(), instance.Name, goneSince) {
-			r.leave(c.now(), goneSince, instance.Seen)
+		if r.hasLapsed(c.now(), instance.Name, goneSince) {
+			r.addUnreleased(c.now(), goneSince, instance.Seen)
 			log.WithField("seen", instance.Seen).Info("lead: the grant of an instance has lapsed without a release; members that the instance does not know are not promoted")
 			return
 		}
 		reply, err := c.callRelease(ctx, r, instance.Instance)
 		if err == nil {
-			r.note(c.now(), reply)
+			r.addReply(c.now(), reply)
 			return
 		}
 		if !c.stillRegistered(instance) {
 			return
 		}
 		if tries%releaseLogEvery == 0 {
-			log.WithError(err).WithFields(logrus.Fields{"lease_gone": gone, "at_latest_ms": r.latest(goneSince).Milliseconds()}).
+			log.WithError(err).WithFields(logrus.Fields{"lease_gone": gone, "at_latest_ms": r.maxWait(goneSince).Milliseconds()}).
 				Info("lead: an instance has not released its grant; retrying until it does or the grant has lapsed")
 		}
-		pause(ctx, releaseRetry)
+		sleep(ctx, releaseRetryPause)
 	}
 }
 
-// latest returns the longest wait for an instance, counted from the announcement, as far as
+// maxWait returns the longest wait for an instance, counted from the announcement, as far as
 // is known now.
-func (r *release) latest(goneSince time.Duration) time.Duration {
+func (r *grantRelease) maxWait(goneSince time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.missing > 0:
-		return storelessLapsed
+	case r.releasesNeeded > 0:
+		return attestedUseLapseTime
 	case goneSince > 0 && goneSince < r.announced:
-		return max(0, goneSince+grantsLapsed-r.announced)
+		return max(0, goneSince+grantLapseTime-r.announced)
 	}
-	return grantsLapsed
+	return grantLapseTime
 }
 
 // releaseLogEvery is the number of tries for which one line is logged: about one line in
@@ -326,15 +326,15 @@
 // another process has registered under its name, or once its grants have lapsed. A view
 // that is older than the entry does not show that.
 func (c *Controller) stillRegistered(entry Entry) bool {
-	current, registered := c.around.View().Entry(c.now(), entry.Name)
+	current, registered := c.env.View().Entry(c.now(), entry.Name)
 	return current.revision < entry.revision || registered && current.Incarnation == entry.Incarnation
 }
 
-func (r *release) request() *leadpb.ReleaseRequest {
+func (r *grantRelease) request() *leadpb.ReleaseRequest {
 	return &leadpb.ReleaseRequest{Group: r.group, Revision: r.revision, DrainUs: r.drain.Microseconds()}
 }
 
-func (c *Controller) callRelease(ctx context.Context, r *release, instance Instance) (*leadpb.ReleaseReply, error) {
+func (c *Controller) callRelease(ctx context.Context, r *grantRelease, instance Instance) (*leadpb.ReleaseReply, error) {
 	client, err := c.client(instance.Address)
 	if err != nil {
 		return nil, err
--- a/internal/lead/aside_test.go
+++ b/internal/lead/relinquish_test.go
@@ -10,21 +10,21 @@
 
 // The instance that starts first sees no other instance and takes over all groups. It must
 // give up a group that it does not serve to an instance that does.
-func TestGroupIsGivenUpToOneThatUsesIt(t *testing.T) {
+func TestRelinquishGroupNotServed(t *testing.T) {
 	store := memstore.New()
 	first, around := newController(t, "a", store.Client())
 	first.takeOver(t.Context(), "g", &ledGroup{})
 	around.refresh(t, store.Client())
 	led := &ledGroup{}
-	_, led.leading = around.view.Leader("g")
+	_, led.leaderRevision = around.view.Leader("g")
 
-	must.False(t, first.misplaced("g", led), must.Sprint("it serves the group"))
-	around.idle = true
-	must.False(t, first.misplaced("g", led), must.Sprint("it has just taken over the group"))
-	led.takenAt, led.steppedAt = -asideAfter, -asideAfter
-	must.True(t, first.misplaced("g", led))
-	first.stepAside(t.Context(), "g", led)
-	must.False(t, first.misplaced("g", &ledGroup{takenAt: led.takenAt, steppedAt: first.now()}), must.Sprint("it has just tried to give up the leadership"))
+	must.False(t, first.shouldRelinquish("g", led), must.Sprint("it serves the group"))
+	around.servesNone = true
+	must.False(t, first.shouldRelinquish("g", led), must.Sprint("it has just taken over the group"))
+	led.tookOverAt, led.relinquishTriedAt = -relinquishDelay, -relinquishDelay
+	must.True(t, first.shouldRelinquish("g", led))
+	first.relinquish(t.Context(), "g", led)
+	must.False(t, first.shouldRelinquish("g", &ledGroup{tookOverAt: led.tookOverAt, relinquishTriedAt: first.now()}), must.Sprint("it has just tried to give up the leadership"))
 	around.refresh(t, store.Client())
 	leader, _ := around.view.Leader("g")
 	must.Eq(t, "", leader.Instance)
@@ -33,18 +33,18 @@
 }
 
 // A replaced leader must not delete its successor's leader key.
-func TestReplacedLeaderDoesNotGiveTheGroupUp(t *testing.T) {
+func TestReplacedLeaderKeepsSuccessorsKey(t *testing.T) {
 	store := memstore.New()
 	first, around := newController(t, "a", store.Client())
 	second, aroundSecond := newController(t, "b", store.Client())
 	first.takeOver(t.Context(), "g", &ledGroup{})
 	around.refresh(t, store.Client())
 	led := &ledGroup{}
-	_, led.leading = around.view.Leader("g")
+	_, led.leaderRevision = around.view.Leader("g")
 	store.EndLease(around.lease)
 	aroundSecond.refresh(t, store.Client())
 	second.takeOver(t.Context(), "g", &ledGroup{})
-	first.stepAside(t.Context(), "g", led)
+	first.relinquish(t.Context(), "g", led)
 	aroundSecond.refresh(t, store.Client())
 	leader, _ := aroundSecond.view.Leader("g")
 	must.Eq(t, "b", leader.Instance)
--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -22,9 +22,9 @@
 	Hurry        bool           // promote a member whose log does not reach Last, instead of waiting longer
 }
 
-// known reports whether each unreachable instance knows a member. If it does, it asks that
-// member during verification whether it is primary.
-func (s Selection) known(m topology.Member) bool {
+// knownToUnreachable reports whether each unreachable instance knows a member. If it does,
+// it asks that member during verification whether it is primary.
+func (s Selection) knownToUnreachable(m topology.Member) bool {
 	return m.Since < s.KnownBefore || m.Revision > 0 && m.Revision <= s.Seen
 }
 
@@ -43,8 +43,8 @@
 // instances that were not reached may use the old primary, only a member that all of them
 // know can be promoted, because they ask only the members that they know whether one was
 // promoted.
-func Select(answers []found, s Selection) (found, bool) {
-	var best *found
+func Select(answers []memberStatus, s Selection) (memberStatus, bool) {
+	var best *memberStatus
 	replicas := 0
 	for _, answer := range answers {
 		f := &answer
@@ -59,7 +59,7 @@
 			continue
 		}
 		replicas++
-		if best != nil && best.status.Primary || f.member.Draining || s.Unreached && !s.known(f.member) {
+		if best != nil && best.status.Primary || f.member.Draining || s.Unreached && !s.knownToUnreachable(f.member) {
 			continue
 		}
 		if best == nil || best.status.Received.Less(f.status.Received) {
@@ -68,15 +68,15 @@
 	}
 	switch {
 	case best == nil:
-		return found{}, false
+		return memberStatus{}, false
 	case best.status.Primary:
 		return *best, true
 	case s.SyncReplicas > 0 && replicas < s.Replicas-s.SyncReplicas+1 && best.status.Received.Less(s.Last):
-		return found{}, false // a replica that did not answer may hold acknowledged commits
+		return memberStatus{}, false // a replica that did not answer may hold acknowledged commits
 	case s.SyncReplicas > 0 && s.Last.IsZero() && replicas < s.Replicas-s.SyncReplicas+1:
-		return found{}, false
+		return memberStatus{}, false
 	case best.status.Received.Less(s.Last) && !s.Hurry:
-		return found{}, false
+		return memberStatus{}, false
 	}
 	return *best, true
 }
