--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -36,10 +36,10 @@
 	aborted bool // guarded by gate.mu
 }
 
-// Enter returns a permit, or an error that says why the primary cannot be used now. abort
+// Acquire returns a permit, or an error that says why the primary cannot be used now. abort
 // is called from another goroutine when the work must be aborted. Done must be called in
 // any case.
-func (g *Gate) Enter(abort func()) (*Pass, error) {
+func (g *Gate) Acquire(abort func()) (*Pass, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a, err := g.grant.Authority(g.now())
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	breaker := &breaker{cancel: cancel}
-	pass, err := a.gate.Enter(breaker.trip)
+	pass, err := a.gate.Acquire(breaker.trip)
 	if err != nil {
 		a.why = err.Error()
 		a.obstacle = &obstacle{reason: admission.Change, left: a.group.outage(a.now(), a.gate)}
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -150,7 +150,7 @@
 
 func TestWritesToAReplacedPrimaryAreNotAcknowledged(t *testing.T) {
 	b := newBench(t)
-	pass, err := b.gate.Enter(func() {})
+	pass, err := b.gate.Acquire(func() {})
 	must.NoError(t, err)
 	must.True(t, pass.Valid())
 	must.Error(t, b.gate.Release(cancelled(t), 2, 0), must.Sprint("the pass is still out"))
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -89,7 +89,7 @@
 // crash_cut, a day of our own, on which one read ran without an acknowledged commit.
 func TestReadThatWaitedIsVerified(t *testing.T) {
 	b := newBench(t)
-	pass, err := b.gate.Enter(func() {})
+	pass, err := b.gate.Acquire(func() {})
 	must.NoError(t, err)
 	must.Eq(t, lead.Confirmed, pass.Standing())
 	up := b.relay.upstreams.get("m1")
