--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -396,7 +396,7 @@
 	metrics.WriteGaugeUint64(w, "stackspindle_ready", boolMetric(i.Ready()))
 	i.relay.Gates(func(group string, g *lead.Gate) {
 		labels := `{group="` + group + `"}`
-		authority, err := g.Authority()
+		authority, err := g.Primary()
 		leader, _ := i.view.Load().Leader(group)
 		metrics.WriteGaugeUint64(w, "stackspindle_group_has_primary"+labels, boolMetric(err == nil))
 		metrics.WriteGaugeUint64(w, "stackspindle_group_term"+labels, authority.Term)
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -288,7 +288,7 @@
 	must.True(t, wakes(2), must.Sprint("the grant has expired"))
 }
 
-// Usable must agree with Authority in every state of a grant.
+// Usable must agree with Primary in every state of a grant.
 func TestUsableAgreesWithPrimary(t *testing.T) {
 	for _, record := range []Record{{}, {Primary: "m1", Term: 1}, {Primary: "m1", Change: &Change{ID: "c"}}} {
 		for _, change := range []func(*Grant){
@@ -300,7 +300,7 @@
 			var g Grant
 			change(&g)
 			for _, now := range []time.Duration{time.Second, time.Second + VerifiableFor} {
-				_, err := g.Authority(now)
+				_, err := g.Primary(now)
 				must.Eq(t, err == nil, g.Usable(now))
 			}
 		}
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -141,11 +141,11 @@
 // known.
 func (g *Grant) Release(revision int64) { g.releasedRevision = max(g.releasedRevision, revision) }
 
-// Authority returns the primary that the instance may use, or an error that says why there
+// Primary returns the primary that the instance may use, or an error that says why there
 // is none. Unless the grant is Confirmed, each answer of the primary must be verified
 // before it is passed on: the other members, any of which could have been promoted
 // meanwhile, must confirm that they are not primary.
-func (g *Grant) Authority(now time.Duration) (Authority, error) {
+func (g *Grant) Primary(now time.Duration) (Authority, error) {
 	a := Authority{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
 	switch {
 	case g.revision == 0 || a.Primary == "":
@@ -160,7 +160,7 @@
 	return a, nil
 }
 
-// Usable reports whether Authority returns a primary instead of an error.
+// Usable reports whether Primary returns a primary instead of an error.
 func (g *Grant) Usable(now time.Duration) bool {
 	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.releasedRevision && !g.Over(now)
 }
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -42,7 +42,7 @@
 func (g *Gate) Acquire(abort func()) (*Pass, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a, err := g.grant.Authority(g.now())
+	a, err := g.grant.Primary(g.now())
 	if err != nil {
 		return nil, err
 	}
@@ -98,12 +98,12 @@
 	}
 }
 
-// Authority returns the primary that the instance may use now, or an error that says why
+// Primary returns the primary that the instance may use now, or an error that says why
 // there is none.
-func (g *Gate) Authority() (Authority, error) {
+func (g *Gate) Primary() (Authority, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grant.Authority(g.now())
+	return g.grant.Primary(g.now())
 }
 
 // Changed returns a channel that is closed on the next change of the grant.
@@ -234,7 +234,7 @@
 func (g *Gate) abortOutdated() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a, err := g.grant.Authority(g.now())
+	a, err := g.grant.Primary(g.now())
 	for p := range g.permits {
 		if !p.aborted && (err != nil || a.Primary != p.Primary || a.Term != p.Term) {
 			p.aborted = true
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -69,7 +69,7 @@
 // are assumed to know their term.
 func (w *simulatedFleet) uses(s *simulatedInstance) (string, bool) {
 	now := s.now(w.trueTime)
-	a, err := s.grant.Authority(now)
+	a, err := s.grant.Primary(now)
 	if err != nil {
 		return "", false
 	}
@@ -285,32 +285,32 @@
 
 func TestGrantStates(t *testing.T) {
 	var g Grant
-	_, err := g.Authority(0)
+	_, err := g.Primary(0)
 	must.Error(t, err)
 	g.Learn(Record{Primary: "a", Term: 1}, 5)
 	g.Confirm(0)
-	a, err := g.Authority(GrantValidity - 1)
+	a, err := g.Primary(GrantValidity - 1)
 	must.NoError(t, err)
 	must.Eq(t, Authority{Primary: "a", Term: 1, Revision: 5}, a)
 	must.True(t, g.Confirmed(GrantValidity-1))
 	must.False(t, g.Confirmed(GrantValidity))
-	_, err = g.Authority(VerifiableFor - 1)
+	_, err = g.Primary(VerifiableFor - 1)
 	must.NoError(t, err, must.Sprint("the other members can still verify answers"))
-	_, err = g.Authority(VerifiableFor)
+	_, err = g.Primary(VerifiableFor)
 	must.Error(t, err)
 	g.Confirm(GrantValidity)
 	g.Release(6)
-	_, err = g.Authority(GrantValidity)
+	_, err = g.Primary(GrantValidity)
 	must.Error(t, err, must.Sprint("released"))
 	g.Learn(Record{Primary: "a", Term: 1, Change: &Change{}}, 6)
-	_, err = g.Authority(GrantValidity)
+	_, err = g.Primary(GrantValidity)
 	must.Error(t, err, must.Sprint("being changed"))
 	g.Settle(Record{Primary: "b", Term: 2}, 6)
-	a, err = g.Authority(GrantValidity)
+	a, err = g.Primary(GrantValidity)
 	must.NoError(t, err, must.Sprint("outcome published by the leader"))
 	must.Eq(t, "b", a.Primary)
 	g.Learn(Record{Primary: "a", Term: 1}, 5)
-	a, err = g.Authority(GrantValidity)
+	a, err = g.Primary(GrantValidity)
 	must.NoError(t, err, must.Sprint("an older record is ignored"))
 	must.Eq(t, "b", a.Primary)
 }
@@ -322,7 +322,7 @@
 	g.Settle(Record{Primary: "a", Term: 1}, 5)
 	g.Attest(0, 5)
 	must.False(t, g.Confirmed(0))
-	_, err := g.Authority(0)
+	_, err := g.Primary(0)
 	must.Error(t, err)
 }
 
@@ -337,7 +337,7 @@
 		must.True(t, g.Confirmed(min(at+GrantValidity, StorelessValidity)-1))
 	}
 	g.Attest(StorelessValidity, 5)
-	_, err := g.Authority(StorelessValidity)
+	_, err := g.Primary(StorelessValidity)
 	must.Error(t, err, must.Sprint("no answer of the store for too long"))
 }
 
@@ -352,13 +352,13 @@
 	news, newer := source.NewsSince(5)
 	must.True(t, newer)
 	receiver.Hear(news)
-	_, err := receiver.Authority(0)
+	_, err := receiver.Primary(0)
 	must.Error(t, err, must.Sprint("a change is in progress"))
 	source.Settle(Record{Primary: "b", Term: 2}, 6)
 	news, newer = source.NewsSince(5)
 	must.True(t, newer)
 	receiver.Hear(news)
-	a, err := receiver.Authority(0)
+	a, err := receiver.Primary(0)
 	must.NoError(t, err)
 	must.Eq(t, "b", a.Primary)
 }
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -64,7 +64,7 @@
 // fewer accounts it serves.
 func (r *Relay) carrierOrder(c Carriers, group, account string, needsPrimary bool) []lead.Instance {
 	preferred := r.near
-	if authority, err := r.Gate(group).Authority(); err == nil && needsPrimary {
+	if authority, err := r.Gate(group).Primary(); err == nil && needsPrimary {
 		primary, _ := r.snapshot().Member(authority.Primary)
 		preferred = primary.DataCentre
 	}
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -67,7 +67,7 @@
 // candidates returns the members that might serve a read.
 func (a *attempt) candidates() []routing.Candidate {
 	relay := a.s.relay
-	authority, err := a.gate.Authority()
+	authority, err := a.gate.Primary()
 	usual := a.group.usual(kindOf(a.route))
 	var candidates []routing.Candidate
 	for _, m := range relay.snapshot().MembersOf(a.route.Group) {
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -92,7 +92,7 @@
 // waitForPrimary has the statement wait for the primary if that is worth it. A statement that
 // was admitted once stays so.
 func (a *attempt) waitForPrimary() (statement.Answer, outcome) {
-	if authority, err := a.gate.Authority(); err == nil && !a.decided {
+	if authority, err := a.gate.Primary(); err == nil && !a.decided {
 		if up := a.s.relay.upstreams.get(authority.Primary); up != nil {
 			a.verdict, a.decided = up.decide(a.now(), a.level(), a.request(), a.work()), true
 			a.lastMember = up.id
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -48,7 +48,7 @@
 func (r *Relay) foresee(name string, now time.Duration) (primary, replica []uint32) {
 	var onPrimary, onReplica [lowestPriority + 1]time.Duration
 	leader := ""
-	authority, err := r.Gate(name).Authority()
+	authority, err := r.Gate(name).Primary()
 	if err == nil {
 		leader = authority.Primary
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -212,7 +212,7 @@
 		"read": a.reads, "offered": a.offered, "rounds": a.tries, "member": a.lastMember, "after": a.lastAfter.String(),
 		"sample_age_ms": a.group.sampleAge(r.now()).Milliseconds(),
 	}
-	if authority, err := a.gate.Authority(); err == nil {
+	if authority, err := a.gate.Primary(); err == nil {
 		fields["primary"], fields["term"], fields["record"] = authority.Primary, authority.Term, authority.Revision
 	} else {
 		fields["no_primary"] = err.Error()
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -129,7 +129,7 @@
 	released := make(chan error, 1)
 	go func() { released <- b.gate.Release(t.Context(), 2, generous) }()
 	for {
-		if _, err := b.gate.Authority(); err != nil {
+		if _, err := b.gate.Primary(); err != nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -18,14 +18,14 @@
 	b.relay.known = func(group string) Known {
 		return Known{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, Confirmed: b.relay.now()}
 	}
-	a, err := b.relay.Gate("later").Authority()
+	a, err := b.relay.Gate("later").Primary()
 	must.NoError(t, err)
 	must.Eq(t, lead.Authority{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
 	b.relay.Gates(func(string, *lead.Gate) { gates++ })
 	must.Eq(t, 2, gates)
 	b.relay.known = func(string) Known { return Known{} }
-	_, err = b.relay.Gate("unknown").Authority()
+	_, err = b.relay.Gate("unknown").Primary()
 	must.Error(t, err)
 }
 
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -19,7 +19,7 @@
 func newUnconfirmedBench(t *testing.T) *bench {
 	b := newBench(t)
 	b.relay.started = b.relay.started.Add(-2 * lead.GrantValidity)
-	_, err := b.gate.Authority()
+	_, err := b.gate.Primary()
 	must.NoError(t, err)
 	return b
 }
@@ -111,7 +111,7 @@
 func TestVerificationBeginsAfterTheAnswer(t *testing.T) {
 	b := newUnconfirmedBench(t)
 	g := b.relay.upstreams.group("g")
-	a, err := b.gate.Authority()
+	a, err := b.gate.Primary()
 	must.NoError(t, err)
 	must.True(t, b.relay.verify(t.Context(), g, a, true))
 	must.True(t, g.verifiedLately(b.relay.now()))
