--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -64,10 +64,10 @@
 	Confirmed                   // yes
 )
 
-// Standing returns whether an answer that arrives now may be passed on. A release of the
+// State returns whether an answer that arrives now may be passed on. A release of the
 // grant in progress does not change the result, because the release waits until the permit
 // is returned.
-func (p *Pass) Standing() Standing {
+func (p *Pass) State() Standing {
 	g := p.guard
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,7 +82,7 @@
 
 // Valid reports whether an answer that arrives now may be passed on without verification by
 // the other members.
-func (p *Pass) Valid() bool { return p.Standing() == Confirmed }
+func (p *Pass) Valid() bool { return p.State() == Confirmed }
 
 // Done returns the permit. Further calls have no effect.
 func (p *Pass) Done() {
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -91,7 +91,7 @@
 	b := newBench(t)
 	pass, err := b.gate.Acquire(func() {})
 	must.NoError(t, err)
-	must.Eq(t, lead.Confirmed, pass.Standing())
+	must.Eq(t, lead.Confirmed, pass.State())
 	up := b.relay.upstreams.get("m1")
 	settle := func() outcome {
 		lease, err := up.pool.Acquire(t.Context(), pool.Request{Deadline: generous}, nil)
