--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -80,9 +80,9 @@
 	return Unconfirmed
 }
 
-// Valid reports whether an answer that arrives now may be passed on without verification by
+// Confirmed reports whether an answer that arrives now may be passed on without verification by
 // the other members.
-func (p *Pass) Valid() bool { return p.State() == Confirmed }
+func (p *Pass) Confirmed() bool { return p.State() == Confirmed }
 
 // Done returns the permit. Further calls have no effect.
 func (p *Pass) Done() {
