--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -59,7 +59,7 @@
 
 // The states of a permit.
 const (
-	Ended       Standing = iota // no: the work was aborted, or the grant has expired
+	Revoked     Standing = iota // no: the work was aborted, or the grant has expired
 	Unconfirmed                 // only after each other member has confirmed that it is not primary
 	Confirmed                   // yes
 )
@@ -73,7 +73,7 @@
 	defer g.mu.Unlock()
 	switch now := g.now(); {
 	case p.aborted || g.grant.Over(now):
-		return Ended
+		return Revoked
 	case g.grant.Confirmed(now):
 		return Confirmed
 	}
