--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -161,7 +161,7 @@
 		before := i.view.Swap(view)
 		i.relay.Gates(func(group string, g *lead.Gate) {
 			if record, revision := view.Record(group); revision > 0 {
-				g.Learn(record, revision)
+				g.ApplyRecord(record, revision)
 			}
 		})
 		i.share(state)
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -169,7 +169,7 @@
 		cancel()
 		if err == nil {
 			g.leadershipProvenAt = sent
-			c.env.Gate(group).Learn(record, revision)
+			c.env.Gate(group).ApplyRecord(record, revision)
 			return revision, nil
 		}
 		if errors.Is(err, kv.ErrUnavailable) {
@@ -181,7 +181,7 @@
 			return 0, fmt.Errorf("%w; reading back: %w", err, readErr)
 		case item.Revision != expected && bytes.Equal(item.Value, value):
 			g.leadershipProvenAt = sent
-			c.env.Gate(group).Learn(record, item.Revision)
+			c.env.Gate(group).ApplyRecord(record, item.Revision)
 			return item.Revision, nil // the write took effect, and its response was lost
 		case item.Revision != expected || errors.As(err, new(*kv.ConflictError)):
 			return 0, fmt.Errorf("%w: %w", errNotLeader, err)
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -75,7 +75,7 @@
 	f.view, err = f.view.Replace(0, items)
 	must.NoError(t, err)
 	if record, revision := f.view.Record("g"); revision > 0 {
-		f.gate.Learn(record, revision)
+		f.gate.ApplyRecord(record, revision)
 	}
 }
 
@@ -276,7 +276,7 @@
 	}
 	wakes := func(revision int64) bool {
 		changed := g.Changed()
-		g.Learn(record, revision)
+		g.ApplyRecord(record, revision)
 		return woken(changed)
 	}
 	must.True(t, wakes(1))
@@ -293,9 +293,9 @@
 	for _, record := range []Record{{}, {Primary: "m1", Term: 1}, {Primary: "m1", Change: &Change{ID: "c"}}} {
 		for _, change := range []func(*Grant){
 			func(*Grant) {},
-			func(g *Grant) { g.Learn(record, 5) },
-			func(g *Grant) { g.Learn(record, 5); g.Confirm(time.Second) },
-			func(g *Grant) { g.Learn(record, 5); g.Confirm(time.Second); g.Release(6) },
+			func(g *Grant) { g.ApplyRecord(record, 5) },
+			func(g *Grant) { g.ApplyRecord(record, 5); g.Confirm(time.Second) },
+			func(g *Grant) { g.ApplyRecord(record, 5); g.Confirm(time.Second); g.Release(6) },
 		} {
 			var g Grant
 			change(&g)
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -76,8 +76,8 @@
 	releasedRevision int64         // grants of records before this revision are released
 }
 
-// Learn applies a record read from the store. Older records are ignored.
-func (g *Grant) Learn(record Record, revision int64) {
+// ApplyRecord applies a record read from the store. Older records are ignored.
+func (g *Grant) ApplyRecord(record Record, revision int64) {
 	if revision > g.revision {
 		g.record, g.revision, g.isOutcome = record, revision, false
 	}
@@ -132,7 +132,7 @@
 	case n.Settled:
 		g.Settle(n.Record, n.Revision)
 	default:
-		g.Learn(n.Record, n.Revision)
+		g.ApplyRecord(n.Record, n.Revision)
 	}
 }
 
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -130,14 +130,14 @@
 	return g.grant.Record()
 }
 
-// Learn applies a record read from the store. While the grant is usable, a record that is
+// ApplyRecord applies a record read from the store. While the grant is usable, a record that is
 // already known does not close the Changed channel: on each change in the store an instance
 // applies the records of all groups again.
-func (g *Gate) Learn(record Record, revision int64) {
+func (g *Gate) ApplyRecord(record Record, revision int64) {
 	if g.isCurrent(revision) {
 		return
 	}
-	g.update(func(grant *Grant) { grant.Learn(record, revision) })
+	g.update(func(grant *Grant) { grant.ApplyRecord(record, revision) })
 }
 
 // isCurrent reports whether the grant is usable and rests on the record with this revision
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -249,7 +249,7 @@
 		return
 	}
 	if rapid.Bool().Draw(w.t, "delivered") {
-		s.grant.Learn(s.responseRecord, s.responseRevision)
+		s.grant.ApplyRecord(s.responseRecord, s.responseRevision)
 		s.members = s.responseMembers
 		s.grant.Confirm(s.callSentAt)
 		if rapid.Bool().Draw(w.t, "registers") {
@@ -287,7 +287,7 @@
 	var g Grant
 	_, err := g.Primary(0)
 	must.Error(t, err)
-	g.Learn(Record{Primary: "a", Term: 1}, 5)
+	g.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
 	g.Confirm(0)
 	a, err := g.Primary(GrantValidity - 1)
 	must.NoError(t, err)
@@ -302,14 +302,14 @@
 	g.Release(6)
 	_, err = g.Primary(GrantValidity)
 	must.Error(t, err, must.Sprint("released"))
-	g.Learn(Record{Primary: "a", Term: 1, Change: &Change{}}, 6)
+	g.ApplyRecord(Record{Primary: "a", Term: 1, Change: &Change{}}, 6)
 	_, err = g.Primary(GrantValidity)
 	must.Error(t, err, must.Sprint("being changed"))
 	g.Settle(Record{Primary: "b", Term: 2}, 6)
 	a, err = g.Primary(GrantValidity)
 	must.NoError(t, err, must.Sprint("outcome published by the leader"))
 	must.Eq(t, "b", a.Primary)
-	g.Learn(Record{Primary: "a", Term: 1}, 5)
+	g.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
 	a, err = g.Primary(GrantValidity)
 	must.NoError(t, err, must.Sprint("an older record is ignored"))
 	must.Eq(t, "b", a.Primary)
@@ -328,7 +328,7 @@
 
 func TestAttestationReplacesStore(t *testing.T) {
 	var g Grant
-	g.Learn(Record{Primary: "a", Term: 1}, 5)
+	g.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
 	g.Confirm(0)
 	g.Attest(GrantValidity-1, 4)
 	must.False(t, g.Confirmed(GrantValidity), must.Sprint("attested for another record"))
@@ -344,8 +344,8 @@
 func TestApplyUpdateOfAnotherInstance(t *testing.T) {
 	var source, receiver Grant
 	receiver.Confirm(0)
-	receiver.Learn(Record{Primary: "a", Term: 1}, 5)
-	source.Learn(Record{Primary: "a", Term: 1}, 5)
+	receiver.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
+	source.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
 	_, newer := source.NewsSince(5)
 	must.False(t, newer)
 	source.Release(6)
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -89,7 +89,7 @@
 // one can be there is refused at once and told when that should be; one that has the time waits.
 func TestStatementsDuringAChangeOfPrimary(t *testing.T) {
 	b := newBench(t)
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
+	b.gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
 	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Eq(t, 1, refusals(b, "no_primary"))
@@ -99,7 +99,7 @@
 		answered <- b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x")
 	}()
 	time.Sleep(5 * retryPause)
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
+	b.gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
 	b.gate.Confirm(b.relay.now())
 	must.Nil(t, (<-answered).Err)
 }
@@ -108,7 +108,7 @@
 func TestLengthOfOutagesIsLearned(t *testing.T) {
 	g := &groupState{}
 	gate := lead.NewGate(func() time.Duration { return 300 * time.Millisecond })
-	gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
+	gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
 	g.outage(300*time.Millisecond, gate)
 	g.noteAuthority(320 * time.Millisecond)
 	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -91,7 +91,7 @@
 		g = lead.NewGate(r.now)
 		// Under the lock: whoever learns more afterwards finds the gate and tells it.
 		if known := r.known(group); known.Revision > 0 {
-			g.Learn(known.Record, known.Revision)
+			g.ApplyRecord(known.Record, known.Revision)
 			if known.Confirmed > 0 {
 				g.Confirm(known.Confirmed)
 			}
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -62,7 +62,7 @@
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
 	b.gate = b.relay.Gate("g")
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
+	b.gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
 	b.gate.Confirm(b.relay.now())
 	return b
 }
