--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// Settle applies the outcome of a change that the leader published, perhaps before it wrote
+// ApplyOutcome applies the outcome of a change that the leader published, perhaps before it wrote
 // it to the store. revision is that of the record that announced the change.
-func (g *Grant) Settle(record Record, revision int64) {
+func (g *Grant) ApplyOutcome(record Record, revision int64) {
 	if revision > g.revision || revision == g.revision && !g.isOutcome {
 		g.record, g.revision, g.isOutcome = record, revision, true
 	}
@@ -130,7 +130,7 @@
 	switch {
 	case n.Revision == 0:
 	case n.Settled:
-		g.Settle(n.Record, n.Revision)
+		g.ApplyOutcome(n.Record, n.Revision)
 	default:
 		g.ApplyRecord(n.Record, n.Revision)
 	}
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -149,9 +149,9 @@
 	return !g.unusable && revision <= g.grant.revision
 }
 
-// Settle applies the outcome of a change that the leader published.
-func (g *Gate) Settle(record Record, revision int64) {
-	g.update(func(grant *Grant) { grant.Settle(record, revision) })
+// ApplyOutcome applies the outcome of a change that the leader published.
+func (g *Gate) ApplyOutcome(record Record, revision int64) {
+	g.update(func(grant *Grant) { grant.ApplyOutcome(record, revision) })
 }
 
 // Confirm records that a store call sent at that time returned no newer record.
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -163,7 +163,7 @@
 	w.terms[w.primary] = w.record.Term
 	w.check()
 	if rapid.Bool().Draw(w.t, "published") {
-		w.instances[0].grant.Settle(w.record, w.revision)
+		w.instances[0].grant.ApplyOutcome(w.record, w.revision)
 	}
 	w.revision++
 }
@@ -305,7 +305,7 @@
 	g.ApplyRecord(Record{Primary: "a", Term: 1, Change: &Change{}}, 6)
 	_, err = g.Primary(GrantValidity)
 	must.Error(t, err, must.Sprint("being changed"))
-	g.Settle(Record{Primary: "b", Term: 2}, 6)
+	g.ApplyOutcome(Record{Primary: "b", Term: 2}, 6)
 	a, err = g.Primary(GrantValidity)
 	must.NoError(t, err, must.Sprint("outcome published by the leader"))
 	must.Eq(t, "b", a.Primary)
@@ -319,7 +319,7 @@
 // answered, because that instance does not know which members to ask for verification.
 func TestGrantNeedsTheStore(t *testing.T) {
 	var g Grant
-	g.Settle(Record{Primary: "a", Term: 1}, 5)
+	g.ApplyOutcome(Record{Primary: "a", Term: 1}, 5)
 	g.Attest(0, 5)
 	must.False(t, g.Confirmed(0))
 	_, err := g.Primary(0)
@@ -354,7 +354,7 @@
 	receiver.Hear(news)
 	_, err := receiver.Primary(0)
 	must.Error(t, err, must.Sprint("a change is in progress"))
-	source.Settle(Record{Primary: "b", Term: 2}, 6)
+	source.ApplyOutcome(Record{Primary: "b", Term: 2}, 6)
 	news, newer = source.NewsSince(5)
 	must.True(t, newer)
 	receiver.Hear(news)
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -100,6 +100,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("record of group %s: %w", req.Group, err)
 	}
-	s.guardOf(req.Group).Settle(record, req.Revision)
+	s.guardOf(req.Group).ApplyOutcome(record, req.Revision)
 	return &leadpb.PublishReply{}, nil
 }
