--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -159,7 +159,7 @@
 	first.watchPrimary(t.Context(), "g", led)
 	must.Nil(t, led.outcome)
 	must.SliceEmpty(t, first.promoter.(*membergroup.Group).Promotions())
-	news, _ := around.gate.NewsSince(0)
+	news, _ := around.gate.UpdateSince(0)
 	must.Zero(t, news.Released, must.Sprint("no instance was asked to release"))
 }
 
@@ -199,7 +199,7 @@
 	around.view = stale
 
 	must.NoError(t, leader.releaseAll(t.Context(), &grantRelease{group: "g", revision: revision, drain: urgentDrain}))
-	news, _ := aroundOther.gate.NewsSince(0)
+	news, _ := aroundOther.gate.UpdateSince(0)
 	must.Eq(t, revision, news.Released)
 }
 
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -114,9 +114,9 @@
 	Released int64 // revision of the change for which the grant was released; 0: none
 }
 
-// NewsSince returns what this instance knows beyond the record with this revision, and
+// UpdateSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
-func (g *Grant) NewsSince(revision int64) (News, bool) {
+func (g *Grant) UpdateSince(revision int64) (News, bool) {
 	news := News{Released: g.releasedRevision}
 	if g.revision > revision {
 		news.Record, news.Revision, news.Settled = g.record, g.revision, g.isOutcome
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -171,12 +171,12 @@
 	g.updateUsability()
 }
 
-// NewsSince returns what this instance knows beyond the record with this revision, and
+// UpdateSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
-func (g *Gate) NewsSince(revision int64) (News, bool) {
+func (g *Gate) UpdateSince(revision int64) (News, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.grant.NewsSince(revision)
+	return g.grant.UpdateSince(revision)
 }
 
 // Hear applies what another instance knows. If that makes the grant unusable, work in
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -272,7 +272,7 @@
 		}
 		answers++
 		other.attested[s.name] = other.now(w.trueTime)
-		if news, newer := other.grant.NewsSince(known); newer {
+		if news, newer := other.grant.UpdateSince(known); newer {
 			objected = true
 			s.grant.Hear(news)
 		}
@@ -346,16 +346,16 @@
 	receiver.Confirm(0)
 	receiver.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
 	source.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
-	_, newer := source.NewsSince(5)
+	_, newer := source.UpdateSince(5)
 	must.False(t, newer)
 	source.Release(6)
-	news, newer := source.NewsSince(5)
+	news, newer := source.UpdateSince(5)
 	must.True(t, newer)
 	receiver.Hear(news)
 	_, err := receiver.Primary(0)
 	must.Error(t, err, must.Sprint("a change is in progress"))
 	source.ApplyOutcome(Record{Primary: "b", Term: 2}, 6)
-	news, newer = source.NewsSince(5)
+	news, newer = source.UpdateSince(5)
 	must.True(t, newer)
 	receiver.Hear(news)
 	a, err := receiver.Primary(0)
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -66,7 +66,7 @@
 	s.mu.Unlock()
 	reply := &leadpb.AttestReply{}
 	for _, known := range req.Known {
-		if news, newer := s.guardOf(known.Group).NewsSince(known.Revision); newer {
+		if news, newer := s.guardOf(known.Group).UpdateSince(known.Revision); newer {
 			reply.News = append(reply.News, encodeUpdate(known.Group, news))
 		}
 	}
