--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -128,7 +128,7 @@
 				c.log.WithField("group", known.Group).WithError(err).Error("lead: cannot decode an update from another instance; ignoring it")
 				continue
 			}
-			gate.Hear(update)
+			gate.ApplyUpdate(update)
 		}
 		if len(round.updates[known.Group]) == 0 && round.answers >= round.needed {
 			gate.Attest(sent, known.Revision)
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -124,8 +124,8 @@
 	return news, g.revision > revision || g.releasedRevision > revision
 }
 
-// Hear applies what another instance knows.
-func (g *Grant) Hear(n News) {
+// ApplyUpdate applies what another instance knows.
+func (g *Grant) ApplyUpdate(n News) {
 	g.Release(n.Released)
 	switch {
 	case n.Revision == 0:
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -179,10 +179,10 @@
 	return g.grant.UpdateSince(revision)
 }
 
-// Hear applies what another instance knows. If that makes the grant unusable, work in
+// ApplyUpdate applies what another instance knows. If that makes the grant unusable, work in
 // progress may continue for as long as Enforce allows.
-func (g *Gate) Hear(n News) {
-	g.update(func(grant *Grant) { grant.Hear(n) })
+func (g *Gate) ApplyUpdate(n News) {
+	g.update(func(grant *Grant) { grant.ApplyUpdate(n) })
 }
 
 // updateUsability updates unusable and unusableSince. The caller holds mu.
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -274,7 +274,7 @@
 		other.attested[s.name] = other.now(w.trueTime)
 		if news, newer := other.grant.UpdateSince(known); newer {
 			objected = true
-			s.grant.Hear(news)
+			s.grant.ApplyUpdate(news)
 		}
 	}
 	w.trueTime += time.Duration(rapid.IntRange(0, 3000).Draw(w.t, "ms until the answers count")) * time.Millisecond
@@ -351,13 +351,13 @@
 	source.Release(6)
 	news, newer := source.UpdateSince(5)
 	must.True(t, newer)
-	receiver.Hear(news)
+	receiver.ApplyUpdate(news)
 	_, err := receiver.Primary(0)
 	must.Error(t, err, must.Sprint("a change is in progress"))
 	source.ApplyOutcome(Record{Primary: "b", Term: 2}, 6)
 	news, newer = source.UpdateSince(5)
 	must.True(t, newer)
-	receiver.Hear(news)
+	receiver.ApplyUpdate(news)
 	a, err := receiver.Primary(0)
 	must.NoError(t, err)
 	must.Eq(t, "b", a.Primary)
