--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -131,7 +131,7 @@
 			gate.ApplyUpdate(update)
 		}
 		if len(round.updates[known.Group]) == 0 && round.answers >= round.needed {
-			gate.Attest(sent, known.Revision)
+			gate.ConfirmByQuorum(sent, known.Revision)
 		}
 	}
 }
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -97,10 +97,10 @@
 	g.confirmedAt, g.storeAnswered = max(g.confirmedAt, sent), true
 }
 
-// Attest records that a quorum of instances, asked at that time, knew of no record newer
+// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record newer
 // than the one with this revision. It has no effect if the grant rests on another record by
 // now.
-func (g *Grant) Attest(sent time.Duration, revision int64) {
+func (g *Grant) ConfirmByQuorum(sent time.Duration, revision int64) {
 	if revision == g.revision {
 		g.attestedAt = max(g.attestedAt, sent)
 	}
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -162,12 +162,12 @@
 	g.updateUsability()
 }
 
-// Attest records that a quorum of instances, asked at that time, knew of no record newer
+// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record newer
 // than the one with this revision.
-func (g *Gate) Attest(sent time.Duration, revision int64) {
+func (g *Gate) ConfirmByQuorum(sent time.Duration, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.grant.Attest(sent, revision)
+	g.grant.ConfirmByQuorum(sent, revision)
 	g.updateUsability()
 }
 
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -279,7 +279,7 @@
 	}
 	w.trueTime += time.Duration(rapid.IntRange(0, 3000).Draw(w.t, "ms until the answers count")) * time.Millisecond
 	if !objected && answers >= AttestQuorum(len(w.instances)) {
-		s.grant.Attest(sent, known)
+		s.grant.ConfirmByQuorum(sent, known)
 	}
 }
 
@@ -320,7 +320,7 @@
 func TestGrantNeedsTheStore(t *testing.T) {
 	var g Grant
 	g.ApplyOutcome(Record{Primary: "a", Term: 1}, 5)
-	g.Attest(0, 5)
+	g.ConfirmByQuorum(0, 5)
 	must.False(t, g.Confirmed(0))
 	_, err := g.Primary(0)
 	must.Error(t, err)
@@ -330,13 +330,13 @@
 	var g Grant
 	g.ApplyRecord(Record{Primary: "a", Term: 1}, 5)
 	g.Confirm(0)
-	g.Attest(GrantValidity-1, 4)
+	g.ConfirmByQuorum(GrantValidity-1, 4)
 	must.False(t, g.Confirmed(GrantValidity), must.Sprint("attested for another record"))
 	for at := GrantValidity - 1; at < StorelessValidity; at += GrantValidity - 1 {
-		g.Attest(at, 5)
+		g.ConfirmByQuorum(at, 5)
 		must.True(t, g.Confirmed(min(at+GrantValidity, StorelessValidity)-1))
 	}
-	g.Attest(StorelessValidity, 5)
+	g.ConfirmByQuorum(StorelessValidity, 5)
 	_, err := g.Primary(StorelessValidity)
 	must.Error(t, err, must.Sprint("no answer of the store for too long"))
 }
