--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -55,7 +55,7 @@
 			return nil
 		}
 		i.relay.ReportFailures(false)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+		i.relay.Gates(func(_ string, g *lead.Gate) { g.AbortOverdue(enforceDrain) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
 			i.attest()
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -194,7 +194,7 @@
 
 // look does what the control goroutine does at each look.
 func (f *grownFleet) look() {
-	f.inst.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+	f.inst.relay.Gates(func(_ string, g *lead.Gate) { g.AbortOverdue(enforceDrain) })
 	f.inst.controller.Tick(context.Background())
 }
 
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -180,7 +180,7 @@
 }
 
 // ApplyUpdate applies what another instance knows. If that makes the grant unusable, work in
-// progress may continue for as long as Enforce allows.
+// progress may continue for as long as AbortOverdue allows.
 func (g *Gate) ApplyUpdate(n News) {
 	g.update(func(grant *Grant) { grant.ApplyUpdate(n) })
 }
@@ -243,9 +243,9 @@
 	}
 }
 
-// Enforce aborts work that is still running although the grant has been unusable for longer
+// AbortOverdue aborts work that is still running although the grant has been unusable for longer
 // than drain. It must be called regularly.
-func (g *Gate) Enforce(drain time.Duration) {
+func (g *Gate) AbortOverdue(drain time.Duration) {
 	g.mu.Lock()
 	g.updateUsability()
 	overdue := g.unusable && len(g.permits) > 0 && g.now()-g.unusableSince > drain
