--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -113,8 +113,8 @@
 	return g.changed
 }
 
-// LostFor returns for how long the grant has been unusable, 0 if it is usable.
-func (g *Gate) LostFor() time.Duration {
+// UnusableFor returns for how long the grant has been unusable, 0 if it is usable.
+func (g *Gate) UnusableFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.unusable {
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -22,7 +22,7 @@
 // outage notes that a statement met no primary, and returns for how much longer there
 // is expected to be none.
 func (g *groupState) outage(now time.Duration, gate *lead.Gate) time.Duration {
-	lost := gate.LostFor()
+	lost := gate.UnusableFor()
 	record, _ := gate.Record()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -40,7 +40,7 @@
 	record, _ := gate.Record()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.outages.learned.Left(gate.LostFor(), record.Change != nil)
+	return g.outages.learned.Left(gate.UnusableFor(), record.Change != nil)
 }
 
 // noteAuthority notes that the group has a primary.
