--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -154,7 +154,7 @@
 		return Authority{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
 	case g.revision < g.releasedRevision:
 		return Authority{}, fmt.Errorf("the grant was released for a change of primary")
-	case g.Over(now):
+	case g.Expired(now):
 		return Authority{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmedAt)
 	}
 	return a, nil
@@ -162,7 +162,7 @@
 
 // Usable reports whether Primary returns a primary instead of an error.
 func (g *Grant) Usable(now time.Duration) bool {
-	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.releasedRevision && !g.Over(now)
+	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.releasedRevision && !g.Expired(now)
 }
 
 // Confirmed reports whether it is certain that no other member has been promoted.
@@ -170,9 +170,9 @@
 	return g.storeAnswered && now-g.confirmedAt < StorelessValidity && now-max(g.confirmedAt, g.attestedAt) < GrantValidity
 }
 
-// Over reports whether the grant has expired: the store has never answered this instance,
+// Expired reports whether the grant has expired: the store has never answered this instance,
 // or its last answer is too old even for verified use of the primary.
-func (g *Grant) Over(now time.Duration) bool {
+func (g *Grant) Expired(now time.Duration) bool {
 	return !g.storeAnswered || !g.Confirmed(now) && now-g.confirmedAt >= VerifiableFor
 }
 
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -72,7 +72,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch now := g.now(); {
-	case p.aborted || g.grant.Over(now):
+	case p.aborted || g.grant.Expired(now):
 		return Revoked
 	case g.grant.Confirmed(now):
 		return Confirmed
