--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -59,8 +59,8 @@
 	Revision int64 // of the record that names the primary
 }
 
-// Covers reports whether a log position belongs to the term of this primary.
-func (a Authority) Covers(p group.Position) bool { return p.Term == a.Term }
+// SameTerm reports whether a log position belongs to the term of this primary.
+func (a Authority) SameTerm(p group.Position) bool { return p.Term == a.Term }
 
 // Grant is the state from which one instance decides whether it may use the primary of a
 // group: the latest known record, and when that was last confirmed. All times are on the
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -133,7 +133,7 @@
 		lagging := answer.Err != nil && answer.Err.Code == statement.Lagging
 		up.noteProgress(g.behind(r.now(), answer.Position), lagging, r.now())
 	}
-	if pass != nil && pass.Covers(answer.Position) && pass.Confirmed() {
+	if pass != nil && pass.SameTerm(answer.Position) && pass.Confirmed() {
 		g.note(asked, answer.Position)
 	}
 }
