--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -108,10 +108,10 @@
 
 // News is what an instance knows of a group beyond a given revision of its record.
 type News struct {
-	Record   Record
-	Revision int64 // 0: Record is not set
-	Settled  bool  // Record is the outcome of its change, as published by the leader
-	Released int64 // revision of the change for which the grant was released; 0: none
+	Record    Record
+	Revision  int64 // 0: Record is not set
+	IsOutcome bool  // Record is the outcome of its change, as published by the leader
+	Released  int64 // revision of the change for which the grant was released; 0: none
 }
 
 // UpdateSince returns what this instance knows beyond the record with this revision, and
@@ -119,7 +119,7 @@
 func (g *Grant) UpdateSince(revision int64) (News, bool) {
 	news := News{Released: g.releasedRevision}
 	if g.revision > revision {
-		news.Record, news.Revision, news.Settled = g.record, g.revision, g.isOutcome
+		news.Record, news.Revision, news.IsOutcome = g.record, g.revision, g.isOutcome
 	}
 	return news, g.revision > revision || g.releasedRevision > revision
 }
@@ -129,7 +129,7 @@
 	g.Release(n.Released)
 	switch {
 	case n.Revision == 0:
-	case n.Settled:
+	case n.IsOutcome:
 		g.ApplyOutcome(n.Record, n.Revision)
 	default:
 		g.ApplyRecord(n.Record, n.Revision)
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -74,7 +74,7 @@
 }
 
 func encodeUpdate(group string, n News) *leadpb.GroupNews {
-	news := &leadpb.GroupNews{Group: group, Revision: n.Revision, Settled: n.Settled, Released: n.Released}
+	news := &leadpb.GroupNews{Group: group, Revision: n.Revision, Settled: n.IsOutcome, Released: n.Released}
 	if n.Revision > 0 {
 		news.Record = encode(n.Record)
 	}
@@ -82,7 +82,7 @@
 }
 
 func decodeUpdate(news *leadpb.GroupNews) (News, error) {
-	n := News{Revision: news.Revision, Settled: news.Settled, Released: news.Released}
+	n := News{Revision: news.Revision, IsOutcome: news.Settled, Released: news.Released}
 	if n.Revision == 0 {
 		return n, nil
 	}
