--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -55,7 +55,7 @@
 			return nil
 		}
 		i.relay.ReportFailures(false)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.AbortOverdue(enforceDrain) })
+		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(enforceDrain) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
 			i.attest()
@@ -159,7 +159,7 @@
 	}
 	if c.Whole || len(c.Events) > 0 {
 		before := i.view.Swap(view)
-		i.relay.Gates(func(group string, g *lead.Gate) {
+		i.relay.Gates(func(group string, g *lead.PrimaryGuard) {
 			if record, revision := view.Record(group); revision > 0 {
 				g.ApplyRecord(record, revision)
 			}
@@ -182,7 +182,7 @@
 		i.relay.StartCarrying()
 		i.heardAt.Store(int64(c.Confirmed))
 		i.limiter.Confirm(c.Confirmed)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
+		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.Confirm(c.Confirmed) })
 	}
 }
 
@@ -329,9 +329,9 @@
 // surroundings gives the controller its picture of the instance.
 type surroundings struct{ i *Instance }
 
-func (s surroundings) Topology() *topology.Snapshot { return s.i.topology.Load() }
-func (s surroundings) View() *lead.View             { return s.i.view.Load() }
-func (s surroundings) Gate(group string) *lead.Gate { return s.i.relay.Gate(group) }
+func (s surroundings) Topology() *topology.Snapshot                 { return s.i.topology.Load() }
+func (s surroundings) View() *lead.View                             { return s.i.view.Load() }
+func (s surroundings) PrimaryGuard(group string) *lead.PrimaryGuard { return s.i.relay.Gate(group) }
 
 // leadAfterPerGroup is for how long after its registration an instance leaves groups without
 // a leader to others, for each group that there is. Instances that start together do not know
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -39,7 +39,7 @@
 	needed := AttestQuorum(len(registered))
 	req := &leadpb.AttestRequest{From: c.self.Name}
 	for _, group := range c.env.Carried() {
-		if _, revision := c.env.Gate(group).Record(); revision > 0 {
+		if _, revision := c.env.PrimaryGuard(group).Record(); revision > 0 {
 			req.Known = append(req.Known, &leadpb.GroupRevision{Group: group, Revision: revision})
 		}
 	}
@@ -121,7 +121,7 @@
 // answered, it confirms the grants for which no instance knows anything newer.
 func (c *Controller) applyAttestation(req *leadpb.AttestRequest, round *attestationRound, sent time.Duration) {
 	for _, known := range req.Known {
-		gate := c.env.Gate(known.Group)
+		gate := c.env.PrimaryGuard(known.Group)
 		for _, news := range round.updates[known.Group] {
 			update, err := decodeUpdate(news)
 			if err != nil {
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -64,7 +64,7 @@
 // startChange announces a change of primary in the record and executes it. A planned change
 // is skipped while no successor is in service or while it would wait for other instances.
 func (c *Controller) startChange(ctx context.Context, group string, g *ledGroup, reason string, planned bool) {
-	record, revision := c.env.Gate(group).Record()
+	record, revision := c.env.PrimaryGuard(group).Record()
 	change := Change{ID: uuid.NewString(), Reason: reason, Planned: planned}
 	record.Change = &change
 	log := c.log.WithFields(logrus.Fields{
@@ -169,7 +169,7 @@
 		cancel()
 		if err == nil {
 			g.leadershipProvenAt = sent
-			c.env.Gate(group).ApplyRecord(record, revision)
+			c.env.PrimaryGuard(group).ApplyRecord(record, revision)
 			return revision, nil
 		}
 		if errors.Is(err, kv.ErrUnavailable) {
@@ -181,7 +181,7 @@
 			return 0, fmt.Errorf("%w; reading back: %w", err, readErr)
 		case item.Revision != expected && bytes.Equal(item.Value, value):
 			g.leadershipProvenAt = sent
-			c.env.Gate(group).ApplyRecord(record, item.Revision)
+			c.env.PrimaryGuard(group).ApplyRecord(record, item.Revision)
 			return item.Revision, nil // the write took effect, and its response was lost
 		case item.Revision != expected || errors.As(err, new(*kv.ConflictError)):
 			return 0, fmt.Errorf("%w: %w", errNotLeader, err)
@@ -223,7 +223,7 @@
 // chooses a candidate, proves the leadership, and has the candidate promoted. It returns
 // which member is primary then.
 func (c *Controller) executeChange(ctx context.Context, group string, g *ledGroup, change Change) (*outcome, error) {
-	record, revision := c.env.Gate(group).Record()
+	record, revision := c.env.PrimaryGuard(group).Record()
 	if record.Change == nil || record.Change.ID != change.ID {
 		return nil, fmt.Errorf("%w: its record is another now", errNotLeader)
 	}
@@ -379,7 +379,7 @@
 	if c.throttle.isBlocked(c.now()) {
 		return
 	}
-	record, revision := c.env.Gate(group).Record()
+	record, revision := c.env.PrimaryGuard(group).Record()
 	record = c.findPrimary(ctx, record)
 	began := c.now()
 	if record.Primary == "" || !c.throttle.tryBegin(began) {
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -70,7 +70,7 @@
 	Topology() *topology.Snapshot
 	View() *View
 	Lease() kv.LeaseID // 0: the instance is currently not registered
-	Gate(group string) *Gate
+	PrimaryGuard(group string) *PrimaryGuard
 	// Heard returns how long ago a member last answered this instance, and whether it ever
 	// did.
 	Heard(member string) (time.Duration, bool)
@@ -372,7 +372,7 @@
 // watchPrimary does the next step for a group that this instance leads: it finishes a
 // change in progress, finds an unknown primary, or checks the primary.
 func (c *Controller) watchPrimary(ctx context.Context, group string, g *ledGroup) {
-	record, revision := c.env.Gate(group).Record()
+	record, revision := c.env.PrimaryGuard(group).Record()
 	if revision == 0 {
 		return
 	}
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Gate controls the use of a group's primary on one instance. Each piece of work holds a
-// Pass and is aborted when the grant ends. A Gate is safe for concurrent use.
-type Gate struct {
+// PrimaryGuard controls the use of a group's primary on one instance. Each piece of work holds a
+// Pass and is aborted when the grant ends. A PrimaryGuard is safe for concurrent use.
+type PrimaryGuard struct {
 	now func() time.Duration
 
 	mu            sync.Mutex // guards all fields below
@@ -21,8 +21,8 @@
 }
 
 // NewGate returns a guard without a grant. now is a monotonic clock.
-func NewGate(now func() time.Duration) *Gate {
-	g := &Gate{now: now, permits: make(map[*Pass]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
+func NewGate(now func() time.Duration) *PrimaryGuard {
+	g := &PrimaryGuard{now: now, permits: make(map[*Pass]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
 	close(g.idle)
 	g.unusable, g.unusableSince = true, now()
 	return g
@@ -31,7 +31,7 @@
 // Pass is the permission for one piece of work to use the primary.
 type Pass struct {
 	Authority
-	guard   *Gate
+	guard   *PrimaryGuard
 	abort   func()
 	aborted bool // guarded by gate.mu
 }
@@ -39,7 +39,7 @@
 // Acquire returns a permit, or an error that says why the primary cannot be used now. abort
 // is called from another goroutine when the work must be aborted. Done must be called in
 // any case.
-func (g *Gate) Acquire(abort func()) (*Pass, error) {
+func (g *PrimaryGuard) Acquire(abort func()) (*Pass, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a, err := g.grant.Primary(g.now())
@@ -100,21 +100,21 @@
 
 // Primary returns the primary that the instance may use now, or an error that says why
 // there is none.
-func (g *Gate) Primary() (Authority, error) {
+func (g *PrimaryGuard) Primary() (Authority, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.grant.Primary(g.now())
 }
 
 // Changed returns a channel that is closed on the next change of the grant.
-func (g *Gate) Changed() <-chan struct{} {
+func (g *PrimaryGuard) Changed() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.changed
 }
 
 // UnusableFor returns for how long the grant has been unusable, 0 if it is usable.
-func (g *Gate) UnusableFor() time.Duration {
+func (g *PrimaryGuard) UnusableFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.unusable {
@@ -124,7 +124,7 @@
 }
 
 // Record returns the latest known record of the group and its revision, 0 if there is none.
-func (g *Gate) Record() (Record, int64) {
+func (g *PrimaryGuard) Record() (Record, int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.grant.Record()
@@ -133,7 +133,7 @@
 // ApplyRecord applies a record read from the store. While the grant is usable, a record that is
 // already known does not close the Changed channel: on each change in the store an instance
 // applies the records of all groups again.
-func (g *Gate) ApplyRecord(record Record, revision int64) {
+func (g *PrimaryGuard) ApplyRecord(record Record, revision int64) {
 	if g.isCurrent(revision) {
 		return
 	}
@@ -142,7 +142,7 @@
 
 // isCurrent reports whether the grant is usable and rests on the record with this revision
 // or a later one.
-func (g *Gate) isCurrent(revision int64) bool {
+func (g *PrimaryGuard) isCurrent(revision int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.updateUsability()
@@ -150,12 +150,12 @@
 }
 
 // ApplyOutcome applies the outcome of a change that the leader published.
-func (g *Gate) ApplyOutcome(record Record, revision int64) {
+func (g *PrimaryGuard) ApplyOutcome(record Record, revision int64) {
 	g.update(func(grant *Grant) { grant.ApplyOutcome(record, revision) })
 }
 
 // Confirm records that a store call sent at that time returned no newer record.
-func (g *Gate) Confirm(sent time.Duration) {
+func (g *PrimaryGuard) Confirm(sent time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.grant.Confirm(sent)
@@ -164,7 +164,7 @@
 
 // ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record newer
 // than the one with this revision.
-func (g *Gate) ConfirmByQuorum(sent time.Duration, revision int64) {
+func (g *PrimaryGuard) ConfirmByQuorum(sent time.Duration, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.grant.ConfirmByQuorum(sent, revision)
@@ -173,7 +173,7 @@
 
 // UpdateSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
-func (g *Gate) UpdateSince(revision int64) (News, bool) {
+func (g *PrimaryGuard) UpdateSince(revision int64) (News, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.grant.UpdateSince(revision)
@@ -181,12 +181,12 @@
 
 // ApplyUpdate applies what another instance knows. If that makes the grant unusable, work in
 // progress may continue for as long as AbortOverdue allows.
-func (g *Gate) ApplyUpdate(n News) {
+func (g *PrimaryGuard) ApplyUpdate(n News) {
 	g.update(func(grant *Grant) { grant.ApplyUpdate(n) })
 }
 
 // updateUsability updates unusable and unusableSince. The caller holds mu.
-func (g *Gate) updateUsability() {
+func (g *PrimaryGuard) updateUsability() {
 	now := g.now()
 	if g.grant.Usable(now) {
 		g.unusable = false
@@ -195,7 +195,7 @@
 	}
 }
 
-func (g *Gate) update(change func(*Grant)) {
+func (g *PrimaryGuard) update(change func(*Grant)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.grant)
@@ -208,7 +208,7 @@
 // this revision. It returns nil once no work on the primary is in progress; work that is
 // still running after drain, or when ctx ends, is aborted. If ctx ends before all aborted
 // work has returned its permit, its error is returned.
-func (g *Gate) Release(ctx context.Context, revision int64, drain time.Duration) error {
+func (g *PrimaryGuard) Release(ctx context.Context, revision int64, drain time.Duration) error {
 	g.update(func(grant *Grant) { grant.Release(revision) })
 	g.mu.Lock()
 	idle := g.idle
@@ -231,7 +231,7 @@
 }
 
 // abortOutdated aborts the work of permits that the current grant does not cover.
-func (g *Gate) abortOutdated() {
+func (g *PrimaryGuard) abortOutdated() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a, err := g.grant.Primary(g.now())
@@ -245,7 +245,7 @@
 
 // AbortOverdue aborts work that is still running although the grant has been unusable for longer
 // than drain. It must be called regularly.
-func (g *Gate) AbortOverdue(drain time.Duration) {
+func (g *PrimaryGuard) AbortOverdue(drain time.Duration) {
 	g.mu.Lock()
 	g.updateUsability()
 	overdue := g.unusable && len(g.permits) > 0 && g.now()-g.unusableSince > drain
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -52,7 +52,7 @@
 // publish sends the outcome of a change to all instances that serve the group, before it is
 // in the store. Other instances do not need it at once, and read it from the store later.
 func (c *Controller) publish(ctx context.Context, group string, out *outcome) {
-	c.env.Gate(group).ApplyOutcome(out.record, out.revision)
+	c.env.PrimaryGuard(group).ApplyOutcome(out.record, out.revision)
 	req := &leadpb.PublishRequest{Group: group, Revision: out.revision, Record: encode(out.record)}
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -17,7 +17,7 @@
 type Server struct {
 	leadpb.UnimplementedCoordinationServer
 	incarnation     string
-	guardOf         func(group string) *Gate
+	guardOf         func(group string) *PrimaryGuard
 	hasReadStore    func() bool
 	now             func() time.Duration // monotonic, since the process started
 	sinceLastAnswer func(member string) (time.Duration, bool)
@@ -29,7 +29,7 @@
 // NewServer returns the server of a process. guardOf returns the guard of a group,
 // hasReadStore whether the process has read the store, now the time since the process
 // started, and sinceLastAnswer how long ago a member last answered, if it ever did.
-func NewServer(incarnation string, guardOf func(group string) *Gate, hasReadStore func() bool, now func() time.Duration, sinceLastAnswer func(member string) (time.Duration, bool)) *Server {
+func NewServer(incarnation string, guardOf func(group string) *PrimaryGuard, hasReadStore func() bool, now func() time.Duration, sinceLastAnswer func(member string) (time.Duration, bool)) *Server {
 	return &Server{incarnation: incarnation, guardOf: guardOf, hasReadStore: hasReadStore, now: now, sinceLastAnswer: sinceLastAnswer, attestedAt: make(map[string]time.Duration)}
 }
 
--- a/internal/relay/first.go
+++ b/internal/relay/first.go
@@ -23,7 +23,7 @@
 	account  string // whose connections it may use
 	token    quota.Token
 	group    *groupState
-	gate     *lead.Gate
+	gate     *lead.PrimaryGuard
 	arrived  time.Duration
 	deadline time.Duration // for the whole answer
 	reads    bool
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -21,7 +21,7 @@
 
 // outage notes that a statement met no primary, and returns for how much longer there
 // is expected to be none.
-func (g *groupState) outage(now time.Duration, gate *lead.Gate) time.Duration {
+func (g *groupState) outage(now time.Duration, gate *lead.PrimaryGuard) time.Duration {
 	lost := gate.UnusableFor()
 	record, _ := gate.Record()
 	g.mu.Lock()
@@ -36,7 +36,7 @@
 }
 
 // outageLeft returns for how much longer the group, which has no primary, is expected to have none.
-func (g *groupState) outageLeft(gate *lead.Gate) time.Duration {
+func (g *groupState) outageLeft(gate *lead.PrimaryGuard) time.Duration {
 	record, _ := gate.Record()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -40,7 +40,7 @@
 	known func(group string) Known
 
 	mu    sync.Mutex // guards gates and named
-	gates map[string]*lead.Gate
+	gates map[string]*lead.PrimaryGuard
 	named []namedGate // the same, only added to
 }
 
@@ -74,7 +74,7 @@
 	r := &Relay{
 		started: cfg.Started, self: cfg.Self.Name, near: cfg.Self.DataCentre, places: cfg.Places, topology: cfg.Topology, current: cfg.Current, known: cfg.Known,
 		limiter: cfg.Limiter, upstreams: cfg.Upstreams, log: cfg.Log, set: cfg.Metrics,
-		gates: make(map[string]*lead.Gate),
+		gates: make(map[string]*lead.PrimaryGuard),
 	}
 	r.carrierConns = newCarrierConns(cfg.Conns, r.now)
 	r.sampler = logs.NewLimiter(r.now)
@@ -83,7 +83,7 @@
 }
 
 // Gate returns the gate of a group's primary. The first use of a group here makes it.
-func (r *Relay) Gate(group string) *lead.Gate {
+func (r *Relay) Gate(group string) *lead.PrimaryGuard {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.gates[group]
@@ -105,11 +105,11 @@
 // namedGate is the gate of a group.
 type namedGate struct {
 	group string
-	gate  *lead.Gate
+	gate  *lead.PrimaryGuard
 }
 
 // Gates calls f with the gate of every group that was used here.
-func (r *Relay) Gates(f func(group string, g *lead.Gate)) {
+func (r *Relay) Gates(f func(group string, g *lead.PrimaryGuard)) {
 	r.mu.Lock()
 	named := r.named
 	r.mu.Unlock()
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -24,7 +24,7 @@
 type bench struct {
 	relay *Relay
 	group *membergroup.Group
-	gate  *lead.Gate
+	gate  *lead.PrimaryGuard
 
 	mu   sync.Mutex // guards snap
 	snap *topology.Snapshot
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -22,7 +22,7 @@
 	must.NoError(t, err)
 	must.Eq(t, lead.Authority{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
-	b.relay.Gates(func(string, *lead.Gate) { gates++ })
+	b.relay.Gates(func(string, *lead.PrimaryGuard) { gates++ })
 	must.Eq(t, 2, gates)
 	b.relay.known = func(string) Known { return Known{} }
 	_, err = b.relay.Gate("unknown").Primary()
