--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -87,7 +87,7 @@
 	for _, id := range []string{"m1", "m2"} {
 		state.SetMember(0, group.Entry(id), false)
 	}
-	f := &fakeEnvironment{name: name, view: NewView(), gate: NewGate(now), topology: state.Snapshot()}
+	f := &fakeEnvironment{name: name, view: NewView(), gate: NewPrimaryGuard(now), topology: state.Snapshot()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	self := Instance{Name: name, Incarnation: name + "-1"}
@@ -264,7 +264,7 @@
 // unusable.
 func TestKnownRecordDoesNotWakeWaiters(t *testing.T) {
 	now := time.Duration(0)
-	g := NewGate(func() time.Duration { return now })
+	g := NewPrimaryGuard(func() time.Duration { return now })
 	record := Record{Group: "g", Primary: "m1", Term: 1}
 	woken := func(changed <-chan struct{}) bool {
 		select {
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -20,8 +20,8 @@
 	unusable      bool
 }
 
-// NewGate returns a guard without a grant. now is a monotonic clock.
-func NewGate(now func() time.Duration) *PrimaryGuard {
+// NewPrimaryGuard returns a guard without a grant. now is a monotonic clock.
+func NewPrimaryGuard(now func() time.Duration) *PrimaryGuard {
 	g := &PrimaryGuard{now: now, permits: make(map[*Pass]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
 	close(g.idle)
 	g.unusable, g.unusableSince = true, now()
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -107,7 +107,7 @@
 // How long a change took is learned by the statements that it kept waiting.
 func TestLengthOfOutagesIsLearned(t *testing.T) {
 	g := &groupState{}
-	gate := lead.NewGate(func() time.Duration { return 300 * time.Millisecond })
+	gate := lead.NewPrimaryGuard(func() time.Duration { return 300 * time.Millisecond })
 	gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
 	g.outage(300*time.Millisecond, gate)
 	g.noteAuthority(320 * time.Millisecond)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -88,7 +88,7 @@
 	defer r.mu.Unlock()
 	g := r.gates[group]
 	if g == nil {
-		g = lead.NewGate(r.now)
+		g = lead.NewPrimaryGuard(r.now)
 		// Under the lock: whoever learns more afterwards finds the gate and tells it.
 		if known := r.known(group); known.Revision > 0 {
 			g.ApplyRecord(known.Record, known.Revision)
