--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -7,13 +7,13 @@
 )
 
 // PrimaryGuard controls the use of a group's primary on one instance. Each piece of work holds a
-// Pass and is aborted when the grant ends. A PrimaryGuard is safe for concurrent use.
+// Permit and is aborted when the grant ends. A PrimaryGuard is safe for concurrent use.
 type PrimaryGuard struct {
 	now func() time.Duration
 
 	mu            sync.Mutex // guards all fields below
 	grant         Grant
-	permits       map[*Pass]struct{}
+	permits       map[*Permit]struct{}
 	changed       chan struct{} // closed on each change of the grant
 	idle          chan struct{} // closed while no permit is held
 	unusableSince time.Duration // when the grant became unusable; meaningful while unusable
@@ -22,14 +22,14 @@
 
 // NewPrimaryGuard returns a guard without a grant. now is a monotonic clock.
 func NewPrimaryGuard(now func() time.Duration) *PrimaryGuard {
-	g := &PrimaryGuard{now: now, permits: make(map[*Pass]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
+	g := &PrimaryGuard{now: now, permits: make(map[*Permit]struct{}), changed: make(chan struct{}), idle: make(chan struct{})}
 	close(g.idle)
 	g.unusable, g.unusableSince = true, now()
 	return g
 }
 
-// Pass is the permission for one piece of work to use the primary.
-type Pass struct {
+// Permit is the permission for one piece of work to use the primary.
+type Permit struct {
 	Authority
 	guard   *PrimaryGuard
 	abort   func()
@@ -39,14 +39,14 @@
 // Acquire returns a permit, or an error that says why the primary cannot be used now. abort
 // is called from another goroutine when the work must be aborted. Done must be called in
 // any case.
-func (g *PrimaryGuard) Acquire(abort func()) (*Pass, error) {
+func (g *PrimaryGuard) Acquire(abort func()) (*Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a, err := g.grant.Primary(g.now())
 	if err != nil {
 		return nil, err
 	}
-	p := &Pass{Authority: a, guard: g, abort: abort}
+	p := &Permit{Authority: a, guard: g, abort: abort}
 	if len(g.permits) == 0 {
 		g.idle = make(chan struct{})
 	}
@@ -67,7 +67,7 @@
 // State returns whether an answer that arrives now may be passed on. A release of the
 // grant in progress does not change the result, because the release waits until the permit
 // is returned.
-func (p *Pass) State() Standing {
+func (p *Permit) State() Standing {
 	g := p.guard
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,10 +82,10 @@
 
 // Confirmed reports whether an answer that arrives now may be passed on without verification by
 // the other members.
-func (p *Pass) Confirmed() bool { return p.State() == Confirmed }
+func (p *Permit) Confirmed() bool { return p.State() == Confirmed }
 
 // Done returns the permit. Further calls have no effect.
-func (p *Pass) Done() {
+func (p *Permit) Done() {
 	g := p.guard
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -1,7 +1,7 @@
 // Package lead elects one instance as the leader of each database group. The leader decides
 // which member of the group is the primary. The package also decides which instances may
 // use that primary. The instance's main loop (package fleet) runs the Controller, and
-// package relay acquires a Pass from a PrimaryGuard for each piece of work on a primary.
+// package relay acquires a Permit from a PrimaryGuard for each piece of work on a primary.
 //
 // Any number of instances may write to the same primary, since its log orders their writes.
 // The only danger is work on an old primary after another member was promoted. The
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -147,7 +147,7 @@
 
 // mayWrite reports whether work that may write can be sent to the primary: the
 // grant is confirmed, or the members could verify it a moment ago.
-func (a *attempt) mayWrite(pass *lead.Pass) bool {
+func (a *attempt) mayWrite(pass *lead.Permit) bool {
 	return a.reads || pass.State() == lead.Confirmed || a.group.verifiedLately(a.now()) ||
 		a.s.relay.verify(a.ctx, a.group, pass.Authority, false)
 }
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -42,7 +42,7 @@
 // target is a member that is to run a statement.
 type target struct {
 	up      *upstream
-	pass    *lead.Pass     // for the primary; nil: a replica
+	pass    *lead.Permit   // for the primary; nil: a replica
 	breaker *breaker       // with a pass only
 	after   group.Position // that its log must hold; zero: any
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -127,7 +127,7 @@
 
 // noteAnswer takes in what an answer tells of its member. Under a pass the
 // member is the primary, and its position is a sample.
-func (r *Relay) noteAnswer(up *upstream, g *groupState, pass *lead.Pass, asked time.Duration, answer statement.Answer) {
+func (r *Relay) noteAnswer(up *upstream, g *groupState, pass *lead.Permit, asked time.Duration, answer statement.Answer) {
 	up.noteAnswer(asked, r.now(), answer.Position)
 	if pass == nil && !answer.Position.IsZero() {
 		lagging := answer.Err != nil && answer.Err.Code == statement.Lagging
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -40,7 +40,7 @@
 type transaction struct {
 	up    *upstream
 	held  *hold
-	pass  *lead.Pass // nil on a replica
+	pass  *lead.Permit // nil on a replica
 	group *groupState
 	route topology.Route
 	wrote bool
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -55,7 +55,7 @@
 
 // stands reports whether an answer of the primary, to a read or to what writes, may be
 // passed on. Where the grant is not confirmed the members are asked.
-func (r *Relay) stands(g *groupState, pass *lead.Pass, reads bool) bool {
+func (r *Relay) stands(g *groupState, pass *lead.Permit, reads bool) bool {
 	switch pass.State() {
 	case lead.Confirmed:
 		return true
