--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -52,15 +52,15 @@
 // from the view of an instance that does not know those that joined recently.
 func ReleaseQuorum(registered, joined int) int { return registered - (registered-joined)/2 }
 
-// Authority identifies the primary that an instance may use.
-type Authority struct {
+// PrimaryRef identifies the primary that an instance may use.
+type PrimaryRef struct {
 	Primary  string
 	Term     uint64
 	Revision int64 // of the record that names the primary
 }
 
 // SameTerm reports whether a log position belongs to the term of this primary.
-func (a Authority) SameTerm(p group.Position) bool { return p.Term == a.Term }
+func (a PrimaryRef) SameTerm(p group.Position) bool { return p.Term == a.Term }
 
 // Grant is the state from which one instance decides whether it may use the primary of a
 // group: the latest known record, and when that was last confirmed. All times are on the
@@ -145,17 +145,17 @@
 // is none. Unless the grant is Confirmed, each answer of the primary must be verified
 // before it is passed on: the other members, any of which could have been promoted
 // meanwhile, must confirm that they are not primary.
-func (g *Grant) Primary(now time.Duration) (Authority, error) {
-	a := Authority{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
+func (g *Grant) Primary(now time.Duration) (PrimaryRef, error) {
+	a := PrimaryRef{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
 	switch {
 	case g.revision == 0 || a.Primary == "":
-		return Authority{}, fmt.Errorf("no primary is known")
+		return PrimaryRef{}, fmt.Errorf("no primary is known")
 	case g.record.Change != nil:
-		return Authority{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
+		return PrimaryRef{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
 	case g.revision < g.releasedRevision:
-		return Authority{}, fmt.Errorf("the grant was released for a change of primary")
+		return PrimaryRef{}, fmt.Errorf("the grant was released for a change of primary")
 	case g.Expired(now):
-		return Authority{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmedAt)
+		return PrimaryRef{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmedAt)
 	}
 	return a, nil
 }
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -30,7 +30,7 @@
 
 // Permit is the permission for one piece of work to use the primary.
 type Permit struct {
-	Authority
+	PrimaryRef
 	guard   *PrimaryGuard
 	abort   func()
 	aborted bool // guarded by gate.mu
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Permit{Authority: a, guard: g, abort: abort}
+	p := &Permit{PrimaryRef: a, guard: g, abort: abort}
 	if len(g.permits) == 0 {
 		g.idle = make(chan struct{})
 	}
@@ -100,7 +100,7 @@
 
 // Primary returns the primary that the instance may use now, or an error that says why
 // there is none.
-func (g *PrimaryGuard) Primary() (Authority, error) {
+func (g *PrimaryGuard) Primary() (PrimaryRef, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.grant.Primary(g.now())
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -291,7 +291,7 @@
 	g.Confirm(0)
 	a, err := g.Primary(GrantValidity - 1)
 	must.NoError(t, err)
-	must.Eq(t, Authority{Primary: "a", Term: 1, Revision: 5}, a)
+	must.Eq(t, PrimaryRef{Primary: "a", Term: 1, Revision: 5}, a)
 	must.True(t, g.Confirmed(GrantValidity-1))
 	must.False(t, g.Confirmed(GrantValidity))
 	_, err = g.Primary(VerifiableFor - 1)
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -149,5 +149,5 @@
 // grant is confirmed, or the members could verify it a moment ago.
 func (a *attempt) mayWrite(pass *lead.Permit) bool {
 	return a.reads || pass.State() == lead.Confirmed || a.group.verifiedLately(a.now()) ||
-		a.s.relay.verify(a.ctx, a.group, pass.Authority, false)
+		a.s.relay.verify(a.ctx, a.group, pass.PrimaryRef, false)
 }
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -20,7 +20,7 @@
 	}
 	a, err := b.relay.Gate("later").Primary()
 	must.NoError(t, err)
-	must.Eq(t, lead.Authority{Primary: "m7", Term: 3, Revision: 9}, a)
+	must.Eq(t, lead.PrimaryRef{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
 	b.relay.Gates(func(string, *lead.PrimaryGuard) { gates++ })
 	must.Eq(t, 2, gates)
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -32,7 +32,7 @@
 // round is a round of questions to the members of a group, shared by all who wait
 // for one that begins after they asked.
 type round struct {
-	authority lead.Authority
+	authority lead.PrimaryRef
 	done      chan struct{} // closed at the end
 	reads     bool          // an answer to a read waits for it; guarded by the group's mu until it begins
 	ok        bool          // no other member leads; valid once done is closed
@@ -60,7 +60,7 @@
 	case lead.Confirmed:
 		return true
 	case lead.Unconfirmed:
-		return r.verify(context.Background(), g, pass.Authority, reads)
+		return r.verify(context.Background(), g, pass.PrimaryRef, reads)
 	}
 	return false
 }
@@ -70,7 +70,7 @@
 // primary; one that does not answer might lead. For a read it asks the primary as well: one
 // that has stepped down refuses to write, and would go on reading while a member leads of
 // which this instance does not know. Once ctx has ended it is not waited for.
-func (r *Relay) verify(ctx context.Context, g *groupState, a lead.Authority, reads bool) bool {
+func (r *Relay) verify(ctx context.Context, g *groupState, a lead.PrimaryRef, reads bool) bool {
 	g.mu.Lock()
 	wanted := g.verifier.next
 	if wanted == nil {
@@ -152,7 +152,7 @@
 }
 
 // leads reports whether the primary of an authority says that it leads.
-func (r *Relay) leads(a lead.Authority) bool {
+func (r *Relay) leads(a lead.PrimaryRef) bool {
 	status, err := r.upstreams.status(a.Primary, verifyTimeout)
 	if err == nil && status.Primary && status.Term == a.Term {
 		return true
@@ -167,7 +167,7 @@
 
 // follows reports whether a member says that it does not lead, in the term of an
 // authority or before.
-func (r *Relay) follows(m topology.Member, a lead.Authority) bool {
+func (r *Relay) follows(m topology.Member, a lead.PrimaryRef) bool {
 	log := func() *logrus.Entry {
 		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": a.Primary, "term": a.Term, "record": a.Revision})
 	}
