--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -54,20 +54,20 @@
 	return p, nil
 }
 
-// Standing says whether an answer of the primary may be passed on to the client.
-type Standing int
+// PermitState says whether an answer of the primary may be passed on to the client.
+type PermitState int
 
 // The states of a permit.
 const (
-	Revoked     Standing = iota // no: the work was aborted, or the grant has expired
-	Unconfirmed                 // only after each other member has confirmed that it is not primary
-	Confirmed                   // yes
+	Revoked     PermitState = iota // no: the work was aborted, or the grant has expired
+	Unconfirmed                    // only after each other member has confirmed that it is not primary
+	Confirmed                      // yes
 )
 
 // State returns whether an answer that arrives now may be passed on. A release of the
 // grant in progress does not change the result, because the release waits until the permit
 // is returned.
-func (p *Permit) State() Standing {
+func (p *Permit) State() PermitState {
 	g := p.guard
 	g.mu.Lock()
 	defer g.mu.Unlock()
