--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -154,7 +154,7 @@
 	aroundSecond.refresh(t, store.Client())
 	announced, revision := aroundSecond.gate.Record()
 	announced.Change = &Change{ID: "x", Planned: true}
-	around.gate.ApplyUpdate(News{Record: announced, Revision: revision + 1})
+	around.gate.ApplyUpdate(GroupUpdate{Record: announced, Revision: revision + 1})
 
 	first.watchPrimary(t.Context(), "g", led)
 	must.Nil(t, led.outcome)
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// News is what an instance knows of a group beyond a given revision of its record.
-type News struct {
+// GroupUpdate is what an instance knows of a group beyond a given revision of its record.
+type GroupUpdate struct {
 	Record    Record
 	Revision  int64 // 0: Record is not set
 	IsOutcome bool  // Record is the outcome of its change, as published by the leader
@@ -116,8 +116,8 @@
 
 // UpdateSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
-func (g *Grant) UpdateSince(revision int64) (News, bool) {
-	news := News{Released: g.releasedRevision}
+func (g *Grant) UpdateSince(revision int64) (GroupUpdate, bool) {
+	news := GroupUpdate{Released: g.releasedRevision}
 	if g.revision > revision {
 		news.Record, news.Revision, news.IsOutcome = g.record, g.revision, g.isOutcome
 	}
@@ -125,7 +125,7 @@
 }
 
 // ApplyUpdate applies what another instance knows.
-func (g *Grant) ApplyUpdate(n News) {
+func (g *Grant) ApplyUpdate(n GroupUpdate) {
 	g.Release(n.Released)
 	switch {
 	case n.Revision == 0:
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -173,7 +173,7 @@
 
 // UpdateSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
-func (g *PrimaryGuard) UpdateSince(revision int64) (News, bool) {
+func (g *PrimaryGuard) UpdateSince(revision int64) (GroupUpdate, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.grant.UpdateSince(revision)
@@ -181,7 +181,7 @@
 
 // ApplyUpdate applies what another instance knows. If that makes the grant unusable, work in
 // progress may continue for as long as AbortOverdue allows.
-func (g *PrimaryGuard) ApplyUpdate(n News) {
+func (g *PrimaryGuard) ApplyUpdate(n GroupUpdate) {
 	g.update(func(grant *Grant) { grant.ApplyUpdate(n) })
 }
 
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -73,7 +73,7 @@
 	return reply, nil
 }
 
-func encodeUpdate(group string, n News) *leadpb.GroupNews {
+func encodeUpdate(group string, n GroupUpdate) *leadpb.GroupNews {
 	news := &leadpb.GroupNews{Group: group, Revision: n.Revision, Settled: n.IsOutcome, Released: n.Released}
 	if n.Revision > 0 {
 		news.Record = encode(n.Record)
@@ -81,8 +81,8 @@
 	return news
 }
 
-func decodeUpdate(news *leadpb.GroupNews) (News, error) {
-	n := News{Revision: news.Revision, IsOutcome: news.Settled, Released: news.Released}
+func decodeUpdate(news *leadpb.GroupNews) (GroupUpdate, error) {
+	n := GroupUpdate{Revision: news.Revision, IsOutcome: news.Settled, Released: news.Released}
 	if n.Revision == 0 {
 		return n, nil
 	}
