--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -254,7 +254,7 @@
 // noticed within a time. A watch can be deaf: when the store forgets its history,
 // one that waits is told neither of changes nor of that. So each must end in time.
 func watchTime(silence time.Duration) time.Duration {
-	return min(max(minWatchTime, silence-watchSlack-watchMargin), lead.ConfirmEvery)
+	return min(max(minWatchTime, silence-watchSlack-watchMargin), lead.ConfirmInterval)
 }
 
 // watchOnce waits for changes after a revision. rest is for how long the follower
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -14,12 +14,12 @@
 	// answered. A change of primary waits as long for an instance that cannot be reached.
 	// Together with the time to detect a failure (0.9 s), maxWatchGap and the promotion,
 	// that keeps a change within the 6 s that the project promises. GrantValidity is three
-	// times ConfirmEvery, so that in normal operation no grant lapses.
-	GrantValidity = 3 * ConfirmEvery
-	// ConfirmEvery is the interval after which the store is asked again if nothing has
+	// times ConfirmInterval, so that in normal operation no grant lapses.
+	GrantValidity = 3 * ConfirmInterval
+	// ConfirmInterval is the interval after which the store is asked again if nothing has
 	// changed. Each store call is billed, and the few instances that watch the store make
 	// these calls on behalf of all.
-	ConfirmEvery = time.Second
+	ConfirmInterval = time.Second
 	// VerifiableFor is how long after the last answer of the store an instance may use a
 	// primary under an unconfirmed grant, with each answer verified by the members. It
 	// bounds how outdated the instance's list of members can be: a member that has been
