--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -19,7 +19,7 @@
 
 // departedMemory is for how long an instance that does not hear of the store reckons
 // with the return of a member: as long as it may use a primary then.
-const departedMemory = 2 * lead.VerifiableFor
+const departedMemory = 2 * lead.UnconfirmedUseLimit
 
 // control holds the control state: it takes in what the follower learned,
 // publishes snapshots, and looks at what is due.
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -284,7 +284,7 @@
 	g.Confirm(now)
 	must.False(t, wakes(1))
 	must.True(t, wakes(2))
-	now += VerifiableFor + time.Second
+	now += UnconfirmedUseLimit + time.Second
 	must.True(t, wakes(2), must.Sprint("the grant has expired"))
 }
 
@@ -299,7 +299,7 @@
 		} {
 			var g Grant
 			change(&g)
-			for _, now := range []time.Duration{time.Second, time.Second + VerifiableFor} {
+			for _, now := range []time.Duration{time.Second, time.Second + UnconfirmedUseLimit} {
 				_, err := g.Primary(now)
 				must.Eq(t, err == nil, g.Usable(now))
 			}
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -20,11 +20,11 @@
 	// changed. Each store call is billed, and the few instances that watch the store make
 	// these calls on behalf of all.
 	ConfirmInterval = time.Second
-	// VerifiableFor is how long after the last answer of the store an instance may use a
+	// UnconfirmedUseLimit is how long after the last answer of the store an instance may use a
 	// primary under an unconfirmed grant, with each answer verified by the members. It
 	// bounds how outdated the instance's list of members can be: a member that has been
 	// known for a shorter time is not promoted while such an instance may exist.
-	VerifiableFor = 12 * time.Second
+	UnconfirmedUseLimit = 12 * time.Second
 	// StorelessValidity is how long after the last answer of the store attestations can
 	// confirm a grant. It bounds how outdated the list of registered instances can be.
 	StorelessValidity = 30 * time.Second
@@ -36,7 +36,7 @@
 	// leader waits, on its own clock, until the limits above have certainly passed on the
 	// clock of another instance.
 	grantLapseTime          = GrantValidity + GrantValidity/clockDriftDivisor + maxWatchGap
-	unconfirmedUseLapseTime = VerifiableFor + VerifiableFor/clockDriftDivisor + maxWatchGap
+	unconfirmedUseLapseTime = UnconfirmedUseLimit + UnconfirmedUseLimit/clockDriftDivisor + maxWatchGap
 	attestedUseLapseTime    = StorelessValidity + StorelessValidity/clockDriftDivisor + maxWatchGap
 	// maxWatchGap is how long a watch may miss a change before the store reports that its
 	// history is gone.
@@ -173,7 +173,7 @@
 // Expired reports whether the grant has expired: the store has never answered this instance,
 // or its last answer is too old even for verified use of the primary.
 func (g *Grant) Expired(now time.Duration) bool {
-	return !g.storeAnswered || !g.Confirmed(now) && now-g.confirmedAt >= VerifiableFor
+	return !g.storeAnswered || !g.Confirmed(now) && now-g.confirmedAt >= UnconfirmedUseLimit
 }
 
 // Changing returns the change in progress, nil if there is none.
