--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -90,7 +90,7 @@
 	// most instances goes on to call itself ready. It serves reads of replicas for as
 	// long as it likes, and the primary as far as the members verify its grants; sending
 	// its callers elsewhere at once would burden the others for each short outage.
-	readyWithout = lead.StorelessValidity / 2
+	readyWithout = lead.AttestedUseLimit / 2
 	// enforceDrain is how long open work may outlast a grant that ended without a
 	// release: the same as a planned change gives it.
 	enforceDrain = 500 * time.Millisecond
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -25,9 +25,9 @@
 	// bounds how outdated the instance's list of members can be: a member that has been
 	// known for a shorter time is not promoted while such an instance may exist.
 	UnconfirmedUseLimit = 12 * time.Second
-	// StorelessValidity is how long after the last answer of the store attestations can
+	// AttestedUseLimit is how long after the last answer of the store attestations can
 	// confirm a grant. It bounds how outdated the list of registered instances can be.
-	StorelessValidity = 30 * time.Second
+	AttestedUseLimit = 30 * time.Second
 	// clockDriftDivisor is the divisor for the difference in rate that is allowed between two
 	// monotonic clocks: 1/40 = 2.5%. That covers two clocks that are each off by 1%, far
 	// more than quartz clocks show.
@@ -37,7 +37,7 @@
 	// clock of another instance.
 	grantLapseTime          = GrantValidity + GrantValidity/clockDriftDivisor + maxWatchGap
 	unconfirmedUseLapseTime = UnconfirmedUseLimit + UnconfirmedUseLimit/clockDriftDivisor + maxWatchGap
-	attestedUseLapseTime    = StorelessValidity + StorelessValidity/clockDriftDivisor + maxWatchGap
+	attestedUseLapseTime    = AttestedUseLimit + AttestedUseLimit/clockDriftDivisor + maxWatchGap
 	// maxWatchGap is how long a watch may miss a change before the store reports that its
 	// history is gone.
 	maxWatchGap = time.Second
@@ -167,7 +167,7 @@
 
 // Confirmed reports whether it is certain that no other member has been promoted.
 func (g *Grant) Confirmed(now time.Duration) bool {
-	return g.storeAnswered && now-g.confirmedAt < StorelessValidity && now-max(g.confirmedAt, g.attestedAt) < GrantValidity
+	return g.storeAnswered && now-g.confirmedAt < AttestedUseLimit && now-max(g.confirmedAt, g.attestedAt) < GrantValidity
 }
 
 // Expired reports whether the grant has expired: the store has never answered this instance,
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -332,12 +332,12 @@
 	g.Confirm(0)
 	g.ConfirmByQuorum(GrantValidity-1, 4)
 	must.False(t, g.Confirmed(GrantValidity), must.Sprint("attested for another record"))
-	for at := GrantValidity - 1; at < StorelessValidity; at += GrantValidity - 1 {
+	for at := GrantValidity - 1; at < AttestedUseLimit; at += GrantValidity - 1 {
 		g.ConfirmByQuorum(at, 5)
-		must.True(t, g.Confirmed(min(at+GrantValidity, StorelessValidity)-1))
+		must.True(t, g.Confirmed(min(at+GrantValidity, AttestedUseLimit)-1))
 	}
-	g.ConfirmByQuorum(StorelessValidity, 5)
-	_, err := g.Primary(StorelessValidity)
+	g.ConfirmByQuorum(AttestedUseLimit, 5)
+	_, err := g.Primary(AttestedUseLimit)
 	must.Error(t, err, must.Sprint("no answer of the store for too long"))
 }
 
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -126,7 +126,7 @@
 
 // hasLapsed reports whether an instance has been without a lease for so long that its grants
 // have lapsed: since its lease ended no answer of the store has confirmed them, and
-// attestations can replace the store only for StorelessValidity.
+// attestations can replace the store only for AttestedUseLimit.
 func (r *registry) hasLapsed(now time.Duration, name string) bool {
 	since, missing := r.missingSince[name]
 	return missing && now-since > attestedUseLapseTime
