--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -71,9 +71,9 @@
 	View() *View
 	Lease() kv.LeaseID // 0: the instance is currently not registered
 	PrimaryGuard(group string) *PrimaryGuard
-	// Heard returns how long ago a member last answered this instance, and whether it ever
+	// SinceLastAnswer returns how long ago a member last answered this instance, and whether it ever
 	// did.
-	Heard(member string) (time.Duration, bool)
+	SinceLastAnswer(member string) (time.Duration, bool)
 	// Doubtful reports whether an attempt of this instance at a member has gone unanswered
 	// since the member's last answer.
 	Doubtful(member string) bool
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -34,14 +34,14 @@
 	servesNone bool // the instance does not serve the group
 }
 
-func (f *fakeEnvironment) Topology() *topology.Snapshot       { return f.topology }
-func (f *fakeEnvironment) View() *View                        { return f.view }
-func (f *fakeEnvironment) Lease() kv.LeaseID                  { return f.lease }
-func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard  { return f.gate }
-func (f *fakeEnvironment) Heard(string) (time.Duration, bool) { return 0, false }
-func (f *fakeEnvironment) Doubtful(string) bool               { return false }
-func (f *fakeEnvironment) NoteAnswer(string)                  {}
-func (f *fakeEnvironment) Carries(string) bool                { return !f.servesNone }
+func (f *fakeEnvironment) Topology() *topology.Snapshot                 { return f.topology }
+func (f *fakeEnvironment) View() *View                                  { return f.view }
+func (f *fakeEnvironment) Lease() kv.LeaseID                            { return f.lease }
+func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard            { return f.gate }
+func (f *fakeEnvironment) SinceLastAnswer(string) (time.Duration, bool) { return 0, false }
+func (f *fakeEnvironment) Doubtful(string) bool                         { return false }
+func (f *fakeEnvironment) NoteAnswer(string)                            {}
+func (f *fakeEnvironment) Carries(string) bool                          { return !f.servesNone }
 func (f *fakeEnvironment) Carried() []string {
 	if f.servesNone {
 		return nil
@@ -92,7 +92,7 @@
 	log.SetOutput(io.Discard)
 	self := Instance{Name: name, Incarnation: name + "-1"}
 	conns := peerconn.New()
-	own := NewServer(self.Incarnation, f.PrimaryGuard, func() bool { return true }, now, f.Heard)
+	own := NewServer(self.Incarnation, f.PrimaryGuard, func() bool { return true }, now, f.SinceLastAnswer)
 	c := NewController(Config{
 		Self: self, Own: own, Peers: conns, Store: store, Promoter: group, Dialer: group, Around: f, DrainTime: 10 * time.Second,
 		Now: now, Spawn: func(task func()) { task() }, Log: log.WithField("part", "lead"),
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -17,7 +17,7 @@
 // if it is dead. While the primary is healthy, checkHealth gives up the leadership if this
 // instance does not serve the group, and replaces a primary that is overloaded.
 func (c *Controller) checkHealth(ctx context.Context, group string, g *ledGroup, primary topology.Member) {
-	age, answered := c.env.Heard(primary.ID)
+	age, answered := c.env.SinceLastAnswer(primary.ID)
 	now := c.now()
 	if answered && age < probeAfter && !c.env.Doubtful(primary.ID) && c.probeConnOpen(g, primary) {
 		g.refusedInRow, g.unresponsive, g.unansweredSince = 0, false, 0
@@ -49,7 +49,7 @@
 	if g.unansweredSince == 0 {
 		g.unansweredSince = now
 	}
-	age, answered = c.env.Heard(primary.ID)
+	age, answered = c.env.SinceLastAnswer(primary.ID)
 	if !isDead(g.refusedInRow, g.unresponsive, age, answered, now-g.tookOverAt) {
 		return
 	}
