--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -359,9 +359,9 @@
 func (s surroundings) SinceLastAnswer(id string) (time.Duration, bool) {
 	return s.i.upstreams.Heard(id)
 }
-func (s surroundings) Doubtful(id string) bool   { return s.i.upstreams.Doubtful(id) }
-func (s surroundings) Carries(group string) bool { return s.i.relay.Carries(group) }
-func (s surroundings) Carried() []string         { return s.i.relay.Carried() }
+func (s surroundings) HasUnansweredAttempt(id string) bool { return s.i.upstreams.Doubtful(id) }
+func (s surroundings) Carries(group string) bool           { return s.i.relay.Carries(group) }
+func (s surroundings) Carried() []string                   { return s.i.relay.Carried() }
 
 func (s surroundings) Rank(group string, most int) int {
 	carriers := s.i.relay.CarriersOf(group)
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -74,9 +74,9 @@
 	// SinceLastAnswer returns how long ago a member last answered this instance, and whether it ever
 	// did.
 	SinceLastAnswer(member string) (time.Duration, bool)
-	// Doubtful reports whether an attempt of this instance at a member has gone unanswered
+	// HasUnansweredAttempt reports whether an attempt of this instance at a member has gone unanswered
 	// since the member's last answer.
-	Doubtful(member string) bool
+	HasUnansweredAttempt(member string) bool
 	// Carried returns the sorted names of the groups that this instance serves, which means
 	// that it connects to their members itself. The caller must not modify the slice.
 	Carried() []string
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -39,7 +39,7 @@
 func (f *fakeEnvironment) Lease() kv.LeaseID                            { return f.lease }
 func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard            { return f.gate }
 func (f *fakeEnvironment) SinceLastAnswer(string) (time.Duration, bool) { return 0, false }
-func (f *fakeEnvironment) Doubtful(string) bool                         { return false }
+func (f *fakeEnvironment) HasUnansweredAttempt(string) bool             { return false }
 func (f *fakeEnvironment) NoteAnswer(string)                            {}
 func (f *fakeEnvironment) Carries(string) bool                          { return !f.servesNone }
 func (f *fakeEnvironment) Carried() []string {
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -19,7 +19,7 @@
 func (c *Controller) checkHealth(ctx context.Context, group string, g *ledGroup, primary topology.Member) {
 	age, answered := c.env.SinceLastAnswer(primary.ID)
 	now := c.now()
-	if answered && age < probeAfter && !c.env.Doubtful(primary.ID) && c.probeConnOpen(g, primary) {
+	if answered && age < probeAfter && !c.env.HasUnansweredAttempt(primary.ID) && c.probeConnOpen(g, primary) {
 		g.refusedInRow, g.unresponsive, g.unansweredSince = 0, false, 0
 		if c.shouldRelinquish(group, g) {
 			c.relinquish(ctx, group, g)
