--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -38,7 +38,7 @@
 	registered := c.env.View().Registered(c.now())
 	needed := AttestQuorum(len(registered))
 	req := &leadpb.AttestRequest{From: c.self.Name}
-	for _, group := range c.env.Carried() {
+	for _, group := range c.env.ServedGroups() {
 		if _, revision := c.env.PrimaryGuard(group).Record(); revision > 0 {
 			req.Known = append(req.Known, &leadpb.GroupRevision{Group: group, Revision: revision})
 		}
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -77,9 +77,9 @@
 	// HasUnansweredAttempt reports whether an attempt of this instance at a member has gone unanswered
 	// since the member's last answer.
 	HasUnansweredAttempt(member string) bool
-	// Carried returns the sorted names of the groups that this instance serves, which means
+	// ServedGroups returns the sorted names of the groups that this instance serves, which means
 	// that it connects to their members itself. The caller must not modify the slice.
-	Carried() []string
+	ServedGroups() []string
 	// Carries reports whether this instance serves a group.
 	Carries(group string) bool
 	// Users returns the instances that serve a group, possibly including this one.
@@ -220,7 +220,7 @@
 // leader.
 func (c *Controller) Tick(ctx context.Context) {
 	view, lease := c.env.View(), c.env.Lease()
-	carried := c.env.Carried()
+	carried := c.env.ServedGroups()
 	for _, group := range carried {
 		c.checkGroup(ctx, view, lease, group)
 	}
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -42,7 +42,7 @@
 func (f *fakeEnvironment) HasUnansweredAttempt(string) bool             { return false }
 func (f *fakeEnvironment) NoteAnswer(string)                            {}
 func (f *fakeEnvironment) Carries(string) bool                          { return !f.servesNone }
-func (f *fakeEnvironment) Carried() []string {
+func (f *fakeEnvironment) ServedGroups() []string {
 	if f.servesNone {
 		return nil
 	}
