--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -360,7 +360,7 @@
 	return s.i.upstreams.Heard(id)
 }
 func (s surroundings) HasUnansweredAttempt(id string) bool { return s.i.upstreams.Doubtful(id) }
-func (s surroundings) Carries(group string) bool           { return s.i.relay.Carries(group) }
+func (s surroundings) Serves(group string) bool            { return s.i.relay.Carries(group) }
 func (s surroundings) ServedGroups() []string              { return s.i.relay.Carried() }
 
 func (s surroundings) Rank(group string, most int) int {
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -80,8 +80,8 @@
 	// ServedGroups returns the sorted names of the groups that this instance serves, which means
 	// that it connects to their members itself. The caller must not modify the slice.
 	ServedGroups() []string
-	// Carries reports whether this instance serves a group.
-	Carries(group string) bool
+	// Serves reports whether this instance serves a group.
+	Serves(group string) bool
 	// Users returns the instances that serve a group, possibly including this one.
 	Users(group string) []Instance
 	// Rank returns the rank of this instance among the candidates for the leadership of a
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -41,7 +41,7 @@
 func (f *fakeEnvironment) SinceLastAnswer(string) (time.Duration, bool) { return 0, false }
 func (f *fakeEnvironment) HasUnansweredAttempt(string) bool             { return false }
 func (f *fakeEnvironment) NoteAnswer(string)                            {}
-func (f *fakeEnvironment) Carries(string) bool                          { return !f.servesNone }
+func (f *fakeEnvironment) Serves(string) bool                           { return !f.servesNone }
 func (f *fakeEnvironment) ServedGroups() []string {
 	if f.servesNone {
 		return nil
--- a/internal/lead/relinquish.go
+++ b/internal/lead/relinquish.go
@@ -18,7 +18,7 @@
 // statement and sees whether it is overloaded. This instance has to probe the primary, and
 // does not see its load.
 func (c *Controller) shouldRelinquish(group string, g *ledGroup) bool {
-	return !c.env.Carries(group) && c.now()-max(g.tookOverAt, g.relinquishTriedAt) >= relinquishDelay
+	return !c.env.Serves(group) && c.now()-max(g.tookOverAt, g.relinquishTriedAt) >= relinquishDelay
 }
 
 // relinquish deletes this instance's leader key, so that an instance that serves the group
