--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -375,7 +375,7 @@
 	return before + s.i.view.Load().RankUpTo(group, s.i.self.Name, most-before)
 }
 
-func (s surroundings) Users(group string) []lead.Instance {
+func (s surroundings) InstancesServing(group string) []lead.Instance {
 	carriers := s.i.relay.CarriersOf(group)
 	if carriers.Everybody || len(carriers.Others) == 0 {
 		return s.i.view.Load().Registered(s.i.now())
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -82,8 +82,8 @@
 	ServedGroups() []string
 	// Serves reports whether this instance serves a group.
 	Serves(group string) bool
-	// Users returns the instances that serve a group, possibly including this one.
-	Users(group string) []Instance
+	// InstancesServing returns the instances that serve a group, possibly including this one.
+	InstancesServing(group string) []Instance
 	// Rank returns the rank of this instance among the candidates for the leadership of a
 	// group, 0 for the first, or limit if the rank is not below limit. A smaller limit
 	// makes the call cheaper, because fewer candidates are counted.
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -48,7 +48,7 @@
 	}
 	return []string{"g"}
 }
-func (f *fakeEnvironment) Users(string) []Instance { return f.view.Alive() }
+func (f *fakeEnvironment) InstancesServing(string) []Instance { return f.view.Alive() }
 func (f *fakeEnvironment) Rank(group string, most int) int {
 	return f.view.RankUpTo(group, f.name, most)
 }
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -56,7 +56,7 @@
 	req := &leadpb.PublishRequest{Group: group, Revision: out.revision, Record: encode(out.record)}
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	c.callOthers(c.env.Users(group), func(instance Instance, client leadpb.CoordinationClient) error {
+	c.callOthers(c.env.InstancesServing(group), func(instance Instance, client leadpb.CoordinationClient) error {
 		_, err := client.Publish(ctx, req)
 		if err != nil {
 			c.log.WithFields(logrus.Fields{"group": group, "instance": instance.Name}).WithError(err).
@@ -111,7 +111,7 @@
 func (c *Controller) answeredElsewhere(ctx context.Context, group, id string, since time.Duration) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	others := c.env.Users(group)
+	others := c.env.InstancesServing(group)
 	names := make(chan string, len(others))
 	c.callOthers(others, func(instance Instance, client leadpb.CoordinationClient) error {
 		reply, err := client.Witness(ctx, &leadpb.WitnessRequest{Member: id})
