--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -383,7 +383,7 @@
 	return carriers.Others
 }
 
-func (s surroundings) Alone(group, primary string) bool {
+func (s surroundings) OverloadedWithoutReplicas(group, primary string) bool {
 	return s.i.upstreams.Alone(group, primary)
 }
 
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -88,9 +88,9 @@
 	// group, 0 for the first, or limit if the rank is not below limit. A smaller limit
 	// makes the call cheaper, because fewer candidates are counted.
 	Rank(group string, limit int) int
-	// Alone reports whether a group's primary is overloaded while none of its replicas can
+	// OverloadedWithoutReplicas reports whether a group's primary is overloaded while none of its replicas can
 	// serve reads.
-	Alone(group, primary string) bool
+	OverloadedWithoutReplicas(group, primary string) bool
 	// Behind returns the replica lag of a log position: how long ago the primary's log
 	// ended there. It is negative if unknown.
 	Behind(group string, p group.Position) time.Duration
--- a/internal/lead/overload.go
+++ b/internal/lead/overload.go
@@ -26,7 +26,7 @@
 // with what it has received. The old primary has applied the whole log and can serve reads
 // as a replica, so that two members serve instead of one.
 func (c *Controller) replaceOverloaded(ctx context.Context, group string, g *ledGroup, primary topology.Member) {
-	if g.overloadChangeAt > 0 && c.now()-g.overloadChangeAt < overloadChangeInterval || !c.env.Alone(group, primary.ID) || c.now()-g.plannedCheckedAt < plannedCheckInterval {
+	if g.overloadChangeAt > 0 && c.now()-g.overloadChangeAt < overloadChangeInterval || !c.env.OverloadedWithoutReplicas(group, primary.ID) || c.now()-g.plannedCheckedAt < plannedCheckInterval {
 		return
 	}
 	log := c.log.WithField("group", group)
