--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -387,7 +387,7 @@
 	return s.i.upstreams.Alone(group, primary)
 }
 
-func (s surroundings) Behind(name string, p group.Position) time.Duration {
+func (s surroundings) ReplicaLag(name string, p group.Position) time.Duration {
 	return s.i.upstreams.Behind(name, p)
 }
 
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -91,9 +91,9 @@
 	// OverloadedWithoutReplicas reports whether a group's primary is overloaded while none of its replicas can
 	// serve reads.
 	OverloadedWithoutReplicas(group, primary string) bool
-	// Behind returns the replica lag of a log position: how long ago the primary's log
+	// ReplicaLag returns the replica lag of a log position: how long ago the primary's log
 	// ended there. It is negative if unknown.
-	Behind(group string, p group.Position) time.Duration
+	ReplicaLag(group string, p group.Position) time.Duration
 	// NoteAnswer records that a member has answered just now.
 	NoteAnswer(member string)
 	// Event adds an event to the instance's timeline.
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -52,9 +52,9 @@
 func (f *fakeEnvironment) Rank(group string, most int) int {
 	return f.view.RankUpTo(group, f.name, most)
 }
-func (f *fakeEnvironment) OverloadedWithoutReplicas(string, string) bool { return f.overloaded }
-func (f *fakeEnvironment) Behind(string, group.Position) time.Duration   { return f.replicaLag }
-func (f *fakeEnvironment) Event(string, string, string, uint64, string)  {}
+func (f *fakeEnvironment) OverloadedWithoutReplicas(string, string) bool   { return f.overloaded }
+func (f *fakeEnvironment) ReplicaLag(string, group.Position) time.Duration { return f.replicaLag }
+func (f *fakeEnvironment) Event(string, string, string, uint64, string)    {}
 
 // membersSince sets since when the members have been known, and the revision of their
 // entries.
--- a/internal/lead/overload.go
+++ b/internal/lead/overload.go
@@ -38,7 +38,7 @@
 	}
 	g.overloadChangeAt, g.plannedCheckedAt = c.now(), 0
 	for _, f := range c.queryMembers(ctx, c.successors(group, primary.ID), "") {
-		behind := c.env.Behind(group, f.status.Received)
+		behind := c.env.ReplicaLag(group, f.status.Received)
 		log.WithFields(logrus.Fields{
 			"member": f.member.ID, "position": f.status.Received.String(), "behind_ms": behind.Milliseconds(), "lag_ms": f.status.Lag.Milliseconds(),
 		}).Info("lead: the primary serves its group alone and is full; a replica was asked what it has received")
