--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -391,4 +391,4 @@
 	return s.i.upstreams.Behind(name, p)
 }
 
-func (s surroundings) NoteAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
+func (s surroundings) RecordAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -354,7 +354,7 @@
 		}
 		status, err := conn.Status(time.Now().Add(probeTimeout))
 		if err == nil && status.Primary && status.Term > aboveTerm {
-			c.env.NoteAnswer(m.ID)
+			c.env.RecordAnswer(m.ID)
 			return status, nil
 		}
 		sleep(ctx, pollInterval)
@@ -400,7 +400,7 @@
 	for _, f := range c.queryMembers(ctx, c.env.Topology().MembersOf(record.Group), "") {
 		if f.status.Primary && f.status.Term >= record.Term {
 			record.Primary, record.Term = f.member.ID, f.status.Term
-			c.env.NoteAnswer(f.member.ID)
+			c.env.RecordAnswer(f.member.ID)
 		}
 	}
 	return record
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -94,8 +94,8 @@
 	// ReplicaLag returns the replica lag of a log position: how long ago the primary's log
 	// ended there. It is negative if unknown.
 	ReplicaLag(group string, p group.Position) time.Duration
-	// NoteAnswer records that a member has answered just now.
-	NoteAnswer(member string)
+	// RecordAnswer records that a member has answered just now.
+	RecordAnswer(member string)
 	// Event adds an event to the instance's timeline.
 	Event(kind, group, member string, term uint64, text string)
 }
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -40,7 +40,7 @@
 func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard            { return f.gate }
 func (f *fakeEnvironment) SinceLastAnswer(string) (time.Duration, bool) { return 0, false }
 func (f *fakeEnvironment) HasUnansweredAttempt(string) bool             { return false }
-func (f *fakeEnvironment) NoteAnswer(string)                            {}
+func (f *fakeEnvironment) RecordAnswer(string)                          {}
 func (f *fakeEnvironment) Serves(string) bool                           { return !f.servesNone }
 func (f *fakeEnvironment) ServedGroups() []string {
 	if f.servesNone {
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -36,7 +36,7 @@
 	switch verdict := classifyProbe(err); verdict {
 	case probeAnswered:
 		g.refusedInRow, g.unresponsive, g.unansweredSince = 0, false, 0
-		c.env.NoteAnswer(primary.ID)
+		c.env.RecordAnswer(primary.ID)
 		if err == nil && !status.Primary {
 			c.startChange(ctx, group, g, "the primary does not lead any more", false)
 		}
