--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -65,8 +65,8 @@
 	Promote(ctx context.Context, group, member, instance string, fencingToken uint64) error
 }
 
-// Surroundings gives the controller access to the rest of its instance.
-type Surroundings interface {
+// Environment gives the controller access to the rest of its instance.
+type Environment interface {
 	Topology() *topology.Snapshot
 	View() *View
 	Lease() kv.LeaseID // 0: the instance is currently not registered
@@ -108,7 +108,7 @@
 	store    kv.Store
 	promoter Promoter
 	dialer   member.Dialer
-	env      Surroundings
+	env      Environment
 	now      func() time.Duration
 	spawn    func(func())
 
@@ -198,7 +198,7 @@
 	Store    kv.Store
 	Promoter Promoter
 	Dialer   member.Dialer
-	Around   Surroundings
+	Around   Environment
 	// DrainTime is the time after which no work may reach a member that has announced that
 	// it leaves.
 	DrainTime time.Duration
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -21,7 +21,7 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// fakeEnvironment implements Surroundings with state that tests set.
+// fakeEnvironment implements Environment with state that tests set.
 type fakeEnvironment struct {
 	name     string
 	view     *View
