--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -209,7 +209,7 @@
 	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.informed, i.now, i.upstreams.Heard)
 	i.controller = lead.NewController(lead.Config{
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
-		Around: surroundings{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
+		Environment: surroundings{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
 	})
 	i.controller.Locate(settings.Places)
 	i.peers = grpc.NewServer(peerconn.ServerOptions()...)
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -192,13 +192,13 @@
 
 // Config holds the dependencies of a Controller.
 type Config struct {
-	Self     Instance
-	Own      *Server         // handles this instance's calls to itself like those of others
-	Peers    *peerconn.Conns // to other instances
-	Store    kv.Store
-	Promoter Promoter
-	Dialer   member.Dialer
-	Around   Environment
+	Self        Instance
+	Own         *Server         // handles this instance's calls to itself like those of others
+	Peers       *peerconn.Conns // to other instances
+	Store       kv.Store
+	Promoter    Promoter
+	Dialer      member.Dialer
+	Environment Environment
 	// DrainTime is the time after which no work may reach a member that has announced that
 	// it leaves.
 	DrainTime time.Duration
@@ -210,7 +210,7 @@
 // NewController returns the controller of an instance.
 func NewController(cfg Config) *Controller {
 	return &Controller{
-		self: cfg.Self, server: cfg.Own, store: cfg.Store, promoter: cfg.Promoter, dialer: cfg.Dialer, env: cfg.Around, drainTimeout: cfg.DrainTime,
+		self: cfg.Self, server: cfg.Own, store: cfg.Store, promoter: cfg.Promoter, dialer: cfg.Dialer, env: cfg.Environment, drainTimeout: cfg.DrainTime,
 		now: cfg.Now, spawn: cfg.Spawn, log: cfg.Log, peers: cfg.Peers, groups: make(map[string]*ledGroup),
 	}
 }
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -94,7 +94,7 @@
 	conns := peerconn.New()
 	own := NewServer(self.Incarnation, f.PrimaryGuard, func() bool { return true }, now, f.SinceLastAnswer)
 	c := NewController(Config{
-		Self: self, Own: own, Peers: conns, Store: store, Promoter: group, Dialer: group, Around: f, DrainTime: 10 * time.Second,
+		Self: self, Own: own, Peers: conns, Store: store, Promoter: group, Dialer: group, Environment: f, DrainTime: 10 * time.Second,
 		Now: now, Spawn: func(task func()) { task() }, Log: log.WithField("part", "lead"),
 	})
 	t.Cleanup(conns.Close)
