--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -85,7 +85,7 @@
 	}
 	for i := range f.instances {
 		name := fmt.Sprintf("instance-%d", i)
-		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", i%5), Incarnation: name, Address: name, Strength: strengthOf(i)}
+		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", i%5), Incarnation: name, Address: name, Capacity: strengthOf(i)}
 		events = append(events, f.put(tb, "stackspindle/instances/"+name, entry), f.put(tb, "stackspindle/alive/"+name, []byte(name)))
 		flush(2 * batch)
 	}
@@ -128,7 +128,7 @@
 	name := fmt.Sprintf("instance-%d", other)
 	switch kind {
 	case "registration":
-		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", other%5), Incarnation: fmt.Sprint(n), Address: name, Strength: strengthOf(other)}
+		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", other%5), Incarnation: fmt.Sprint(n), Address: name, Capacity: strengthOf(other)}
 		return f.put(tb, "stackspindle/instances/"+name, entry)
 	case "loss":
 		e := f.put(tb, "stackspindle/alive/"+name, []byte(name))
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -170,7 +170,7 @@
 		platform: platform,
 		self: lead.Instance{
 			Name: settings.Name, Incarnation: uuid.NewString(),
-			Address: settings.PeerAddress, DataCentre: settings.DataCentre, Strength: settings.Strength,
+			Address: settings.PeerAddress, DataCentre: settings.DataCentre, Capacity: settings.Strength,
 		},
 		log:        log,
 		started:    time.Now(),
--- a/internal/fleet/placed.go
+++ b/internal/fleet/placed.go
@@ -32,7 +32,7 @@
 	for _, instance := range alive {
 		if slices.Contains(names, instance.Name) {
 			described = append(described, fmt.Sprintf("%s in %s: %.2g cores, %.4g Mbit/s",
-				instance.Name, instance.DataCentre, instance.Strength.Cores, instance.Strength.LinkMbps))
+				instance.Name, instance.DataCentre, instance.Capacity.Cores, instance.Capacity.LinkMbps))
 		}
 	}
 	return described
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -63,7 +63,7 @@
 	Address     string `json:"address"`     // where other instances call it
 	DataCentre  string `json:"data_centre"`
 
-	Strength placement.Strength `json:"strength,omitzero"` // cores, link and memory of the instance
+	Capacity placement.Strength `json:"strength,omitzero"` // cores, link and memory of the instance
 
 	// Settled reports that the instance has been registered for long enough to hold shares
 	// of the client accounts' limits. It stays set across restarts.
