--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -29,7 +29,7 @@
 func (s *settlement) begin(now time.Duration, view *lead.View, name string, firstStart bool) time.Duration {
 	known, revision := view.Instance(name)
 	first := firstStart && !s.registered && now < quota.Validity
-	s.settled = revision > 0 && known.Settled || revision == 0 && first
+	s.settled = revision > 0 && known.EligibleForLimits || revision == 0 && first
 	switch {
 	case s.settled && first:
 		return now + firstStartPause
@@ -43,7 +43,7 @@
 // entry returns what the instance's registration says.
 func (i *Instance) entry() lead.Instance {
 	entry := i.self
-	entry.Settled, entry.Seen = i.settlement.settled, i.inForce.Load()
+	entry.EligibleForLimits, entry.Seen = i.settlement.settled, i.inForce.Load()
 	return entry
 }
 
--- a/internal/fleet/settle_test.go
+++ b/internal/fleet/settle_test.go
@@ -34,9 +34,9 @@
 		settled    bool
 		from       time.Duration
 	}{
-		"a restart":                       {settlement{}, viewWith(t, lead.Instance{Name: "a", Settled: true}), now, false, true, 0},
+		"a restart":                       {settlement{}, viewWith(t, lead.Instance{Name: "a", EligibleForLimits: true}), now, false, true, 0},
 		"a restart before it settled":     {settlement{}, viewWith(t, lead.Instance{Name: "a"}), now, false, false, waits},
-		"a new one":                       {settlement{}, viewWith(t, lead.Instance{Name: "b", Settled: true}), now, false, false, waits},
+		"a new one":                       {settlement{}, viewWith(t, lead.Instance{Name: "b", EligibleForLimits: true}), now, false, false, waits},
 		"the fleet's first start":         {settlement{}, viewWith(t), now, true, true, now + firstStartPause},
 		"registered anew after it ended":  {settlement{registered: true, settled: true}, viewWith(t), now, true, false, waits},
 		"a first start that takes longer": {settlement{}, viewWith(t), time.Minute, true, false, time.Minute + storeTimeout + quota.SettleAfter},
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -65,9 +65,9 @@
 
 	Capacity placement.Strength `json:"strength,omitzero"` // cores, link and memory of the instance
 
-	// Settled reports that the instance has been registered for long enough to hold shares
+	// EligibleForLimits reports that the instance has been registered for long enough to hold shares
 	// of the client accounts' limits. It stays set across restarts.
-	Settled bool `json:"settled,omitempty"`
+	EligibleForLimits bool `json:"settled,omitempty"`
 
 	// Seen is a store revision whose contents the process had applied when it wrote this
 	// entry: it knows every key that has been unchanged since. 0: unknown.
