--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -43,7 +43,7 @@
 // entry returns what the instance's registration says.
 func (i *Instance) entry() lead.Instance {
 	entry := i.self
-	entry.EligibleForLimits, entry.Seen = i.settlement.settled, i.inForce.Load()
+	entry.EligibleForLimits, entry.SeenRevision = i.settlement.settled, i.inForce.Load()
 	return entry
 }
 
--- a/internal/lead/planned_change_test.go
+++ b/internal/lead/planned_change_test.go
@@ -61,7 +61,7 @@
 	leader.now = func() time.Duration { return clock }
 	leader.server.now = leader.now
 	g := newLeader(t, leader, around, store)
-	registerUnreachable(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1", Seen: 7})
+	registerUnreachable(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1", SeenRevision: 7})
 	around.view.missingSince["b"] = clock
 	around.membersSince(clock, 7)
 
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -69,9 +69,9 @@
 	// of the client accounts' limits. It stays set across restarts.
 	EligibleForLimits bool `json:"settled,omitempty"`
 
-	// Seen is a store revision whose contents the process had applied when it wrote this
+	// SeenRevision is a store revision whose contents the process had applied when it wrote this
 	// entry: it knows every key that has been unchanged since. 0: unknown.
-	Seen int64 `json:"seen,omitempty"`
+	SeenRevision int64 `json:"seen,omitempty"`
 }
 
 // Change is a change of primary that is in progress.
--- a/internal/lead/release.go
+++ b/internal/lead/release.go
@@ -284,8 +284,8 @@
 			goneSince = 0 // its lease is valid, as far as is known
 		}
 		if r.hasLapsed(c.now(), instance.Name, goneSince) {
-			r.addUnreleased(c.now(), goneSince, instance.Seen)
-			log.WithField("seen", instance.Seen).Info("lead: the grant of an instance has lapsed without a release; members that the instance does not know are not promoted")
+			r.addUnreleased(c.now(), goneSince, instance.SeenRevision)
+			log.WithField("seen", instance.SeenRevision).Info("lead: the grant of an instance has lapsed without a release; members that the instance does not know are not promoted")
 			return
 		}
 		reply, err := c.callRelease(ctx, r, instance.Instance)
