--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -133,7 +133,7 @@
 	i.askedAt.Store(int64(now))
 	i.spawn(func() {
 		defer i.attesting.Store(false)
-		sent, ok := i.controller.Attest(i.ctx)
+		sent, ok := i.controller.RequestAttestations(i.ctx)
 		if !ok {
 			i.attestFailures.Add(1)
 			return
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -30,11 +30,11 @@
 // Without it all other data centres count as equally far.
 func (c *Controller) Locate(localities locality.Map) { c.localities = localities }
 
-// Attest asks other registered instances whether they know anything newer than the records
+// RequestAttestations asks other registered instances whether they know anything newer than the records
 // known here, and confirms the grants for which a quorum knows nothing newer. It is called
 // while the store does not answer this instance. It returns when the requests were sent and
 // whether a quorum answered at all.
-func (c *Controller) Attest(ctx context.Context) (time.Duration, bool) {
+func (c *Controller) RequestAttestations(ctx context.Context) (time.Duration, bool) {
 	registered := c.env.View().Registered(c.now())
 	needed := AttestQuorum(len(registered))
 	req := &leadpb.AttestRequest{From: c.self.Name}
