--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -74,7 +74,7 @@
 
 // tickPause returns the pause before the next look.
 func (i *Instance) tickPause() time.Duration {
-	groups := len(i.relay.Carried()) + len(i.view.Load().Led(i.self.Name, i.self.Incarnation))
+	groups := len(i.relay.Carried()) + len(i.view.Load().GroupsLedBy(i.self.Name, i.self.Incarnation))
 	if groups == 0 {
 		return idleTick
 	}
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -224,7 +224,7 @@
 	for _, group := range carried {
 		c.checkGroup(ctx, view, lease, group)
 	}
-	for _, group := range view.Led(c.self.Name, c.self.Incarnation) {
+	for _, group := range view.GroupsLedBy(c.self.Name, c.self.Incarnation) {
 		if _, checked := slices.BinarySearch(carried, group); !checked {
 			c.checkGroup(ctx, view, lease, group)
 		}
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -227,8 +227,8 @@
 	return h.value, h.revision
 }
 
-// Led returns the groups that a process leads, sorted.
-func (v *View) Led(name, incarnation string) []string {
+// GroupsLedBy returns the groups that a process leads, sorted.
+func (v *View) GroupsLedBy(name, incarnation string) []string {
 	var led []string
 	groups, _ := v.groupsByLeader.Get(name)
 	for _, group := range groups {
