--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -274,7 +274,7 @@
 	switch {
 	case leader.Instance == c.self.Name && leader.Incarnation == c.self.Incarnation:
 		return c.watchPrimary
-	case lease == 0 || leader.Instance != "" && !view.Orphaned(group):
+	case lease == 0 || leader.Instance != "" && !view.LeaderEnded(group):
 		return nil
 	case leader.Instance != "":
 		if c.env.Rank(group, 1) > 0 {
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -249,16 +249,16 @@
 func (v *View) anyLeaderEnded() bool {
 	for all := v.groupsByLeader.Iterator(); !all.Done(); {
 		_, groups, _ := all.Next()
-		if slices.ContainsFunc(groups, v.Orphaned) {
+		if slices.ContainsFunc(groups, v.LeaderEnded) {
 			return true
 		}
 	}
 	return false
 }
 
-// Orphaned reports whether the process of the group's leader is known to have ended,
+// LeaderEnded reports whether the process of the group's leader is known to have ended,
 // because another process has registered under the same instance name.
-func (v *View) Orphaned(group string) bool {
+func (v *View) LeaderEnded(group string) bool {
 	leader, revision := v.Leader(group)
 	if revision == 0 {
 		return false
