--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -145,7 +145,7 @@
 	if view.Rank("", i.self.Name) > 0 {
 		return
 	}
-	for name, revision := range view.Forgettable(i.now()) {
+	for name, revision := range view.LapsedEntries(i.now()) {
 		ctx, cancel := context.WithTimeout(i.ctx, storeTimeout)
 		_, err := i.platform.Store.Commit(ctx, lead.Forgetting(name, revision))
 		cancel()
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -180,10 +180,10 @@
 	return since, missing && r.instances[e.Name].revision == e.revision
 }
 
-// Forgettable returns the instances that have been without a lease for so long that their
+// LapsedEntries returns the instances that have been without a lease for so long that their
 // grants have lapsed, with the revisions of their entries. These entries are to be deleted,
 // so that processes that start later need not wait for the same grants again.
-func (r *registry) Forgettable(now time.Duration) map[string]int64 {
+func (r *registry) LapsedEntries(now time.Duration) map[string]int64 {
 	expired := make(map[string]int64)
 	for name, since := range r.missingSince {
 		if now-since > attestedUseLapseTime {
