--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -147,7 +147,7 @@
 	}
 	for name, revision := range view.LapsedEntries(i.now()) {
 		ctx, cancel := context.WithTimeout(i.ctx, storeTimeout)
-		_, err := i.platform.Store.Commit(ctx, lead.Forgetting(name, revision))
+		_, err := i.platform.Store.Commit(ctx, lead.RemovalTxn(name, revision))
 		cancel()
 		i.part("registration").WithField("gone", name).WithError(err).Info("registration: removing the entry of an instance that is gone")
 	}
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -233,9 +233,9 @@
 	return txn
 }
 
-// Forgetting returns the transaction that deletes the entry of an instance, unless the
+// RemovalTxn returns the transaction that deletes the entry of an instance, unless the
 // entry has changed or the instance is alive again.
-func Forgetting(name string, revision int64) kv.Txn {
+func RemovalTxn(name string, revision int64) kv.Txn {
 	return kv.Txn{
 		Expect: []kv.Expect{{Key: PrefixInstances + name, Revision: revision}, {Key: prefixAlive + name}},
 		Delete: []string{PrefixInstances + name},
