--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -300,7 +300,7 @@
 		strict.Unreached = grants.unreachable
 		best, decided := Select(answers, strict)
 		if !decided {
-			s.Hurry = c.now() >= deadline
+			s.AllowShorterLog = c.now() >= deadline
 			best, decided = Select(answers, s)
 		}
 		if decided {
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -181,7 +181,7 @@
 		seen, unreached := r.unreleased()
 		unreached = unreached && !w.steppedDown[w.record.Primary]
 		best, ok := Select(answers, Selection{
-			Old: w.record.Primary, Term: w.record.Term, Hurry: true, Unreached: unreached, KnownBefore: w.leaderNow() - unconfirmedUseLapseTime, Seen: seen,
+			Old: w.record.Primary, Term: w.record.Term, AllowShorterLog: true, Unreached: unreached, KnownBefore: w.leaderNow() - unconfirmedUseLapseTime, Seen: seen,
 		})
 		if ok {
 			return best.member.ID
--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -10,16 +10,16 @@
 // Selection holds the criteria by which Select chooses the primary, besides the members'
 // status.
 type Selection struct {
-	Old          string         // ID of the primary that is to be replaced
-	Term         uint64         // term of the old primary
-	Planned      bool           // the old primary must be replaced although it is healthy
-	Last         group.Position // end of the old primary's log when it stepped down; zero: unknown
-	Replicas     int            // number of replicas of the group
-	SyncReplicas int            // number of replicas that had received each acknowledged commit
-	Unreached    bool           // unreachable instances may still use the old primary, so only members that they know may be promoted
-	KnownBefore  time.Duration  // they know each member that has been known here since before this time
-	Seen         int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
-	Hurry        bool           // promote a member whose log does not reach Last, instead of waiting longer
+	Old             string         // ID of the primary that is to be replaced
+	Term            uint64         // term of the old primary
+	Planned         bool           // the old primary must be replaced although it is healthy
+	Last            group.Position // end of the old primary's log when it stepped down; zero: unknown
+	Replicas        int            // number of replicas of the group
+	SyncReplicas    int            // number of replicas that had received each acknowledged commit
+	Unreached       bool           // unreachable instances may still use the old primary, so only members that they know may be promoted
+	KnownBefore     time.Duration  // they know each member that has been known here since before this time
+	Seen            int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
+	AllowShorterLog bool           // promote a member whose log does not reach Last, instead of waiting longer
 }
 
 // knownToUnreachable reports whether each unreachable instance knows a member. If it does,
@@ -75,7 +75,7 @@
 		return memberStatus{}, false // a replica that did not answer may hold acknowledged commits
 	case s.SyncReplicas > 0 && s.Last.IsZero() && replicas < s.Replicas-s.SyncReplicas+1:
 		return memberStatus{}, false
-	case best.status.Received.Less(s.Last) && !s.Hurry:
+	case best.status.Received.Less(s.Last) && !s.AllowShorterLog:
 		return memberStatus{}, false
 	}
 	return *best, true
--- a/internal/lead/select_test.go
+++ b/internal/lead/select_test.go
@@ -34,7 +34,7 @@
 	planned := base
 	planned.Planned, planned.Last = true, group.Position{Term: 1, Index: 9}
 	hurried := planned
-	hurried.Hurry = true
+	hurried.AllowShorterLog = true
 	synced := base
 	synced.SyncReplicas = 1
 	unreached := base
