--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -30,10 +30,10 @@
 // Without it all other data centres count as equally far.
 func (c *Controller) Locate(localities locality.Map) { c.localities = localities }
 
-// RequestAttestations asks other registered instances whether they know anything newer than the records
-// known here, and confirms the grants for which a quorum knows nothing newer. It is called
-// while the store does not answer this instance. It returns when the requests were sent and
-// whether a quorum answered at all.
+// RequestAttestations asks other registered instances whether they know anything newer than
+// the records known here, and confirms the grants for which a quorum knows nothing newer.
+// It is called while the store does not answer this instance. It returns when the requests
+// were sent and whether a quorum answered at all.
 func (c *Controller) RequestAttestations(ctx context.Context) (time.Duration, bool) {
 	registered := c.env.View().Registered(c.now())
 	needed := AttestQuorum(len(registered))
@@ -121,17 +121,17 @@
 // answered, it confirms the grants for which no instance knows anything newer.
 func (c *Controller) applyAttestation(req *leadpb.AttestRequest, round *attestationRound, sent time.Duration) {
 	for _, known := range req.Known {
-		gate := c.env.PrimaryGuard(known.Group)
-		for _, news := range round.updates[known.Group] {
-			update, err := decodeUpdate(news)
+		guard := c.env.PrimaryGuard(known.Group)
+		for _, message := range round.updates[known.Group] {
+			update, err := decodeUpdate(message)
 			if err != nil {
 				c.log.WithField("group", known.Group).WithError(err).Error("lead: cannot decode an update from another instance; ignoring it")
 				continue
 			}
-			gate.ApplyUpdate(update)
+			guard.ApplyUpdate(update)
 		}
 		if len(round.updates[known.Group]) == 0 && round.answers >= round.needed {
-			gate.ConfirmByQuorum(sent, known.Revision)
+			guard.ConfirmByQuorum(sent, known.Revision)
 		}
 	}
 }
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -42,9 +42,9 @@
 	// counts as dead. It is longer than one probe with its timeout, because a false
 	// positive costs a change of primary.
 	unresponsiveTimeout = 800 * time.Millisecond
-	// maxRefusedConnections is how many connections refused in a row show that the
+	// deadAfterRefusals is how many connections refused in a row show that the
 	// primary's process is dead.
-	maxRefusedConnections = 2
+	deadAfterRefusals = 2
 	// peerQueryTimeout bounds calls to other instances about the state of a member or of a
 	// change.
 	peerQueryTimeout = 250 * time.Millisecond
@@ -71,14 +71,14 @@
 	View() *View
 	Lease() kv.LeaseID // 0: the instance is currently not registered
 	PrimaryGuard(group string) *PrimaryGuard
-	// SinceLastAnswer returns how long ago a member last answered this instance, and whether it ever
-	// did.
+	// SinceLastAnswer returns how long ago a member last answered this instance, and
+	// whether it ever did.
 	SinceLastAnswer(member string) (time.Duration, bool)
-	// HasUnansweredAttempt reports whether an attempt of this instance at a member has gone unanswered
-	// since the member's last answer.
+	// HasUnansweredAttempt reports whether an attempt of this instance at a member has gone
+	// unanswered since the member's last answer.
 	HasUnansweredAttempt(member string) bool
-	// ServedGroups returns the sorted names of the groups that this instance serves, which means
-	// that it connects to their members itself. The caller must not modify the slice.
+	// ServedGroups returns the sorted names of the groups that this instance serves, which
+	// means that it connects to their members itself. The caller must not modify the slice.
 	ServedGroups() []string
 	// Serves reports whether this instance serves a group.
 	Serves(group string) bool
@@ -88,8 +88,8 @@
 	// group, 0 for the first, or limit if the rank is not below limit. A smaller limit
 	// makes the call cheaper, because fewer candidates are counted.
 	Rank(group string, limit int) int
-	// OverloadedWithoutReplicas reports whether a group's primary is overloaded while none of its replicas can
-	// serve reads.
+	// OverloadedWithoutReplicas reports whether a group's primary is overloaded while none
+	// of its replicas can serve reads.
 	OverloadedWithoutReplicas(group, primary string) bool
 	// ReplicaLag returns the replica lag of a log position: how long ago the primary's log
 	// ended there. It is negative if unknown.
@@ -220,30 +220,30 @@
 // leader.
 func (c *Controller) Tick(ctx context.Context) {
 	view, lease := c.env.View(), c.env.Lease()
-	carried := c.env.ServedGroups()
-	for _, group := range carried {
+	served := c.env.ServedGroups()
+	for _, group := range served {
 		c.checkGroup(ctx, view, lease, group)
 	}
 	for _, group := range view.GroupsLedBy(c.self.Name, c.self.Incarnation) {
-		if _, checked := slices.BinarySearch(carried, group); !checked {
+		if _, checked := slices.BinarySearch(served, group); !checked {
 			c.checkGroup(ctx, view, lease, group)
 		}
 	}
 	if now := c.now(); now-c.othersCheckedAt >= otherGroupsInterval {
 		c.othersCheckedAt = now
-		c.checkOtherGroups(ctx, view, lease, carried)
+		c.checkOtherGroups(ctx, view, lease, served)
 	}
 }
 
 // checkOtherGroups checks the groups that this instance does not serve, unless all groups
 // have leaders.
-func (c *Controller) checkOtherGroups(ctx context.Context, view *View, lease kv.LeaseID, carried []string) {
+func (c *Controller) checkOtherGroups(ctx context.Context, view *View, lease kv.LeaseID, served []string) {
 	groups := c.env.Topology().Groups
 	if view.AllLed(len(groups)) {
 		return
 	}
 	for group := range groups {
-		if _, checked := slices.BinarySearch(carried, group); !checked {
+		if _, checked := slices.BinarySearch(served, group); !checked {
 			c.checkGroup(ctx, view, lease, group)
 		}
 	}
@@ -282,10 +282,10 @@
 		}
 		return c.takeOver
 	}
-	since, known := view.Leaderless(c.now(), group)
+	elapsed, leaderless := view.Leaderless(c.now(), group)
 	maxRank := 0 // highest rank that may take over now; only the first-ranked creates a missing record
-	if known {
-		maxRank = int(since / takeOverRankDelay)
+	if leaderless {
+		maxRank = int(elapsed / takeOverRankDelay)
 	}
 	if c.env.Rank(group, maxRank+1) > maxRank {
 		return nil
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -25,7 +25,7 @@
 type fakeEnvironment struct {
 	name     string
 	view     *View
-	gate     *PrimaryGuard
+	guard    *PrimaryGuard
 	topology *topology.Snapshot
 	lease    kv.LeaseID
 
@@ -37,7 +37,7 @@
 func (f *fakeEnvironment) Topology() *topology.Snapshot                 { return f.topology }
 func (f *fakeEnvironment) View() *View                                  { return f.view }
 func (f *fakeEnvironment) Lease() kv.LeaseID                            { return f.lease }
-func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard            { return f.gate }
+func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard            { return f.guard }
 func (f *fakeEnvironment) SinceLastAnswer(string) (time.Duration, bool) { return 0, false }
 func (f *fakeEnvironment) HasUnansweredAttempt(string) bool             { return false }
 func (f *fakeEnvironment) RecordAnswer(string)                          {}
@@ -75,7 +75,7 @@
 	f.view, err = f.view.Replace(0, items)
 	must.NoError(t, err)
 	if record, revision := f.view.Record("g"); revision > 0 {
-		f.gate.ApplyRecord(record, revision)
+		f.guard.ApplyRecord(record, revision)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for _, id := range []string{"m1", "m2"} {
 		state.SetMember(0, group.Entry(id), false)
 	}
-	f := &fakeEnvironment{name: name, view: NewView(), gate: NewPrimaryGuard(now), topology: state.Snapshot()}
+	f := &fakeEnvironment{name: name, view: NewView(), guard: NewPrimaryGuard(now), topology: state.Snapshot()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	self := Instance{Name: name, Incarnation: name + "-1"}
@@ -113,27 +113,27 @@
 // fencing token.
 func TestReplacedLeaderDoesNotWrite(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	second, aroundSecond := newController(t, "b", store.Client())
-	led := &ledGroup{}
-	first.takeOver(t.Context(), "g", led)
-	around.refresh(t, store.Client())
-	_, led.leaderRevision = around.view.Leader("g")
-	record, revision := around.gate.Record()
-	revision, err := first.write(t.Context(), "g", led, record, revision)
+	first, env := newController(t, "a", store.Client())
+	second, secondEnv := newController(t, "b", store.Client())
+	g := &ledGroup{}
+	first.takeOver(t.Context(), "g", g)
+	env.refresh(t, store.Client())
+	_, g.leaderRevision = env.view.Leader("g")
+	record, revision := env.guard.Record()
+	revision, err := first.write(t.Context(), "g", g, record, revision)
 	must.NoError(t, err)
 
-	store.EndLease(around.lease)
-	aroundSecond.refresh(t, store.Client())
+	store.EndLease(env.lease)
+	secondEnv.refresh(t, store.Client())
 	second.takeOver(t.Context(), "g", &ledGroup{})
-	around.refresh(t, store.Client())
-	record, newRevision := around.gate.Record()
+	env.refresh(t, store.Client())
+	record, newRevision := env.guard.Record()
 	must.Greater(t, revision, newRevision)
 	must.Eq(t, "b", record.Leader)
-	_, err = first.write(t.Context(), "g", led, record, newRevision)
+	_, err = first.write(t.Context(), "g", g, record, newRevision)
 	must.True(t, errors.Is(err, errNotLeader))
-	first.watchPrimary(t.Context(), "g", led)
-	must.Nil(t, led.outcome)
+	first.watchPrimary(t.Context(), "g", g)
+	must.Nil(t, g.outcome)
 }
 
 // A replaced leader that the store refuses learns from other instances that its successor
@@ -141,26 +141,26 @@
 // with the same fencing token.
 func TestReplacedLeaderDoesNotExecuteSuccessorsChange(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	second, aroundSecond := newController(t, "b", store.Client())
+	first, env := newController(t, "a", store.Client())
+	second, secondEnv := newController(t, "b", store.Client())
 	first.takeOver(t.Context(), "g", &ledGroup{})
-	around.refresh(t, store.Client())
-	led := &ledGroup{}
-	first.watchPrimary(t.Context(), "g", led)
+	env.refresh(t, store.Client())
+	g := &ledGroup{}
+	first.watchPrimary(t.Context(), "g", g)
 
-	store.EndLease(around.lease)
-	aroundSecond.refresh(t, store.Client())
+	store.EndLease(env.lease)
+	secondEnv.refresh(t, store.Client())
 	second.takeOver(t.Context(), "g", &ledGroup{})
-	aroundSecond.refresh(t, store.Client())
-	announced, revision := aroundSecond.gate.Record()
+	secondEnv.refresh(t, store.Client())
+	announced, revision := secondEnv.guard.Record()
 	announced.Change = &Change{ID: "x", Planned: true}
-	around.gate.ApplyUpdate(GroupUpdate{Record: announced, Revision: revision + 1})
+	env.guard.ApplyUpdate(GroupUpdate{Record: announced, Revision: revision + 1})
 
-	first.watchPrimary(t.Context(), "g", led)
-	must.Nil(t, led.outcome)
+	first.watchPrimary(t.Context(), "g", g)
+	must.Nil(t, g.outcome)
 	must.SliceEmpty(t, first.promoter.(*membergroup.Group).Promotions())
-	news, _ := around.gate.UpdateSince(0)
-	must.Zero(t, news.Released, must.Sprint("no instance was asked to release"))
+	update, _ := env.guard.UpdateSince(0)
+	must.Zero(t, update.Released, must.Sprint("no instance was asked to release"))
 }
 
 // Each change of leader increases the fencing token.
@@ -168,15 +168,15 @@
 	store := memstore.New()
 	var last uint64
 	for _, name := range []string{"a", "b", "a"} {
-		c, around := newController(t, name, store.Client())
-		around.refresh(t, store.Client())
+		c, env := newController(t, name, store.Client())
+		env.refresh(t, store.Client())
 		c.takeOver(t.Context(), "g", &ledGroup{})
-		around.refresh(t, store.Client())
-		record, _ := around.gate.Record()
+		env.refresh(t, store.Client())
+		record, _ := env.guard.Record()
 		must.Eq(t, name, record.Leader)
 		must.Greater(t, last, record.Generation)
 		last = record.Generation
-		store.EndLease(around.lease)
+		store.EndLease(env.lease)
 	}
 }
 
@@ -184,9 +184,9 @@
 // if the leader's view does not show it yet.
 func TestRecentlyRegisteredInstanceIsAskedToRelease(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
-	stale := around.view
-	other, aroundOther := newController(t, "b", store.Client())
+	leader, env := newController(t, "a", store.Client())
+	stale := env.view
+	other, otherEnv := newController(t, "b", store.Client())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer()
@@ -194,13 +194,13 @@
 	go func() { _ = server.Serve(l) }() // stopped at the end of the test
 	t.Cleanup(server.Stop)
 	other.self.Address = l.Addr().String()
-	revision, err := store.Client().Commit(t.Context(), aroundOther.view.Registration(other.self, aroundOther.lease))
+	revision, err := store.Client().Commit(t.Context(), otherEnv.view.Registration(other.self, otherEnv.lease))
 	must.NoError(t, err)
-	around.view = stale
+	env.view = stale
 
 	must.NoError(t, leader.releaseAll(t.Context(), &grantRelease{group: "g", revision: revision, drain: urgentDrain}))
-	news, _ := aroundOther.gate.UpdateSince(0)
-	must.Eq(t, revision, news.Released)
+	update, _ := otherEnv.guard.UpdateSince(0)
+	must.Eq(t, revision, update.Released)
 }
 
 // A change must not proceed if the registered instances cannot be read from the store.
@@ -329,16 +329,16 @@
 // show that write.
 func TestFirstLeaderWritesOnce(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	led := &ledGroup{}
-	first.takeOver(t.Context(), "g", led)
-	_, due := led.lastTakeOver.next(minTakeOverBackoff, 0, 0)
+	first, env := newController(t, "a", store.Client())
+	g := &ledGroup{}
+	first.takeOver(t.Context(), "g", g)
+	_, due := g.lastTakeOver.next(minTakeOverBackoff, 0, 0)
 	must.False(t, due)
-	_, due = led.lastTakeOver.next(maxTakeOverBackoff, 0, 0)
+	_, due = g.lastTakeOver.next(maxTakeOverBackoff, 0, 0)
 	must.True(t, due)
-	around.refresh(t, store.Client())
-	record, revision := around.view.Record("g")
-	_, leaderRevision := around.view.Leader("g")
+	env.refresh(t, store.Client())
+	record, revision := env.view.Record("g")
+	_, leaderRevision := env.view.Leader("g")
 	must.Eq(t, "m1", record.Primary)
 	must.Eq(t, leaderRevision, revision, must.Sprint("one write for both keys"))
 }
@@ -347,22 +347,22 @@
 // but those that only others serve once a second, and only while one of them has no leader.
 func TestUnservedGroupsAreCheckedOncePerSecond(t *testing.T) {
 	store := memstore.New()
-	c, around := newController(t, "a", store.Client())
-	around.servesNone = true
+	c, env := newController(t, "a", store.Client())
+	env.servesNone = true
 	clock := time.Minute
 	c.now = func() time.Duration { return clock }
 	c.Tick(t.Context())
-	around.refresh(t, store.Client())
-	leader, _ := around.view.Leader("g")
+	env.refresh(t, store.Client())
+	leader, _ := env.view.Leader("g")
 	must.Eq(t, "a", leader.Instance, must.Sprint("the first check"))
-	store.EndLease(around.lease)
+	store.EndLease(env.lease)
 	lease, err := store.Client().Grant(t.Context(), time.Second)
 	must.NoError(t, err)
-	around.lease = lease.ID
-	around.refresh(t, store.Client())
+	env.lease = lease.ID
+	env.refresh(t, store.Client())
 	clock += otherGroupsInterval - 1
 	c.Tick(t.Context())
-	around.refresh(t, store.Client())
-	_, revision := around.view.Leader("g")
+	env.refresh(t, store.Client())
+	_, revision := env.view.Leader("g")
 	must.Zero(t, revision)
 }
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -20,9 +20,9 @@
 	// changed. Each store call is billed, and the few instances that watch the store make
 	// these calls on behalf of all.
 	ConfirmInterval = time.Second
-	// UnconfirmedUseLimit is how long after the last answer of the store an instance may use a
-	// primary under an unconfirmed grant, with each answer verified by the members. It
-	// bounds how outdated the instance's list of members can be: a member that has been
+	// UnconfirmedUseLimit is how long after the last answer of the store an instance may
+	// use a primary under an unconfirmed grant, with each answer verified by the members.
+	// It bounds how outdated the instance's list of members can be: a member that has been
 	// known for a shorter time is not promoted while such an instance may exist.
 	UnconfirmedUseLimit = 12 * time.Second
 	// AttestedUseLimit is how long after the last answer of the store attestations can
@@ -83,8 +83,8 @@
 	}
 }
 
-// ApplyOutcome applies the outcome of a change that the leader published, perhaps before it wrote
-// it to the store. revision is that of the record that announced the change.
+// ApplyOutcome applies the outcome of a change that the leader published, perhaps before it
+// wrote it to the store. revision is that of the record that announced the change.
 func (g *Grant) ApplyOutcome(record Record, revision int64) {
 	if revision > g.revision || revision == g.revision && !g.isOutcome {
 		g.record, g.revision, g.isOutcome = record, revision, true
@@ -97,9 +97,9 @@
 	g.confirmedAt, g.storeAnswered = max(g.confirmedAt, sent), true
 }
 
-// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record newer
-// than the one with this revision. It has no effect if the grant rests on another record by
-// now.
+// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record
+// newer than the one with this revision. It has no effect if the grant rests on another
+// record by now.
 func (g *Grant) ConfirmByQuorum(sent time.Duration, revision int64) {
 	if revision == g.revision {
 		g.attestedAt = max(g.attestedAt, sent)
@@ -117,11 +117,11 @@
 // UpdateSince returns what this instance knows beyond the record with this revision, and
 // whether it knows anything more.
 func (g *Grant) UpdateSince(revision int64) (GroupUpdate, bool) {
-	news := GroupUpdate{Released: g.releasedRevision}
+	update := GroupUpdate{Released: g.releasedRevision}
 	if g.revision > revision {
-		news.Record, news.Revision, news.IsOutcome = g.record, g.revision, g.isOutcome
+		update.Record, update.Revision, update.IsOutcome = g.record, g.revision, g.isOutcome
 	}
-	return news, g.revision > revision || g.releasedRevision > revision
+	return update, g.revision > revision || g.releasedRevision > revision
 }
 
 // ApplyUpdate applies what another instance knows.
@@ -146,9 +146,9 @@
 // before it is passed on: the other members, any of which could have been promoted
 // meanwhile, must confirm that they are not primary.
 func (g *Grant) Primary(now time.Duration) (PrimaryRef, error) {
-	a := PrimaryRef{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
+	ref := PrimaryRef{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
 	switch {
-	case g.revision == 0 || a.Primary == "":
+	case g.revision == 0 || ref.Primary == "":
 		return PrimaryRef{}, fmt.Errorf("no primary is known")
 	case g.record.Change != nil:
 		return PrimaryRef{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
@@ -157,7 +157,7 @@
 	case g.Expired(now):
 		return PrimaryRef{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmedAt)
 	}
-	return a, nil
+	return ref, nil
 }
 
 // Usable reports whether Primary returns a primary instead of an error.
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// PrimaryGuard controls the use of a group's primary on one instance. Each piece of work holds a
-// Permit and is aborted when the grant ends. A PrimaryGuard is safe for concurrent use.
+// PrimaryGuard controls the use of a group's primary on one instance. Each piece of work
+// holds a Permit and is aborted when the grant ends. A PrimaryGuard is safe for concurrent
+// use.
 type PrimaryGuard struct {
 	now func() time.Duration
 
@@ -33,7 +34,7 @@
 	PrimaryRef
 	guard   *PrimaryGuard
 	abort   func()
-	aborted bool // guarded by gate.mu
+	aborted bool // guarded by guard.mu
 }
 
 // Acquire returns a permit, or an error that says why the primary cannot be used now. abort
@@ -42,11 +43,11 @@
 func (g *PrimaryGuard) Acquire(abort func()) (*Permit, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a, err := g.grant.Primary(g.now())
+	ref, err := g.grant.Primary(g.now())
 	if err != nil {
 		return nil, err
 	}
-	p := &Permit{PrimaryRef: a, guard: g, abort: abort}
+	p := &Permit{PrimaryRef: ref, guard: g, abort: abort}
 	if len(g.permits) == 0 {
 		g.idle = make(chan struct{})
 	}
@@ -80,8 +81,8 @@
 	return Unconfirmed
 }
 
-// Confirmed reports whether an answer that arrives now may be passed on without verification by
-// the other members.
+// Confirmed reports whether an answer that arrives now may be passed on without
+// verification by the other members.
 func (p *Permit) Confirmed() bool { return p.State() == Confirmed }
 
 // Done returns the permit. Further calls have no effect.
@@ -130,9 +131,9 @@
 	return g.grant.Record()
 }
 
-// ApplyRecord applies a record read from the store. While the grant is usable, a record that is
-// already known does not close the Changed channel: on each change in the store an instance
-// applies the records of all groups again.
+// ApplyRecord applies a record read from the store. While the grant is usable, a record
+// that is already known does not close the Changed channel: on each change in the store an
+// instance applies the records of all groups again.
 func (g *PrimaryGuard) ApplyRecord(record Record, revision int64) {
 	if g.isCurrent(revision) {
 		return
@@ -162,8 +163,8 @@
 	g.updateUsability()
 }
 
-// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record newer
-// than the one with this revision.
+// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record
+// newer than the one with this revision.
 func (g *PrimaryGuard) ConfirmByQuorum(sent time.Duration, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -234,17 +235,17 @@
 func (g *PrimaryGuard) abortOutdated() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a, err := g.grant.Primary(g.now())
+	current, err := g.grant.Primary(g.now())
 	for p := range g.permits {
-		if !p.aborted && (err != nil || a.Primary != p.Primary || a.Term != p.Term) {
+		if !p.aborted && (err != nil || current.Primary != p.Primary || current.Term != p.Term) {
 			p.aborted = true
 			go p.abort()
 		}
 	}
 }
 
-// AbortOverdue aborts work that is still running although the grant has been unusable for longer
-// than drain. It must be called regularly.
+// AbortOverdue aborts work that is still running although the grant has been unusable for
+// longer than drain. It must be called regularly.
 func (g *PrimaryGuard) AbortOverdue(drain time.Duration) {
 	g.mu.Lock()
 	g.updateUsability()
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -59,7 +59,7 @@
 		return
 	}
 	reason := "the primary is silent"
-	if g.refusedInRow >= maxRefusedConnections {
+	if g.refusedInRow >= deadAfterRefusals {
 		reason = "the primary refuses connections"
 	}
 	c.startChange(ctx, group, g, reason, false)
@@ -100,7 +100,7 @@
 // isDead reports whether a primary that did not answer a probe must be replaced: it refused
 // several connections in a row, or has been unresponsive for long enough.
 func isDead(refused int, silent bool, sinceAnswer time.Duration, everAnswered bool, leaderFor time.Duration) bool {
-	if refused >= maxRefusedConnections {
+	if refused >= deadAfterRefusals {
 		return true
 	}
 	if !everAnswered {
--- a/internal/lead/overload_test.go
+++ b/internal/lead/overload_test.go
@@ -27,19 +27,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := memstore.New()
-			leader, around := newController(t, "a", store.Client())
+			leader, env := newController(t, "a", store.Client())
 			clock := time.Minute
 			leader.now = func() time.Duration { return clock }
-			g := newLeader(t, leader, around, store)
-			around.overloaded, around.replicaLag = c.alone, c.behind
+			g := newLeader(t, leader, env, store)
+			env.overloaded, env.replicaLag = c.alone, c.behind
 			c.before(g)
 			if g.overloadChangeAt > 0 {
 				g.overloadChangeAt = clock - overloadChangeInterval + 1
 			}
-			primary, _ := around.topology.Member("m1")
+			primary, _ := env.topology.Member("m1")
 			leader.replaceOverloaded(t.Context(), "g", g, primary)
-			around.refresh(t, store.Client())
-			record, _ := around.view.Record("g")
+			env.refresh(t, store.Client())
+			record, _ := env.view.Record("g")
 			must.Eq(t, c.want, record.Primary == "m2")
 		})
 	}
@@ -49,30 +49,30 @@
 // instance.
 func TestOverloadedPrimaryStaysWhileInstanceIsUnreachable(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
+	leader, env := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	g := newLeader(t, leader, around, store)
-	_, err := store.Client().Commit(t.Context(), around.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, around.lease))
+	g := newLeader(t, leader, env, store)
+	_, err := store.Client().Commit(t.Context(), env.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
 	must.NoError(t, err)
-	around.refresh(t, store.Client())
-	around.overloaded = true
-	primary, _ := around.topology.Member("m1")
+	env.refresh(t, store.Client())
+	env.overloaded = true
+	primary, _ := env.topology.Member("m1")
 	leader.replaceOverloaded(t.Context(), "g", g, primary)
-	around.refresh(t, store.Client())
-	record, _ := around.view.Record("g")
+	env.refresh(t, store.Client())
+	record, _ := env.view.Record("g")
 	must.Eq(t, "m1", record.Primary)
 	must.Nil(t, record.Change)
 }
 
 // newLeader makes a controller the leader of group g and has it find the primary.
-func newLeader(t *testing.T, c *Controller, around *fakeEnvironment, store *memstore.Store) *ledGroup {
+func newLeader(t *testing.T, c *Controller, env *fakeEnvironment, store *memstore.Store) *ledGroup {
 	g := &ledGroup{}
 	c.takeOver(t.Context(), "g", g)
-	around.refresh(t, store.Client())
+	env.refresh(t, store.Client())
 	c.watchPrimary(t.Context(), "g", g)
-	around.refresh(t, store.Client())
-	record, _ := around.view.Record("g")
+	env.refresh(t, store.Client())
+	record, _ := env.view.Record("g")
 	must.Eq(t, "m1", record.Primary)
 	return g
 }
@@ -82,15 +82,15 @@
 // after the step-down, such a read could miss a commit of the successor.
 func TestStepDownDoesNotEndGrants(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
-	newLeader(t, leader, around, store)
-	revision, err := store.Client().Commit(t.Context(), around.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, around.lease))
+	leader, env := newController(t, "a", store.Client())
+	newLeader(t, leader, env, store)
+	revision, err := store.Client().Commit(t.Context(), env.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
 	must.NoError(t, err)
-	around.refresh(t, store.Client())
+	env.refresh(t, store.Client())
 	ctx, cancel := context.WithTimeout(t.Context(), plannedDrain+2*releaseTimeout)
 	defer cancel()
-	record, _ := around.gate.Record()
-	cleared := leader.endGrants(ctx, "g", revision, Change{ID: "x", Planned: true}, record, leader.now())
-	must.False(t, cleared.ended)
-	must.False(t, cleared.primaryStays)
+	record, _ := env.guard.Record()
+	grants := leader.endGrants(ctx, "g", revision, Change{ID: "x", Planned: true}, record, leader.now())
+	must.False(t, grants.ended)
+	must.False(t, grants.primaryStays)
 }
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -10,7 +10,7 @@
 	"github.com/stackspindle/stackspindle/internal/lead/leadpb"
 )
 
-// forEachConcurrently calls f concurrently for all instances and returns when all calls
+// forEachConcurrently calls f for all instances at the same time and returns when all calls
 // have returned.
 func forEachConcurrently(instances []Instance, f func(Instance)) {
 	var wg sync.WaitGroup
@@ -89,13 +89,13 @@
 	c.callOthers(registered, func(instance Instance, client leadpb.CoordinationClient) error {
 		_, err := client.Witness(ctx, &leadpb.WitnessRequest{})
 		entry, _ := view.Entry(now, instance.Name)
-		since, gone := view.MissingSince(entry)
+		since, leaseGone := view.MissingSince(entry)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case err == nil:
 			s.answered++
-		case !gone:
+		case !leaseGone:
 			s.unresponsive++
 		case now-since < grantLapseTime:
 			s.lapsing++
--- a/internal/lead/planned_change_test.go
+++ b/internal/lead/planned_change_test.go
@@ -41,13 +41,13 @@
 }
 
 // registerUnreachable registers an instance that cannot be reached and whose lease has ended.
-func registerUnreachable(t *testing.T, store *memstore.Store, around *fakeEnvironment, instance Instance) {
+func registerUnreachable(t *testing.T, store *memstore.Store, env *fakeEnvironment, instance Instance) {
 	lease, err := store.Client().Grant(t.Context(), time.Second)
 	must.NoError(t, err)
-	_, err = store.Client().Commit(t.Context(), around.view.Registration(instance, lease.ID))
+	_, err = store.Client().Commit(t.Context(), env.view.Registration(instance, lease.ID))
 	must.NoError(t, err)
 	store.EndLease(lease.ID)
-	around.refresh(t, store.Client())
+	env.refresh(t, store.Client())
 }
 
 // All instances were killed and one of them has not restarted when a primary is to be
@@ -56,23 +56,23 @@
 // than an instance may use an unconfirmed grant.
 func TestPlannedChangeWaitsForLapsingGrant(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
+	leader, env := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
 	leader.server.now = leader.now
-	g := newLeader(t, leader, around, store)
-	registerUnreachable(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1", SeenRevision: 7})
-	around.view.missingSince["b"] = clock
-	around.membersSince(clock, 7)
+	g := newLeader(t, leader, env, store)
+	registerUnreachable(t, store, env, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1", SeenRevision: 7})
+	env.view.missingSince["b"] = clock
+	env.membersSince(clock, 7)
 
 	leader.startChange(t.Context(), "g", g, "the primary drains", true)
-	record, _ := around.gate.Record()
+	record, _ := env.guard.Record()
 	must.Nil(t, record.Change, must.Sprint("the grant of the instance without a lease has not lapsed"))
 	must.Eq(t, "m1", record.Primary)
 
 	clock += grantLapseTime
 	leader.startChange(t.Context(), "g", g, "the primary drains", true)
-	record, _ = around.gate.Record()
+	record, _ = env.guard.Record()
 	must.Nil(t, record.Change)
 	must.Eq(t, "m2", record.Primary)
 }
@@ -90,17 +90,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := memstore.New()
-			leader, around := newController(t, "a", store.Client())
+			leader, env := newController(t, "a", store.Client())
 			clock := time.Minute
 			leader.now = func() time.Duration { return clock }
-			newLeader(t, leader, around, store)
+			newLeader(t, leader, env, store)
 			since := clock
 			if c.seen < 0 {
 				since -= unconfirmedUseLapseTime + 1
 			}
-			around.membersSince(since, 7)
-			cleared := grantsOutcome{ended: true, unreachable: true, seenRevision: max(0, c.seen)}
-			must.Eq(t, c.want, leader.hasSuccessor("g", "m1", cleared))
+			env.membersSince(since, 7)
+			grants := grantsOutcome{ended: true, unreachable: true, seenRevision: max(0, c.seen)}
+			must.Eq(t, c.want, leader.hasSuccessor("g", "m1", grants))
 			must.Eq(t, "m1", leader.dialer.(*membergroup.Group).Primary())
 		})
 	}
@@ -128,16 +128,16 @@
 func TestLowestRevisionSeenByUnreachableInstances(t *testing.T) {
 	const announced = time.Minute
 	r := &grantRelease{announced: announced}
-	_, left := r.unreleased()
-	must.False(t, left)
+	_, hasUnreleased := r.unreleased()
+	must.False(t, hasUnreleased)
 	r.addUnreleased(announced+grantLapseTime, announced-unconfirmedUseLapseTime, 3)
-	_, left = r.unreleased()
-	must.False(t, left, must.Sprint("it has been without a lease for too long to use any primary"))
+	_, hasUnreleased = r.unreleased()
+	must.False(t, hasUnreleased, must.Sprint("it has been without a lease for too long to use any primary"))
 	for _, seen := range []int64{9, 5, 7} {
 		r.addUnreleased(announced+grantLapseTime, 0, seen)
 	}
-	seen, left := r.unreleased()
-	must.True(t, left)
+	seen, hasUnreleased := r.unreleased()
+	must.True(t, hasUnreleased)
 	must.Eq(t, 5, seen)
 	r.addUnreleased(announced+grantLapseTime, 0, 0)
 	seen, _ = r.unreleased()
@@ -148,14 +148,14 @@
 // an unreachable instance reports no seen revision and may not know the other member.
 func TestChangeWithoutSuccessorKeepsPrimary(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
+	leader, env := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	g := newLeader(t, leader, around, store)
-	registerUnreachable(t, store, around, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"})
-	around.view.missingSince["b"] = clock
-	around.membersSince(time.Hour, 7)
-	record, revision := around.gate.Record()
+	g := newLeader(t, leader, env, store)
+	registerUnreachable(t, store, env, Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"})
+	env.view.missingSince["b"] = clock
+	env.membersSince(time.Hour, 7)
+	record, revision := env.guard.Record()
 	change := Change{ID: "x", Planned: true}
 	record.Change = &change
 	_, err := leader.write(t.Context(), "g", g, record, revision)
@@ -166,7 +166,7 @@
 	_, err = leader.executeChange(t.Context(), "g", g, change)
 	must.ErrorIs(t, err, errNoCandidate)
 	must.SliceEmpty(t, leader.promoter.(*membergroup.Group).Promotions())
-	primary, _ := around.topology.Member("m1")
+	primary, _ := env.topology.Member("m1")
 	conn, err := leader.dialer.Dial(t.Context(), primary, account.Anonymous)
 	must.NoError(t, err)
 	defer conn.Close()
@@ -179,14 +179,14 @@
 // starts again if the change has not been considered for a while.
 func TestPostponementIsLimited(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
+	leader, env := newController(t, "a", store.Client())
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
-	g := newLeader(t, leader, around, store)
-	_, err := store.Client().Commit(t.Context(), around.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, around.lease))
+	g := newLeader(t, leader, env, store)
+	_, err := store.Client().Commit(t.Context(), env.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
 	must.NoError(t, err)
-	around.refresh(t, store.Client())
-	around.view.joinedAt["b"] = 0
+	env.refresh(t, store.Client())
+	env.view.joinedAt["b"] = 0
 	due := func() bool { return leader.mayAnnounce(t.Context(), g, leader.log) }
 	must.False(t, due())
 	clock += plannedCheckInterval
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -132,25 +132,25 @@
 	w.record.Change = &Change{ID: fmt.Sprint(n)}
 	w.revision++
 	r := &grantRelease{announced: w.leaderNow(), releasesNeeded: ReleaseQuorum(len(w.instances), 0)}
-	var unreached []*simulatedInstance
+	var unreachable []*simulatedInstance
 	for _, s := range w.instances {
 		if rapid.Bool().Draw(w.t, "reached") {
 			s.grant.Release(w.revision)
 			r.addReply(w.leaderNow(), w.reply(s))
 		} else {
-			unreached = append(unreached, s)
+			unreachable = append(unreachable, s)
 		}
 		w.steps()
 	}
-	if len(unreached) > 0 {
-		for !w.allLapsed(r, unreached) {
+	if len(unreachable) > 0 {
+		for !w.allLapsed(r, unreachable) {
 			w.trueTime += 100 * time.Millisecond
 			if rapid.IntRange(0, 9).Draw(w.t, "something happens") == 0 {
 				w.steps()
 			}
 		}
 	}
-	for _, s := range unreached {
+	for _, s := range unreachable {
 		r.addUnreleased(w.leaderNow(), s.goneSince, s.seenMembersRevision)
 	}
 	if rapid.Bool().Draw(w.t, "steps down") {
@@ -178,10 +178,10 @@
 				answers = append(answers, memberStatus{member: topology.Member{ID: m, Since: w.knownSince[m], Revision: w.memberRevisions[m]}, status: member.Status{Term: w.record.Term}})
 			}
 		}
-		seen, unreached := r.unreleased()
-		unreached = unreached && !w.steppedDown[w.record.Primary]
+		seen, unreachable := r.unreleased()
+		unreachable = unreachable && !w.steppedDown[w.record.Primary]
 		best, ok := Select(answers, Selection{
-			Old: w.record.Primary, Term: w.record.Term, AllowShorterLog: true, Unreached: unreached, KnownBefore: w.leaderNow() - unconfirmedUseLapseTime, Seen: seen,
+			Old: w.record.Primary, Term: w.record.Term, AllowShorterLog: true, Unreached: unreachable, KnownBefore: w.leaderNow() - unconfirmedUseLapseTime, Seen: seen,
 		})
 		if ok {
 			return best.member.ID
@@ -192,8 +192,8 @@
 
 // allLapsed reports whether, according to the leader, the grants of all unreachable
 // instances have lapsed.
-func (w *simulatedFleet) allLapsed(r *grantRelease, unreached []*simulatedInstance) bool {
-	for _, s := range unreached {
+func (w *simulatedFleet) allLapsed(r *grantRelease, unreachable []*simulatedInstance) bool {
+	for _, s := range unreachable {
 		if !r.hasLapsed(w.leaderNow(), s.name, s.goneSince) {
 			return false
 		}
@@ -272,9 +272,9 @@
 		}
 		answers++
 		other.attested[s.name] = other.now(w.trueTime)
-		if news, newer := other.grant.UpdateSince(known); newer {
+		if update, newer := other.grant.UpdateSince(known); newer {
 			objected = true
-			s.grant.ApplyUpdate(news)
+			s.grant.ApplyUpdate(update)
 		}
 	}
 	w.trueTime += time.Duration(rapid.IntRange(0, 3000).Draw(w.t, "ms until the answers count")) * time.Millisecond
@@ -349,15 +349,15 @@
 	_, newer := source.UpdateSince(5)
 	must.False(t, newer)
 	source.Release(6)
-	news, newer := source.UpdateSince(5)
+	update, newer := source.UpdateSince(5)
 	must.True(t, newer)
-	receiver.ApplyUpdate(news)
+	receiver.ApplyUpdate(update)
 	_, err := receiver.Primary(0)
 	must.Error(t, err, must.Sprint("a change is in progress"))
 	source.ApplyOutcome(Record{Primary: "b", Term: 2}, 6)
-	news, newer = source.UpdateSince(5)
+	update, newer = source.UpdateSince(5)
 	must.True(t, newer)
-	receiver.ApplyUpdate(news)
+	receiver.ApplyUpdate(update)
 	a, err := receiver.Primary(0)
 	must.NoError(t, err)
 	must.Eq(t, "b", a.Primary)
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -65,12 +65,12 @@
 
 	Capacity placement.Strength `json:"strength,omitzero"` // cores, link and memory of the instance
 
-	// EligibleForLimits reports that the instance has been registered for long enough to hold shares
-	// of the client accounts' limits. It stays set across restarts.
+	// EligibleForLimits reports that the instance has been registered for long enough to
+	// hold shares of the client accounts' limits. It stays set across restarts.
 	EligibleForLimits bool `json:"settled,omitempty"`
 
-	// SeenRevision is a store revision whose contents the process had applied when it wrote this
-	// entry: it knows every key that has been unchanged since. 0: unknown.
+	// SeenRevision is a store revision whose contents the process had applied when it wrote
+	// this entry: it knows every key that has been unchanged since. 0: unknown.
 	SeenRevision int64 `json:"seen,omitempty"`
 }
 
--- a/internal/lead/release.go
+++ b/internal/lead/release.go
@@ -237,8 +237,8 @@
 // addUnreleased records an instance whose grant has lapsed without a release. goneSince is
 // since when its lease has been gone, zero if the lease is valid. The instance may still
 // use the old primary and then asks the members that it knows: at least those that were in
-// the store at revision seen.
-func (r *grantRelease) addUnreleased(now, goneSince time.Duration, seen int64) {
+// the store at seenRevision.
+func (r *grantRelease) addUnreleased(now, goneSince time.Duration, seenRevision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	lastAnswer := r.announced // the last answer of the store to that instance is not newer
@@ -248,8 +248,8 @@
 	if now-lastAnswer >= unconfirmedUseLapseTime {
 		return // the grant does not even permit verified use any more
 	}
-	if !r.hasUnreleased || seen < r.seenRevision {
-		r.seenRevision = seen
+	if !r.hasUnreleased || seenRevision < r.seenRevision {
+		r.seenRevision = seenRevision
 	}
 	r.hasUnreleased = true
 }
@@ -279,8 +279,8 @@
 	}
 	for tries := 0; ctx.Err() == nil; tries++ {
 		log := c.log.WithFields(logrus.Fields{"group": r.group, "instance": instance.Name, "waited_ms": (c.now() - r.announced).Milliseconds(), "tries": tries + 1})
-		goneSince, gone := c.env.View().MissingSince(instance)
-		if !gone {
+		goneSince, leaseGone := c.env.View().MissingSince(instance)
+		if !leaseGone {
 			goneSince = 0 // its lease is valid, as far as is known
 		}
 		if r.hasLapsed(c.now(), instance.Name, goneSince) {
@@ -297,7 +297,7 @@
 			return
 		}
 		if tries%releaseLogEvery == 0 {
-			log.WithError(err).WithFields(logrus.Fields{"lease_gone": gone, "at_latest_ms": r.maxWait(goneSince).Milliseconds()}).
+			log.WithError(err).WithFields(logrus.Fields{"lease_gone": leaseGone, "at_latest_ms": r.maxWait(goneSince).Milliseconds()}).
 				Info("lead: an instance has not released its grant; retrying until it does or the grant has lapsed")
 		}
 		sleep(ctx, releaseRetryPause)
--- a/internal/lead/relinquish_test.go
+++ b/internal/lead/relinquish_test.go
@@ -12,40 +12,40 @@
 // give up a group that it does not serve to an instance that does.
 func TestRelinquishGroupNotServed(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
+	first, env := newController(t, "a", store.Client())
 	first.takeOver(t.Context(), "g", &ledGroup{})
-	around.refresh(t, store.Client())
-	led := &ledGroup{}
-	_, led.leaderRevision = around.view.Leader("g")
+	env.refresh(t, store.Client())
+	g := &ledGroup{}
+	_, g.leaderRevision = env.view.Leader("g")
 
-	must.False(t, first.shouldRelinquish("g", led), must.Sprint("it serves the group"))
-	around.servesNone = true
-	must.False(t, first.shouldRelinquish("g", led), must.Sprint("it has just taken over the group"))
-	led.tookOverAt, led.relinquishTriedAt = -relinquishDelay, -relinquishDelay
-	must.True(t, first.shouldRelinquish("g", led))
-	first.relinquish(t.Context(), "g", led)
-	must.False(t, first.shouldRelinquish("g", &ledGroup{tookOverAt: led.tookOverAt, relinquishTriedAt: first.now()}), must.Sprint("it has just tried to give up the leadership"))
-	around.refresh(t, store.Client())
-	leader, _ := around.view.Leader("g")
+	must.False(t, first.shouldRelinquish("g", g), must.Sprint("it serves the group"))
+	env.servesNone = true
+	must.False(t, first.shouldRelinquish("g", g), must.Sprint("it has just taken over the group"))
+	g.tookOverAt, g.relinquishTriedAt = -relinquishDelay, -relinquishDelay
+	must.True(t, first.shouldRelinquish("g", g))
+	first.relinquish(t.Context(), "g", g)
+	must.False(t, first.shouldRelinquish("g", &ledGroup{tookOverAt: g.tookOverAt, relinquishTriedAt: first.now()}), must.Sprint("it has just tried to give up the leadership"))
+	env.refresh(t, store.Client())
+	leader, _ := env.view.Leader("g")
 	must.Eq(t, "", leader.Instance)
-	_, revision := around.view.Record("g")
+	_, revision := env.view.Record("g")
 	must.Positive(t, revision, must.Sprint("the record stays, with its generation"))
 }
 
 // A replaced leader must not delete its successor's leader key.
 func TestReplacedLeaderKeepsSuccessorsKey(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	second, aroundSecond := newController(t, "b", store.Client())
+	first, env := newController(t, "a", store.Client())
+	second, secondEnv := newController(t, "b", store.Client())
 	first.takeOver(t.Context(), "g", &ledGroup{})
-	around.refresh(t, store.Client())
-	led := &ledGroup{}
-	_, led.leaderRevision = around.view.Leader("g")
-	store.EndLease(around.lease)
-	aroundSecond.refresh(t, store.Client())
+	env.refresh(t, store.Client())
+	g := &ledGroup{}
+	_, g.leaderRevision = env.view.Leader("g")
+	store.EndLease(env.lease)
+	secondEnv.refresh(t, store.Client())
 	second.takeOver(t.Context(), "g", &ledGroup{})
-	first.relinquish(t.Context(), "g", led)
-	aroundSecond.refresh(t, store.Client())
-	leader, _ := aroundSecond.view.Leader("g")
+	first.relinquish(t.Context(), "g", g)
+	secondEnv.refresh(t, store.Client())
+	leader, _ := secondEnv.view.Leader("g")
 	must.Eq(t, "b", leader.Instance)
 }
--- a/internal/lead/select_test.go
+++ b/internal/lead/select_test.go
@@ -81,7 +81,7 @@
 
 func TestIsDead(t *testing.T) {
 	must.False(t, isDead(1, false, unresponsiveTimeout, true, unresponsiveTimeout))
-	must.True(t, isDead(maxRefusedConnections, false, 0, true, 0))
+	must.True(t, isDead(deadAfterRefusals, false, 0, true, 0))
 	must.False(t, isDead(0, true, unresponsiveTimeout-1, true, unresponsiveTimeout))
 	must.True(t, isDead(0, true, unresponsiveTimeout, true, unresponsiveTimeout))
 	must.False(t, isDead(0, true, 0, false, unresponsiveTimeout-1), must.Sprint("never answered: counted from the take-over"))
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -22,7 +22,7 @@
 	now             func() time.Duration // monotonic, since the process started
 	sinceLastAnswer func(member string) (time.Duration, bool)
 
-	mu         sync.Mutex               // guards attested
+	mu         sync.Mutex               // guards attestedAt
 	attestedAt map[string]time.Duration // when an instance last requested an attestation, by name
 }
 
@@ -66,29 +66,29 @@
 	s.mu.Unlock()
 	reply := &leadpb.AttestReply{}
 	for _, known := range req.Known {
-		if news, newer := s.guardOf(known.Group).UpdateSince(known.Revision); newer {
-			reply.News = append(reply.News, encodeUpdate(known.Group, news))
+		if update, newer := s.guardOf(known.Group).UpdateSince(known.Revision); newer {
+			reply.News = append(reply.News, encodeUpdate(known.Group, update))
 		}
 	}
 	return reply, nil
 }
 
-func encodeUpdate(group string, n GroupUpdate) *leadpb.GroupNews {
-	news := &leadpb.GroupNews{Group: group, Revision: n.Revision, Settled: n.IsOutcome, Released: n.Released}
-	if n.Revision > 0 {
-		news.Record = encode(n.Record)
+func encodeUpdate(group string, update GroupUpdate) *leadpb.GroupNews {
+	message := &leadpb.GroupNews{Group: group, Revision: update.Revision, Settled: update.IsOutcome, Released: update.Released}
+	if update.Revision > 0 {
+		message.Record = encode(update.Record)
 	}
-	return news
+	return message
 }
 
-func decodeUpdate(news *leadpb.GroupNews) (GroupUpdate, error) {
-	n := GroupUpdate{Revision: news.Revision, IsOutcome: news.Settled, Released: news.Released}
-	if n.Revision == 0 {
-		return n, nil
+func decodeUpdate(message *leadpb.GroupNews) (GroupUpdate, error) {
+	update := GroupUpdate{Revision: message.Revision, IsOutcome: message.Settled, Released: message.Released}
+	if update.Revision == 0 {
+		return update, nil
 	}
 	var err error
-	n.Record, err = decode[Record](news.Record)
-	return n, err
+	update.Record, err = decode[Record](message.Record)
+	return update, err
 }
 
 // errStoreNotRead refuses an attestation.
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -229,14 +229,14 @@
 
 // GroupsLedBy returns the groups that a process leads, sorted.
 func (v *View) GroupsLedBy(name, incarnation string) []string {
-	var led []string
+	var result []string
 	groups, _ := v.groupsByLeader.Get(name)
 	for _, group := range groups {
 		if leader, _ := v.Leader(group); leader.Incarnation == incarnation {
-			led = append(led, group)
+			result = append(result, group)
 		}
 	}
-	return led
+	return result
 }
 
 // AllLed reports whether all groups, whose number is given, have a leader whose process is
