--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -125,16 +125,16 @@
 }
 
 // postponeReason returns why a planned change is not announced yet, empty if it can be.
-// waited is how long it has been postponed, patience how long it may be postponed in all.
-// patience leaves enough time for the remaining grants to lapse before work on the old
+// waited is how long it has been postponed, maxPostponement how long it may be postponed in
+// all, which leaves enough time for the remaining grants to lapse before work on the old
 // primary must have ended.
-func postponeReason(s surveyResult, waited, patience time.Duration) string {
+func postponeReason(s surveyResult, waited, maxPostponement time.Duration) string {
 	switch {
 	case s.answered < s.releasesNeeded:
 		return "too few instances can be reached"
-	case s.lapsing > 0 && waited < patience:
+	case s.lapsing > 0 && waited < maxPostponement:
 		return "the grant of an instance that is gone has not lapsed"
-	case s.unresponsive > 0 && waited < min(patience, unresponsivePostponement):
+	case s.unresponsive > 0 && waited < min(maxPostponement, unresponsivePostponement):
 		return "an instance that may hold a grant does not answer"
 	}
 	return ""
--- a/internal/lead/planned_change_test.go
+++ b/internal/lead/planned_change_test.go
@@ -18,7 +18,7 @@
 // Whatever the change would have to wait for must therefore be awaited before the
 // announcement.
 func TestPostponePlannedChange(t *testing.T) {
-	const patience = 4 * time.Second
+	const maxPostponement = 4 * time.Second
 	for name, c := range map[string]struct {
 		s         surveyResult
 		waited    time.Duration
@@ -26,14 +26,14 @@
 	}{
 		"all instances answer":                                  {surveyResult{answered: 9, releasesNeeded: 6}, 0, false},
 		"fewer than needed answer":                              {surveyResult{answered: 5, releasesNeeded: 6, unresponsive: 4}, time.Hour, true},
-		"one has no lease and its grant has not lapsed":         {surveyResult{answered: 8, releasesNeeded: 6, lapsing: 1}, patience - 1, true},
-		"one has no lease and no patience is left":              {surveyResult{answered: 8, releasesNeeded: 6, lapsing: 1}, patience, false},
+		"one has no lease and its grant has not lapsed":         {surveyResult{answered: 8, releasesNeeded: 6, lapsing: 1}, maxPostponement - 1, true},
+		"one has no lease and the maximum postponement is over": {surveyResult{answered: 8, releasesNeeded: 6, lapsing: 1}, maxPostponement, false},
 		"one is unresponsive and its lease is valid":            {surveyResult{answered: 8, releasesNeeded: 6, unresponsive: 1}, unresponsivePostponement - 1, true},
 		"one is unresponsive for long enough to have restarted": {surveyResult{answered: 8, releasesNeeded: 6, unresponsive: 1}, unresponsivePostponement, false},
 		"one is unresponsive for long enough, one has no lease": {surveyResult{answered: 7, releasesNeeded: 6, unresponsive: 1, lapsing: 1}, unresponsivePostponement, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			must.Eq(t, c.postponed, postponeReason(c.s, c.waited, patience) != "")
+			must.Eq(t, c.postponed, postponeReason(c.s, c.waited, maxPostponement) != "")
 		})
 	}
 	must.Eq(t, "", postponeReason(surveyResult{answered: 8, releasesNeeded: 6, unresponsive: 1, lapsing: 1}, 0, -time.Second),
