--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -19,7 +19,7 @@
 
 // departedMemory is for how long an instance that does not hear of the store reckons
 // with the return of a member: as long as it may use a primary then.
-const departedMemory = 2 * lead.VerifiableFor
+const departedMemory = 2 * lead.UnconfirmedUseLimit
 
 // control holds the control state: it takes in what the follower learned,
 // publishes snapshots, and looks at what is due.
@@ -55,7 +55,7 @@
 			return nil
 		}
 		i.relay.ReportFailures(false)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(enforceDrain) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
 			i.attest()
@@ -74,7 +74,7 @@
 
 // tickPause returns the pause before the next look.
 func (i *Instance) tickPause() time.Duration {
-	groups := len(i.relay.Carried()) + len(i.view.Load().Led(i.self.Name, i.self.Incarnation))
+	groups := len(i.relay.Carried()) + len(i.view.Load().GroupsLedBy(i.self.Name, i.self.Incarnation))
 	if groups == 0 {
 		return idleTick
 	}
@@ -133,7 +133,7 @@
 	i.askedAt.Store(int64(now))
 	i.spawn(func() {
 		defer i.attesting.Store(false)
-		sent, ok := i.controller.Attest(i.ctx)
+		sent, ok := i.controller.RequestAttestations(i.ctx)
 		if !ok {
 			i.attestFailures.Add(1)
 			return
@@ -159,9 +159,9 @@
 	}
 	if c.Whole || len(c.Events) > 0 {
 		before := i.view.Swap(view)
-		i.relay.Gates(func(group string, g *lead.Gate) {
+		i.relay.Gates(func(group string, g *lead.PrimaryGuard) {
 			if record, revision := view.Record(group); revision > 0 {
-				g.Learn(record, revision)
+				g.ApplyRecord(record, revision)
 			}
 		})
 		i.share(state)
@@ -182,7 +182,7 @@
 		i.relay.StartCarrying()
 		i.heardAt.Store(int64(c.Confirmed))
 		i.limiter.Confirm(c.Confirmed)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
+		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.Confirm(c.Confirmed) })
 	}
 }
 
@@ -329,9 +329,9 @@
 // surroundings gives the controller its picture of the instance.
 type surroundings struct{ i *Instance }
 
-func (s surroundings) Topology() *topology.Snapshot { return s.i.topology.Load() }
-func (s surroundings) View() *lead.View             { return s.i.view.Load() }
-func (s surroundings) Gate(group string) *lead.Gate { return s.i.relay.Gate(group) }
+func (s surroundings) Topology() *topology.Snapshot                 { return s.i.topology.Load() }
+func (s surroundings) View() *lead.View                             { return s.i.view.Load() }
+func (s surroundings) PrimaryGuard(group string) *lead.PrimaryGuard { return s.i.relay.Gate(group) }
 
 // leadAfterPerGroup is for how long after its registration an instance leaves groups without
 // a leader to others, for each group that there is. Instances that start together do not know
@@ -356,10 +356,12 @@
 	return kv.LeaseID(s.i.lease.Load())
 }
 
-func (s surroundings) Heard(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
-func (s surroundings) Doubtful(id string) bool               { return s.i.upstreams.Doubtful(id) }
-func (s surroundings) Carries(group string) bool             { return s.i.relay.Carries(group) }
-func (s surroundings) Carried() []string                     { return s.i.relay.Carried() }
+func (s surroundings) SinceLastAnswer(id string) (time.Duration, bool) {
+	return s.i.upstreams.Heard(id)
+}
+func (s surroundings) HasUnansweredAttempt(id string) bool { return s.i.upstreams.Doubtful(id) }
+func (s surroundings) Serves(group string) bool            { return s.i.relay.Carries(group) }
+func (s surroundings) ServedGroups() []string              { return s.i.relay.Carried() }
 
 func (s surroundings) Rank(group string, most int) int {
 	carriers := s.i.relay.CarriersOf(group)
@@ -373,7 +375,7 @@
 	return before + s.i.view.Load().RankUpTo(group, s.i.self.Name, most-before)
 }
 
-func (s surroundings) Users(group string) []lead.Instance {
+func (s surroundings) InstancesServing(group string) []lead.Instance {
 	carriers := s.i.relay.CarriersOf(group)
 	if carriers.Everybody || len(carriers.Others) == 0 {
 		return s.i.view.Load().Registered(s.i.now())
@@ -381,12 +383,12 @@
 	return carriers.Others
 }
 
-func (s surroundings) Alone(group, primary string) bool {
+func (s surroundings) OverloadedWithoutReplicas(group, primary string) bool {
 	return s.i.upstreams.Alone(group, primary)
 }
 
-func (s surroundings) Behind(name string, p group.Position) time.Duration {
+func (s surroundings) ReplicaLag(name string, p group.Position) time.Duration {
 	return s.i.upstreams.Behind(name, p)
 }
 
-func (s surroundings) NoteAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
+func (s surroundings) RecordAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -85,7 +85,7 @@
 	}
 	for i := range f.instances {
 		name := fmt.Sprintf("instance-%d", i)
-		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", i%5), Incarnation: name, Address: name, Strength: strengthOf(i)}
+		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", i%5), Incarnation: name, Address: name, Capacity: strengthOf(i)}
 		events = append(events, f.put(tb, "stackspindle/instances/"+name, entry), f.put(tb, "stackspindle/alive/"+name, []byte(name)))
 		flush(2 * batch)
 	}
@@ -128,7 +128,7 @@
 	name := fmt.Sprintf("instance-%d", other)
 	switch kind {
 	case "registration":
-		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", other%5), Incarnation: fmt.Sprint(n), Address: name, Strength: strengthOf(other)}
+		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", other%5), Incarnation: fmt.Sprint(n), Address: name, Capacity: strengthOf(other)}
 		return f.put(tb, "stackspindle/instances/"+name, entry)
 	case "loss":
 		e := f.put(tb, "stackspindle/alive/"+name, []byte(name))
@@ -175,7 +175,7 @@
 		f.settle()
 		carried := len(f.inst.relay.Carried())
 		gates := 0
-		f.inst.relay.Gates(func(string, *lead.Gate) { gates++ })
+		f.inst.relay.Gates(func(string, *lead.PrimaryGuard) { gates++ })
 		must.LessEq(t, mostCarried, carried, must.Sprint(instances))
 		must.LessEq(t, carried, gates)
 	}
@@ -194,7 +194,7 @@
 
 // look does what the control goroutine does at each look.
 func (f *grownFleet) look() {
-	f.inst.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+	f.inst.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(enforceDrain) })
 	f.inst.controller.Tick(context.Background())
 }
 
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -90,7 +90,7 @@
 	// most instances goes on to call itself ready. It serves reads of replicas for as
 	// long as it likes, and the primary as far as the members verify its grants; sending
 	// its callers elsewhere at once would burden the others for each short outage.
-	readyWithout = lead.StorelessValidity / 2
+	readyWithout = lead.AttestedUseLimit / 2
 	// enforceDrain is how long open work may outlast a grant that ended without a
 	// release: the same as a planned change gives it.
 	enforceDrain = 500 * time.Millisecond
@@ -170,7 +170,7 @@
 		platform: platform,
 		self: lead.Instance{
 			Name: settings.Name, Incarnation: uuid.NewString(),
-			Address: settings.PeerAddress, DataCentre: settings.DataCentre, Strength: settings.Strength,
+			Address: settings.PeerAddress, DataCentre: settings.DataCentre, Capacity: settings.Strength,
 		},
 		log:        log,
 		started:    time.Now(),
@@ -209,7 +209,7 @@
 	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.informed, i.now, i.upstreams.Heard)
 	i.controller = lead.NewController(lead.Config{
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
-		Around: surroundings{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
+		Environment: surroundings{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
 	})
 	i.controller.Locate(settings.Places)
 	i.peers = grpc.NewServer(peerconn.ServerOptions()...)
@@ -394,9 +394,9 @@
 	metrics.WriteGaugeFloat64(w, "stackspindle_store_confirmed_seconds", (now - time.Duration(i.heardAt.Load())).Seconds())
 	metrics.WriteGaugeUint64(w, "stackspindle_registered", boolMetric(i.lease.Load() != 0))
 	metrics.WriteGaugeUint64(w, "stackspindle_ready", boolMetric(i.Ready()))
-	i.relay.Gates(func(group string, g *lead.Gate) {
+	i.relay.Gates(func(group string, g *lead.PrimaryGuard) {
 		labels := `{group="` + group + `"}`
-		authority, err := g.Authority()
+		authority, err := g.Primary()
 		leader, _ := i.view.Load().Leader(group)
 		metrics.WriteGaugeUint64(w, "stackspindle_group_has_primary"+labels, boolMetric(err == nil))
 		metrics.WriteGaugeUint64(w, "stackspindle_group_term"+labels, authority.Term)
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -14,69 +14,71 @@
 	"github.com/stackspindle/stackspindle/internal/ownership"
 )
 
-// Settings of the questions of one round.
+// Limits of one round of attestation requests.
 const (
-	// attestTimeout bounds a round, with attestEach for each instance asked: connections
-	// to them have to be opened first, by one that has a fifth of a core.
-	attestTimeout = 300 * time.Millisecond
-	attestEach    = 3 * time.Millisecond
-	// attestAtOnce is how many questions are under way at a time, so that statements have
-	// their turn.
-	attestAtOnce = 16
+	// attestTimeout plus attestTimeoutPerInstance for each instance asked bounds a round.
+	// Connections to the instances have to be opened first, perhaps by an instance that has
+	// a fifth of a core.
+	attestTimeout            = 300 * time.Millisecond
+	attestTimeoutPerInstance = 3 * time.Millisecond
+	// maxConcurrentAttests is how many requests are in flight at a time, so that statements
+	// get their share of the processor.
+	maxConcurrentAttests = 16
 )
 
-// Locate tells how far data centres lie from one another. It is called before the first Tick;
-// without it all are as far.
-func (c *Controller) Locate(places locality.Map) { c.places = places }
+// Locate sets the distances between data centres. It must be called before the first Tick.
+// Without it all other data centres count as equally far.
+func (c *Controller) Locate(localities locality.Map) { c.localities = localities }
 
-// Attest asks the registered instances whether they know of anything newer than
-// the records here, and confirms the grants for which a quorum does not. It is
-// called while the store does not answer this instance. It returns when the
-// questions were sent and whether a quorum answered at all.
-func (c *Controller) Attest(ctx context.Context) (time.Duration, bool) {
-	registered := c.around.View().Registered(c.now())
+// RequestAttestations asks other registered instances whether they know anything newer than
+// the records known here, and confirms the grants for which a quorum knows nothing newer.
+// It is called while the store does not answer this instance. It returns when the requests
+// were sent and whether a quorum answered at all.
+func (c *Controller) RequestAttestations(ctx context.Context) (time.Duration, bool) {
+	registered := c.env.View().Registered(c.now())
 	needed := AttestQuorum(len(registered))
 	req := &leadpb.AttestRequest{From: c.self.Name}
-	for _, group := range c.around.Carried() {
-		if _, revision := c.around.Gate(group).Record(); revision > 0 {
+	for _, group := range c.env.ServedGroups() {
+		if _, revision := c.env.PrimaryGuard(group).Record(); revision > 0 {
 			req.Known = append(req.Known, &leadpb.GroupRevision{Group: group, Revision: revision})
 		}
 	}
-	round := &attestation{needed: needed, answers: 1, news: make(map[string][]*leadpb.GroupNews)}
+	round := &attestationRound{needed: needed, answers: 1, updates: make(map[string][]*leadpb.GroupNews)}
 	sent := c.now()
 	asked := registered
-	if !c.attestAll.Load() {
-		asked = attestors(registered, c.self, needed, c.places)
+	if !c.askAllInstances.Load() {
+		asked = attestors(registered, c.self, needed, c.localities)
 	}
-	ctx, cancel := context.WithTimeout(ctx, attestTimeout+time.Duration(len(asked))*attestEach)
+	ctx, cancel := context.WithTimeout(ctx, attestTimeout+time.Duration(len(asked))*attestTimeoutPerInstance)
 	defer cancel()
-	turns := make(chan struct{}, attestAtOnce)
-	c.askOthers(asked, func(_ Instance, client leadpb.CoordinationClient) error {
-		turns <- struct{}{}
-		defer func() { <-turns }()
+	slots := make(chan struct{}, maxConcurrentAttests)
+	c.callOthers(asked, func(_ Instance, client leadpb.CoordinationClient) error {
+		slots <- struct{}{}
+		defer func() { <-slots }()
 		reply, err := client.Attest(ctx, req)
 		if err == nil {
-			round.note(reply)
+			round.addReply(reply)
 		}
 		return err
 	})
 	c.applyAttestation(req, round, sent)
-	c.log.WithFields(logrus.Fields{"answers": round.answers, "needed": round.needed, "newer": len(round.news)}).
-		Info("lead: the other instances were asked to attest, since the store does not answer")
-	enough := round.answers >= round.needed
-	c.attestAll.Store(!enough)
-	return sent, enough
+	c.log.WithFields(logrus.Fields{"answers": round.answers, "needed": round.needed, "newer": len(round.updates)}).
+		Info("lead: requested attestations from other instances because the store does not answer")
+	quorum := round.answers >= round.needed
+	c.askAllInstances.Store(!quorum)
+	return sent, quorum
 }
 
-// attestSpare is the part of the instances that are asked beyond a quorum, for those
-// that do not answer: one in ten.
-const attestSpare = 10
+// spareAttestorsDivisor is the divisor for the share of the instances that is asked beyond
+// a quorum, in case some do not answer: one in ten.
+const spareAttestorsDivisor = 10
 
-// attestors returns whom an instance asks: a quorum and some more, those of its own
-// data centre first, then those of its region, and beginning with another one for each
-// instance. Where that does not do, all are asked the next time. That
-// saves calls, most of them between data centres.
-func attestors(registered []Instance, self Instance, needed int, places locality.Map) []Instance {
+// attestors returns the instances to ask: enough for a quorum and some spare ones.
+// Instances of the own data centre come first, then those of the own region, then the
+// others. Each asking instance uses a different order within a distance, which spreads the
+// requests. Asking only a part saves calls, most of them between data centres. If no quorum
+// answers, the next round asks all instances.
+func attestors(registered []Instance, self Instance, needed int, localities locality.Map) []Instance {
 	var near, far []Instance
 	for _, i := range registered {
 		switch {
@@ -89,47 +91,47 @@
 	}
 	slices.SortFunc(far, func(a, b Instance) int {
 		return cmp.Or(
-			cmp.Compare(places.Distance(a.DataCentre, self.DataCentre), places.Distance(b.DataCentre, self.DataCentre)),
+			cmp.Compare(localities.Distance(a.DataCentre, self.DataCentre), localities.Distance(b.DataCentre, self.DataCentre)),
 			cmp.Compare(ownership.Score(self.Name, a.Name), ownership.Score(self.Name, b.Name)),
 		)
 	})
 	asked := append(near, far...)
-	return asked[:min(len(asked), needed-1+max(1, len(registered)/attestSpare))]
+	return asked[:min(len(asked), needed-1+max(1, len(registered)/spareAttestorsDivisor))]
 }
 
-// attestation is what a round of questions has brought.
-type attestation struct {
+// attestationRound collects the replies of one round of requests.
+type attestationRound struct {
 	needed int
 
 	mu      sync.Mutex // guards the rest
-	answers int        // this instance's own knowledge included
-	news    map[string][]*leadpb.GroupNews
+	answers int        // including this instance's own
+	updates map[string][]*leadpb.GroupNews
 }
 
-func (a *attestation) note(reply *leadpb.AttestReply) {
+func (a *attestationRound) addReply(reply *leadpb.AttestReply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.answers++
 	for _, n := range reply.News {
-		a.news[n.Group] = append(a.news[n.Group], n)
+		a.updates[n.Group] = append(a.updates[n.Group], n)
 	}
 }
 
-// applyAttestation confirms the grants of which nobody knows anything newer, when
-// a quorum answered, and takes in the news of the others.
-func (c *Controller) applyAttestation(req *leadpb.AttestRequest, round *attestation, sent time.Duration) {
+// applyAttestation applies what other instances know beyond the known records. If a quorum
+// answered, it confirms the grants for which no instance knows anything newer.
+func (c *Controller) applyAttestation(req *leadpb.AttestRequest, round *attestationRound, sent time.Duration) {
 	for _, known := range req.Known {
-		gate := c.around.Gate(known.Group)
-		for _, news := range round.news[known.Group] {
-			heard, err := decodeNews(news)
+		guard := c.env.PrimaryGuard(known.Group)
+		for _, message := range round.updates[known.Group] {
+			update, err := decodeUpdate(message)
 			if err != nil {
-				c.log.WithField("group", known.Group).WithError(err).Error("lead: what another instance knows cannot be read and is left out")
+				c.log.WithField("group", known.Group).WithError(err).Error("lead: cannot decode an update from another instance; ignoring it")
 				continue
 			}
-			gate.Hear(heard)
+			guard.ApplyUpdate(update)
 		}
-		if len(round.news[known.Group]) == 0 && round.answers >= round.needed {
-			gate.Attest(sent, known.Revision)
+		if len(round.updates[known.Group]) == 0 && round.answers >= round.needed {
+			guard.ConfirmByQuorum(sent, known.Revision)
 		}
 	}
 }
--- a/internal/lead/attest_test.go
+++ b/internal/lead/attest_test.go
@@ -10,8 +10,8 @@
 	"github.com/stackspindle/stackspindle/internal/locality"
 )
 
-// An instance asks a quorum and some more, its own data centre first, and all
-// instances together do not ask the same.
+// An instance asks enough others for a quorum and some spare ones, its own data centre
+// first. Different instances start with different others, so that each instance is asked.
 func TestAttestors(t *testing.T) {
 	var all []Instance
 	for n := range 71 {
@@ -25,7 +25,7 @@
 		must.SliceNotContains(t, others, self)
 		for i, other := range others {
 			asked[other.Name]++
-			must.False(t, other.DataCentre == self.DataCentre && i >= 24, must.Sprint("near ones come first"))
+			must.False(t, other.DataCentre == self.DataCentre && i >= 24, must.Sprint("instances of the own data centre come first"))
 		}
 		must.Eq(t, len(others), len(slices.Compact(slices.Sorted(slices.Values(names(others))))))
 	}
@@ -36,22 +36,22 @@
 	must.SliceEmpty(t, attestors(all[:1], all[0], AttestQuorum(1), locality.Map{}))
 }
 
-// The failure: the store is silent for all. A quorum is asked, of another region only what
-// the own one does not have.
-func TestAttestorsStayInTheirRegion(t *testing.T) {
+// While the store is unavailable to all instances, an instance asks those of its own region
+// first, and of another region only as many as are needed for a quorum and the spare ones.
+func TestAttestorsPreferOwnRegion(t *testing.T) {
 	var all []Instance
 	for n := range 88 {
 		all = append(all, Instance{Name: fmt.Sprint(n), DataCentre: fmt.Sprint("dc", n%4)})
 	}
-	places := locality.New(map[string]string{"dc0": "x", "dc1": "x", "dc2": "y", "dc3": "y"})
+	localities := locality.New(map[string]string{"dc0": "x", "dc1": "x", "dc2": "y", "dc3": "y"})
 	for _, self := range all {
-		crossing, others := 0, attestors(all, self, AttestQuorum(len(all)), places)
+		otherRegion, others := 0, attestors(all, self, AttestQuorum(len(all)), localities)
 		for _, other := range others {
-			if places.Distance(self.DataCentre, other.DataCentre) == locality.OtherRegion {
-				crossing++
+			if localities.Distance(self.DataCentre, other.DataCentre) == locality.OtherRegion {
+				otherRegion++
 			}
 		}
-		must.Eq(t, len(others)-43, crossing)
+		must.Eq(t, len(others)-43, otherRegion)
 	}
 }
 
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -17,144 +17,149 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Settings of a change of primary.
+// Timing of a change of primary.
 const (
-	// plannedDrain is the time for open transactions when the primary still serves.
-	// All other work for it waits meanwhile; what takes longer is rolled back, and
-	// its caller told so.
+	// plannedDrain is how long open transactions may go on in a planned change, while the
+	// primary still serves. All other work for it waits meanwhile. Transactions that take
+	// longer are rolled back, and their clients get an error.
 	plannedDrain = 500 * time.Millisecond
-	// urgentDrain is the same when the primary is dead: nothing there will end by
-	// itself, but one that is only slow may still answer.
+	// urgentDrain is the same when the primary is considered dead. Nothing will finish on a
+	// dead primary, but one that is only slow may still answer.
 	urgentDrain = 60 * time.Millisecond
-	// releaseTimeout bounds one call of an instance beyond the drain.
+	// releaseTimeout bounds one release call to an instance, in addition to the drain.
 	releaseTimeout = 400 * time.Millisecond
-	// releaseRetry is the pause before an instance is asked again.
-	releaseRetry = 100 * time.Millisecond
-	// storeRetry is the pause after a write of the store that did not succeed; each
-	// call is charged.
-	storeRetry = 300 * time.Millisecond
-	// leaderProof is how old the last conditional write may be when the platform
-	// is asked to promote: it shows that nobody else leads.
-	leaderProof = 500 * time.Millisecond
-	// promoteTimeout bounds the call to the platform.
-	promoteTimeout = time.Second
-	// promoteWait bounds the wait until the member leads, which is asked every
-	// pollInterval. The bound matters only where a promotion has failed silently; one
-	// that takes longer is found by the next attempt.
-	promoteWait = 2500 * time.Millisecond
-	// pollInterval is the pause between two questions while a position or a role
-	// is awaited; a question costs the member a slot for a moment.
+	// releaseRetryPause is the pause before a failed release call is repeated, and before a
+	// failed change is.
+	releaseRetryPause = 100 * time.Millisecond
+	// storeRetryPause is the pause after a store write that failed. Each store call is
+	// billed.
+	storeRetryPause = 300 * time.Millisecond
+	// maxLeadershipProofAge is how old the last successful conditional write may be when
+	// the platform is asked to promote. Such a write proves that no other instance leads.
+	maxLeadershipProofAge = 500 * time.Millisecond
+	// promoteCallTimeout bounds the promotion call to the platform.
+	promoteCallTimeout = time.Second
+	// promotionTimeout bounds the wait until the promoted member is primary. The member is
+	// polled every pollInterval. The bound matters only if a promotion has failed without
+	// an error. A promotion that takes longer is found by the next attempt.
+	promotionTimeout = 2500 * time.Millisecond
+	// pollInterval is the pause between two status requests while waiting for a log
+	// position or a role. A request occupies a slot of the member for a moment.
 	pollInterval = 25 * time.Millisecond
-	// catchUp bounds the wait until a replica has received what the old primary
-	// wrote last.
-	catchUp = 1500 * time.Millisecond
-	// inheritedWait is for how long a promotion that an earlier leader may have
-	// asked for is awaited before another is.
-	inheritedWait = promoteTimeout + promoteWait
+	// catchUpTimeout bounds the wait until a replica has received the old primary's last
+	// writes.
+	catchUpTimeout = 1500 * time.Millisecond
+	// inheritedPromotionTimeout is how long a new leader waits for a promotion that an
+	// earlier leader may have requested, before it requests one itself.
+	inheritedPromotionTimeout = promoteCallTimeout + promotionTimeout
 )
 
-// Errors that end an attempt. The next tick begins another.
+// Errors that end an attempt. The next Tick starts another.
 var (
 	errNotLeader    = errors.New("this instance does not lead the group any more")
 	errNoCandidate  = errors.New("no member can be promoted now")
 	errGrantsRemain = errors.New("instances that cannot be reached may still hold grants")
 )
 
-// begin writes into the record that the primary is to be changed, and changes it.
-func (c *Controller) begin(ctx context.Context, group string, g *ledGroup, reason string, planned bool) {
-	record, revision := c.around.Gate(group).Record()
+// startChange announces a change of primary in the record and executes it. A planned change
+// is skipped while no successor is in service or while it would wait for other instances.
+func (c *Controller) startChange(ctx context.Context, group string, g *ledGroup, reason string, planned bool) {
+	record, revision := c.env.PrimaryGuard(group).Record()
 	change := Change{ID: uuid.NewString(), Reason: reason, Planned: planned}
 	record.Change = &change
 	log := c.log.WithFields(logrus.Fields{
 		"group": group, "member": record.Primary, "term": record.Term, "generation": record.Generation, "planned": planned,
 	})
 	if planned && len(c.successors(group, record.Primary)) == 0 {
-		log.Info("lead: the primary should be replaced, but no other member is in service")
+		log.Info("lead: the primary should be replaced, but the group has no other member in service")
 		return
 	}
 	if planned && !c.mayAnnounce(ctx, g, log) {
 		return
 	}
 	log.Info("lead: the primary is to be replaced: " + reason)
-	c.around.Event("change", group, record.Primary, record.Term, reason)
+	c.env.Event("change", group, record.Primary, record.Term, reason)
 	if _, err := c.write(ctx, group, g, record, revision); err != nil {
-		log.WithError(err).Warn("lead: the change could not be announced in the store")
-		pause(ctx, storeRetry)
+		log.WithError(err).Warn("lead: could not write the announcement of the change to the store")
+		sleep(ctx, storeRetryPause)
 		return
 	}
-	c.replace(ctx, group, g, change)
+	c.replacePrimary(ctx, group, g, change)
 }
 
-// Settings of a planned change, while the primary still serves.
+// Timing of a planned change before its announcement, while the primary still serves.
 const (
-	// plannedPause is the pause before one is considered again that was put off.
-	plannedPause = 500 * time.Millisecond
-	// changeTime is what a change takes once all grants are released: the drain, the
-	// promotion, and until the new primary is known.
-	changeTime = plannedDrain + time.Second
-	// silentTimeout is for how long an instance that does not answer, and whose lease
-	// holds, puts a planned change off. It may be starting again; one that stays silent
-	// is waited for by the change itself, from its announcement on.
-	silentTimeout = time.Second
+	// plannedCheckInterval is the interval between two checks whether a postponed planned
+	// change can be announced.
+	plannedCheckInterval = 500 * time.Millisecond
+	// expectedChangeDuration is how long a change takes apart from waiting for grants to
+	// lapse: the drain, the promotion, and until the new primary is known.
+	expectedChangeDuration = plannedDrain + time.Second
+	// unresponsivePostponement is how long a planned change is postponed for an instance
+	// that does not answer although its lease is valid. It may be restarting. If it stays
+	// unresponsive, the change waits for it after the announcement.
+	unresponsivePostponement = time.Second
 )
 
-// mayAnnounce reports whether a planned change can be announced: so many instances
-// can be reached that it does not wait for what the others may still attest to one
-// another, and it does not wait for one that is gone. Once it is announced the group has
-// no primary; until then the old one serves.
+// mayAnnounce reports whether a planned change can be announced without a long wait after
+// it: enough instances answer that the rest could not attest grants, and no lapsing grant
+// has to be awaited. From the announcement on the group has no primary; until then the old
+// one serves.
 func (c *Controller) mayAnnounce(ctx context.Context, g *ledGroup, log *logrus.Entry) bool {
-	if g.plannedAt > 0 && c.now()-g.plannedAt < plannedPause {
+	if g.plannedCheckedAt > 0 && c.now()-g.plannedCheckedAt < plannedCheckInterval {
 		return false
 	}
-	if g.postponedSince == 0 || c.now()-g.plannedAt > 4*plannedPause {
+	if g.postponedSince == 0 || c.now()-g.plannedCheckedAt > 4*plannedCheckInterval {
 		g.postponedSince = c.now()
 	}
-	g.plannedAt = c.now()
+	g.plannedCheckedAt = c.now()
 	s, waited := c.survey(ctx), c.now()-g.postponedSince
-	if why := postponedBecause(s, waited, c.drainTime-grantsLapsed-changeTime); why != "" {
+	if reason := postponeReason(s, waited, c.drainTimeout-grantLapseTime-expectedChangeDuration); reason != "" {
 		log.WithFields(logrus.Fields{
-			"answered": s.answered, "needed": s.needed, "silent": s.silent, "lapsing": s.lapsing, "waited_ms": waited.Milliseconds(),
-		}).Info("lead: the primary is to be replaced as planned, and serves meanwhile: " + why)
+			"answered": s.answered, "needed": s.releasesNeeded, "silent": s.unresponsive, "lapsing": s.lapsing, "waited_ms": waited.Milliseconds(),
+		}).Info("lead: the primary is to be replaced as planned, and serves meanwhile: " + reason)
 		return false
 	}
 	g.postponedSince = 0
 	return true
 }
 
-// postponedBecause returns why a planned change is not announced yet, empty when it is. patience is
-// for how long it may be put off in all, so that what then waits for each grant ends
-// before work for the old primary must have.
-func postponedBecause(s survey, waited, patience time.Duration) string {
+// postponeReason returns why a planned change is not announced yet, empty if it can be.
+// waited is how long it has been postponed, maxPostponement how long it may be postponed in
+// all, which leaves enough time for the remaining grants to lapse before work on the old
+// primary must have ended.
+func postponeReason(s surveyResult, waited, maxPostponement time.Duration) string {
 	switch {
-	case s.answered < s.needed:
+	case s.answered < s.releasesNeeded:
 		return "too few instances can be reached"
-	case s.lapsing > 0 && waited < patience:
+	case s.lapsing > 0 && waited < maxPostponement:
 		return "the grant of an instance that is gone has not lapsed"
-	case s.silent > 0 && waited < min(patience, silentTimeout):
+	case s.unresponsive > 0 && waited < min(maxPostponement, unresponsivePostponement):
 		return "an instance that may hold a grant does not answer"
 	}
 	return ""
 }
 
-// successors returns the members that could lead in place of the primary.
+// successors returns the members that could replace the primary.
 func (c *Controller) successors(group, primary string) []topology.Member {
-	var fit []topology.Member
-	for _, m := range c.around.Topology().MembersOf(group) {
+	var candidates []topology.Member
+	for _, m := range c.env.Topology().MembersOf(group) {
 		if m.ID != primary && !m.Draining {
-			fit = append(fit, m)
+			candidates = append(candidates, m)
 		}
 	}
-	return fit
+	return candidates
 }
 
-// write stores the record while this instance leads and nobody else has written
-// it. That it leads is shown by the key that it wrote itself when it took over,
-// never by the key as it is now, which may be another's. A lost answer is settled
-// by reading back.
+// write stores the record on the condition that this instance leads and the record still
+// has the expected revision. The condition on the leadership uses the revision of the
+// leader key that this instance wrote when it took over, never that of the current key,
+// which may belong to another instance. After an error that leaves the result unknown,
+// write reads the record back to determine it.
 func (c *Controller) write(ctx context.Context, group string, g *ledGroup, record Record, expected int64) (int64, error) {
 	key, value := prefixGroup+group, encode(record)
 	txn := kv.Txn{
-		Expect: []kv.Expect{{Key: prefixLeader + group, Revision: g.leading}, {Key: key, Revision: expected}},
+		Expect: []kv.Expect{{Key: prefixLeader + group, Revision: g.leaderRevision}, {Key: key, Revision: expected}},
 		Puts:   []kv.Put{{Key: key, Value: value}},
 	}
 	for {
@@ -163,8 +168,8 @@
 		revision, err := c.store.Commit(callCtx, txn)
 		cancel()
 		if err == nil {
-			g.provenAt = sent
-			c.around.Gate(group).Learn(record, revision)
+			g.leadershipProvenAt = sent
+			c.env.PrimaryGuard(group).ApplyRecord(record, revision)
 			return revision, nil
 		}
 		if errors.Is(err, kv.ErrUnavailable) {
@@ -175,13 +180,14 @@
 		case readErr != nil:
 			return 0, fmt.Errorf("%w; reading back: %w", err, readErr)
 		case item.Revision != expected && bytes.Equal(item.Value, value):
-			g.provenAt = sent
-			c.around.Gate(group).Learn(record, item.Revision)
-			return item.Revision, nil // it took effect, and its answer was lost
+			g.leadershipProvenAt = sent
+			c.env.PrimaryGuard(group).ApplyRecord(record, item.Revision)
+			return item.Revision, nil // the write took effect, and its response was lost
 		case item.Revision != expected || errors.As(err, new(*kv.ConflictError)):
 			return 0, fmt.Errorf("%w: %w", errNotLeader, err)
 		}
-		// It has not taken effect yet. Sent again, only one of the two can.
+		// The write has not taken effect yet. It is sent again; because of the condition at
+		// most one of the two writes can take effect.
 	}
 }
 
@@ -191,71 +197,74 @@
 	return c.store.Get(ctx, key)
 }
 
-// replace carries a change of primary through, from wherever it stands.
-func (c *Controller) replace(ctx context.Context, group string, g *ledGroup, change Change) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+// replacePrimary executes an announced change of primary. It can resume a change that an
+// earlier attempt or leader left unfinished.
+func (c *Controller) replacePrimary(ctx context.Context, group string, g *ledGroup, change Change) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	started := c.now()
 	log := c.log.WithFields(logrus.Fields{"group": group, "change": change.ID, "reason": change.Reason})
-	out, err := c.carryOut(ctx, group, g, change)
+	out, err := c.executeChange(ctx, group, g, change)
 	if err != nil {
-		log.WithError(err).WithField("after_ms", (c.now() - started).Milliseconds()).Warn("lead: the change of primary did not get through; it is tried again")
-		pause(ctx, releaseRetry)
+		log.WithError(err).WithField("after_ms", (c.now() - started).Milliseconds()).Warn("lead: the change of primary failed; it will be retried")
+		sleep(ctx, releaseRetryPause)
 		return
 	}
-	g.outcome, g.refused, g.silent, g.doubtAt = out, 0, false, 0
-	c.hangUp(g)
+	g.outcome, g.refusedInRow, g.unresponsive, g.unansweredSince = out, 0, false, 0
+	c.closeProbeConn(g)
 	c.publish(ctx, group, out)
 	log.WithFields(logrus.Fields{"member": out.record.Primary, "term": out.record.Term, "after_ms": (c.now() - started).Milliseconds()}).
 		Info("lead: the group has its primary")
-	c.around.Event("primary", group, out.record.Primary, out.record.Term, "primary after: "+change.Reason)
-	c.recordOutcome(ctx, group, g)
+	c.env.Event("primary", group, out.record.Primary, out.record.Term, "primary after: "+change.Reason)
+	c.writeOutcome(ctx, group, g)
 }
 
-// carryOut ends with a member that leads and that nobody else replaces.
-func (c *Controller) carryOut(ctx context.Context, group string, g *ledGroup, change Change) (*outcome, error) {
-	record, revision := c.around.Gate(group).Record()
+// executeChange executes the steps of a change: it ends the grants for the old primary,
+// chooses a candidate, proves the leadership, and has the candidate promoted. It returns
+// which member is primary then.
+func (c *Controller) executeChange(ctx context.Context, group string, g *ledGroup, change Change) (*outcome, error) {
+	record, revision := c.env.PrimaryGuard(group).Record()
 	if record.Change == nil || record.Change.ID != change.ID {
 		return nil, fmt.Errorf("%w: its record is another now", errNotLeader)
 	}
-	if g.announced != change.ID {
-		g.announced, g.announcedAt = change.ID, c.now()
+	if g.announcedChange != change.ID {
+		g.announcedChange, g.announcedAt = change.ID, c.now()
 	}
-	cleared := c.clearGrants(ctx, group, revision, change, record, g.announcedAt)
-	if !cleared.done && !cleared.stays {
+	grants := c.endGrants(ctx, group, revision, change, record, g.announcedAt)
+	if !grants.ended && !grants.primaryStays {
 		return nil, errGrantsRemain
 	}
 	record.Change = nil
-	if change.Planned && !cleared.stays {
-		if !c.hasSuccessor(group, record.Primary, cleared) {
+	if change.Planned && !grants.primaryStays {
+		if !c.hasSuccessor(group, record.Primary, grants) {
 			return nil, fmt.Errorf("%w: instances that were not reached may not know of the others", errNoCandidate)
 		}
-		cleared.last, cleared.steppedDown = c.finalStatus(ctx, record)
+		grants.finalStatus, grants.steppedDown = c.stepDownOldPrimary(ctx, record)
 	}
-	if cleared.stays {
-		c.log.WithFields(logrus.Fields{"group": group, "member": record.Primary}).Info("lead: the primary is well again and stays")
+	if grants.primaryStays {
+		c.log.WithFields(logrus.Fields{"group": group, "member": record.Primary}).Info("lead: the primary answers again and is not replaced")
 		return &outcome{record: record, revision: revision}, nil
 	}
-	candidate, found, err := c.choose(ctx, group, record, change, cleared)
+	candidate, candidateStatus, err := c.chooseCandidate(ctx, group, record, change, grants)
 	if err != nil {
 		return nil, err
 	}
-	if found.Primary {
-		record.Primary, record.Term = candidate.ID, found.Term
+	if candidateStatus.Primary {
+		record.Primary, record.Term = candidate.ID, candidateStatus.Term
 		return &outcome{record: record, revision: revision}, nil
 	}
-	if g.inherited == change.ID && c.now()-g.takenAt < inheritedWait {
+	if g.inheritedChange == change.ID && c.now()-g.tookOverAt < inheritedPromotionTimeout {
 		return nil, fmt.Errorf("%w: a promotion by an earlier leader may be under way", errNoCandidate)
 	}
-	if g.provenAt == 0 || c.now()-g.provenAt > leaderProof {
-		// Written once more, which succeeds for the leader only.
+	if g.leadershipProvenAt == 0 || c.now()-g.leadershipProvenAt > maxLeadershipProofAge {
+		// Writing the record again succeeds only while this instance is the leader.
 		announced := record
 		announced.Change = &change
 		if revision, err = c.write(ctx, group, g, announced, revision); err != nil {
 			return nil, err
 		}
 	}
-	status, err := c.promote(ctx, record, candidate, found.Received)
+	status, err := c.promote(ctx, record, candidate, candidateStatus.Received)
 	if err != nil {
 		return nil, err
 	}
@@ -263,137 +272,141 @@
 	return &outcome{record: record, revision: revision}, nil
 }
 
-// promote asks the platform to make a member the primary and waits until it leads.
+// promote asks the platform to make a member the primary and waits until it is.
 func (c *Controller) promote(ctx context.Context, record Record, candidate topology.Member, position group.Position) (member.Status, error) {
-	promoteCtx, cancel := context.WithTimeout(ctx, promoteTimeout)
+	promoteCtx, cancel := context.WithTimeout(ctx, promoteCallTimeout)
 	defer cancel()
 	err := c.promoter.Promote(promoteCtx, record.Group, candidate.ID, c.self.Name, record.Generation)
 	c.log.WithFields(logrus.Fields{
 		"group": record.Group, "member": candidate.ID, "generation": record.Generation, "position": position.String(), "error": err,
 	}).Info("lead: the platform was asked to promote")
-	// What came of a call whose answer was lost shows at the member.
-	return c.awaitLead(ctx, candidate, record.Term)
+	// After an error the promotion may have happened nevertheless; the member's status
+	// shows it.
+	return c.awaitPromotion(ctx, candidate, record.Term)
 }
 
-// choose returns the member that should lead: one that leads already in a newer
-// term, the old primary when it is well again, or the one whose log reaches
-// furthest among those in service.
-func (c *Controller) choose(ctx context.Context, name string, record Record, change Change, cleared clearing) (topology.Member, member.Status, error) {
-	until := c.now() + catchUp
+// chooseCandidate requests the status of all members until Select decides on one, for at
+// most catchUpTimeout. It returns a member that is already primary in a newer term, the old
+// primary if it is healthy again, or the member in service with the longest log.
+func (c *Controller) chooseCandidate(ctx context.Context, name string, record Record, change Change, grants grantsOutcome) (topology.Member, member.Status, error) {
+	deadline := c.now() + catchUpTimeout
 	for {
-		members := c.around.Topology().MembersOf(name)
-		answers := c.askAll(ctx, members, record.Primary)
-		s := c.selection(cleared)
+		members := c.env.Topology().MembersOf(name)
+		answers := c.queryMembers(ctx, members, record.Primary)
+		s := c.selection(grants)
 		s.Old, s.Term, s.Planned = record.Primary, record.Term, change.Planned
-		s.Replicas, s.SyncReplicas = len(members)-1, c.around.Topology().Groups[name].SyncReplicas
-		known := s // a member that all know of goes first, if it has the whole log
-		known.Unreached = cleared.unreached
-		best, decided := Select(answers, known)
+		s.Replicas, s.SyncReplicas = len(members)-1, c.env.Topology().Groups[name].SyncReplicas
+		strict := s // prefer a member that all instances know, if it has the whole log
+		strict.Unreached = grants.unreachable
+		best, decided := Select(answers, strict)
 		if !decided {
-			s.Hurry = c.now() >= until
+			s.AllowShorterLog = c.now() >= deadline
 			best, decided = Select(answers, s)
 		}
 		if decided {
 			return best.member, best.status, nil
 		}
-		if ctx.Err() != nil || c.now() >= until {
+		if ctx.Err() != nil || c.now() >= deadline {
 			return topology.Member{}, member.Status{}, errNoCandidate
 		}
-		pause(ctx, pollInterval)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// selection returns what the end of the old primary's use leaves to choose from. Once
-// that one has stepped down, it refuses the writes of instances that were not reached,
-// and what they read there they do not pass on, since they ask it whether it leads. One
-// that does not tell what it has seen is of a version that does not ask.
-func (c *Controller) selection(cleared clearing) Selection {
+// selection returns the criteria for candidates that follow from how the grants ended. Once
+// the old primary has stepped down, unreachable instances no longer restrict the choice: it
+// refuses their writes, and they do not pass on what they read from it, because they ask it
+// too whether it is primary. An instance that does not report a seen revision runs a
+// version that does not ask it.
+func (c *Controller) selection(grants grantsOutcome) Selection {
 	return Selection{
-		Last: cleared.last.Received, KnownBefore: c.now() - verifiableLapsed, Seen: cleared.seen,
-		Unreached: cleared.unreached && (!cleared.steppedDown || cleared.seen == 0),
+		Last: grants.finalStatus.Received, KnownBefore: c.now() - unconfirmedUseLapseTime, Seen: grants.seenRevision,
+		Unreached: grants.unreachable && (!grants.steppedDown || grants.seenRevision == 0),
 	}
 }
 
-// hasSuccessor reports whether any other member may be promoted once a primary that
-// serves has stepped down. Until then it is not told to.
-func (c *Controller) hasSuccessor(group, primary string, cleared clearing) bool {
-	cleared.steppedDown = true
-	s := c.selection(cleared)
-	return slices.ContainsFunc(c.successors(group, primary), func(m topology.Member) bool { return !s.Unreached || s.known(m) })
+// hasSuccessor reports whether any other member can be promoted after the old primary has
+// stepped down. If not, the old primary must not be told to step down.
+func (c *Controller) hasSuccessor(group, primary string, grants grantsOutcome) bool {
+	grants.steppedDown = true
+	s := c.selection(grants)
+	return slices.ContainsFunc(c.successors(group, primary), func(m topology.Member) bool { return !s.Unreached || s.knownToUnreachable(m) })
 }
 
-// awaitLead returns once a member leads in a term above another.
-func (c *Controller) awaitLead(ctx context.Context, m topology.Member, above uint64) (member.Status, error) {
-	until := c.now() + promoteWait
+// awaitPromotion polls a member until it is primary in a term above the given one, for at
+// most promotionTimeout.
+func (c *Controller) awaitPromotion(ctx context.Context, m topology.Member, aboveTerm uint64) (member.Status, error) {
+	deadline := c.now() + promotionTimeout
 	var conn member.Conn
 	defer func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}()
-	for c.now() < until && ctx.Err() == nil {
+	for c.now() < deadline && ctx.Err() == nil {
 		if conn == nil || !conn.Silent() {
 			var err error
 			if conn, err = c.connect(ctx, m); err != nil {
 				conn = nil
-				pause(ctx, pollInterval)
+				sleep(ctx, pollInterval)
 				continue
 			}
 		}
 		status, err := conn.Status(time.Now().Add(probeTimeout))
-		if err == nil && status.Primary && status.Term > above {
-			c.around.NoteAnswer(m.ID)
+		if err == nil && status.Primary && status.Term > aboveTerm {
+			c.env.RecordAnswer(m.ID)
 			return status, nil
 		}
-		pause(ctx, pollInterval)
+		sleep(ctx, pollInterval)
 	}
 	return member.Status{}, fmt.Errorf("member %s does not lead after the promotion", m.ID)
 }
 
-// recordOutcome writes the outcome of a change into the store. Until that succeeds each
-// tick tries again.
-func (c *Controller) recordOutcome(ctx context.Context, group string, g *ledGroup) {
+// writeOutcome writes the outcome of a change to the store. Each Tick retries until it
+// succeeds.
+func (c *Controller) writeOutcome(ctx context.Context, group string, g *ledGroup) {
 	if _, err := c.write(ctx, group, g, g.outcome.record, g.outcome.revision); err != nil {
-		c.log.WithField("group", group).WithError(err).Warn("lead: the new primary could not be written to the store yet")
-		pause(ctx, storeRetry)
+		c.log.WithField("group", group).WithError(err).Warn("lead: could not write the new primary to the store; it will be retried")
+		sleep(ctx, storeRetryPause)
 		return
 	}
 	g.outcome = nil
 }
 
-// discover finds the primary of a group whose record names none.
-func (c *Controller) discover(ctx context.Context, group string, g *ledGroup) {
-	if c.turns.paused(c.now()) {
+// discoverPrimary finds the primary of a group whose record names none, and writes it to the
+// record.
+func (c *Controller) discoverPrimary(ctx context.Context, group string, g *ledGroup) {
+	if c.throttle.isBlocked(c.now()) {
 		return
 	}
-	record, revision := c.around.Gate(group).Record()
+	record, revision := c.env.PrimaryGuard(group).Record()
 	record = c.findPrimary(ctx, record)
 	began := c.now()
-	if record.Primary == "" || !c.turns.begin(began) {
+	if record.Primary == "" || !c.throttle.tryBegin(began) {
 		return
 	}
 	_, err := c.write(ctx, group, g, record, revision)
-	c.turns.end(began, c.now(), err)
+	c.throttle.end(began, c.now(), err)
 	if err != nil {
-		c.log.WithField("group", group).WithError(err).Warn("lead: the primary that was found could not be written to the store")
+		c.log.WithField("group", group).WithError(err).Warn("lead: could not write the discovered primary to the store")
 		return
 	}
-	c.around.Event("primary", group, record.Primary, record.Term, "found as the primary")
+	c.env.Event("primary", group, record.Primary, record.Term, "found as the primary")
 }
 
-// findPrimary returns a group's record with the member that leads, as the members say; as it is when
-// none says so.
+// findPrimary requests the status of a group's members and returns the record with the
+// member that is primary, or unchanged if none is.
 func (c *Controller) findPrimary(ctx context.Context, record Record) Record {
-	for _, f := range c.askAll(ctx, c.around.Topology().MembersOf(record.Group), "") {
+	for _, f := range c.queryMembers(ctx, c.env.Topology().MembersOf(record.Group), "") {
 		if f.status.Primary && f.status.Term >= record.Term {
 			record.Primary, record.Term = f.member.ID, f.status.Term
-			c.around.NoteAnswer(f.member.ID)
+			c.env.RecordAnswer(f.member.ID)
 		}
 	}
 	return record
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -21,62 +21,65 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// fixture is a controller with surroundings that tests set.
-type fixture struct {
-	name  string
-	view  *View
-	gate  *Gate
-	snap  *topology.Snapshot
-	lease kv.LeaseID
+// fakeEnvironment implements Environment with state that tests set.
+type fakeEnvironment struct {
+	name     string
+	view     *View
+	guard    *PrimaryGuard
+	topology *topology.Snapshot
+	lease    kv.LeaseID
 
-	alone  bool
-	behind time.Duration
-	idle   bool // the instance does not use the group
+	overloaded bool
+	replicaLag time.Duration
+	servesNone bool // the instance does not serve the group
 }
 
-func (f *fixture) Topology() *topology.Snapshot       { return f.snap }
-func (f *fixture) View() *View                        { return f.view }
-func (f *fixture) Lease() kv.LeaseID                  { return f.lease }
-func (f *fixture) Gate(string) *Gate                  { return f.gate }
-func (f *fixture) Heard(string) (time.Duration, bool) { return 0, false }
-func (f *fixture) Doubtful(string) bool               { return false }
-func (f *fixture) NoteAnswer(string)                  {}
-func (f *fixture) Carries(string) bool                { return !f.idle }
-func (f *fixture) Carried() []string {
-	if f.idle {
+func (f *fakeEnvironment) Topology() *topology.Snapshot                 { return f.topology }
+func (f *fakeEnvironment) View() *View                                  { return f.view }
+func (f *fakeEnvironment) Lease() kv.LeaseID                            { return f.lease }
+func (f *fakeEnvironment) PrimaryGuard(string) *PrimaryGuard            { return f.guard }
+func (f *fakeEnvironment) SinceLastAnswer(string) (time.Duration, bool) { return 0, false }
+func (f *fakeEnvironment) HasUnansweredAttempt(string) bool             { return false }
+func (f *fakeEnvironment) RecordAnswer(string)                          {}
+func (f *fakeEnvironment) Serves(string) bool                           { return !f.servesNone }
+func (f *fakeEnvironment) ServedGroups() []string {
+	if f.servesNone {
 		return nil
 	}
 	return []string{"g"}
 }
-func (f *fixture) Users(string) []Instance                      { return f.view.Alive() }
-func (f *fixture) Rank(group string, most int) int              { return f.view.RankUpTo(group, f.name, most) }
-func (f *fixture) Alone(string, string) bool                    { return f.alone }
-func (f *fixture) Behind(string, group.Position) time.Duration  { return f.behind }
-func (f *fixture) Event(string, string, string, uint64, string) {}
+func (f *fakeEnvironment) InstancesServing(string) []Instance { return f.view.Alive() }
+func (f *fakeEnvironment) Rank(group string, most int) int {
+	return f.view.RankUpTo(group, f.name, most)
+}
+func (f *fakeEnvironment) OverloadedWithoutReplicas(string, string) bool   { return f.overloaded }
+func (f *fakeEnvironment) ReplicaLag(string, group.Position) time.Duration { return f.replicaLag }
+func (f *fakeEnvironment) Event(string, string, string, uint64, string)    {}
 
-// membersSince has the members known since a time, as their entries of a revision say.
-func (f *fixture) membersSince(since time.Duration, revision int64) {
+// membersSince sets since when the members have been known, and the revision of their
+// entries.
+func (f *fakeEnvironment) membersSince(since time.Duration, revision int64) {
 	state := topology.New(0, 0)
-	state.SetConfig(f.snap.Config)
-	for _, m := range f.snap.MembersOf("g") {
+	state.SetConfig(f.topology.Config)
+	for _, m := range f.topology.MembersOf("g") {
 		m.Revision = revision
 		state.SetMember(since, m, false)
 	}
-	f.snap = state.Snapshot()
+	f.topology = state.Snapshot()
 }
 
-// refresh brings the view up to the store.
-func (f *fixture) refresh(t *testing.T, store kv.Store) {
+// refresh updates the view and the guard from the store.
+func (f *fakeEnvironment) refresh(t *testing.T, store kv.Store) {
 	items, _, err := store.List(t.Context(), "")
 	must.NoError(t, err)
 	f.view, err = f.view.Replace(0, items)
 	must.NoError(t, err)
 	if record, revision := f.view.Record("g"); revision > 0 {
-		f.gate.Learn(record, revision)
+		f.guard.ApplyRecord(record, revision)
 	}
 }
 
-func newController(t *testing.T, name string, store kv.Store) (*Controller, *fixture) {
+func newController(t *testing.T, name string, store kv.Store) (*Controller, *fakeEnvironment) {
 	now := func() time.Duration { return 0 }
 	group := membergroup.New("g", "m1", "m2")
 	state := topology.New(0, 0)
@@ -84,14 +87,14 @@
 	for _, id := range []string{"m1", "m2"} {
 		state.SetMember(0, group.Entry(id), false)
 	}
-	f := &fixture{name: name, view: NewView(), gate: NewGate(now), snap: state.Snapshot()}
+	f := &fakeEnvironment{name: name, view: NewView(), guard: NewPrimaryGuard(now), topology: state.Snapshot()}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	self := Instance{Name: name, Incarnation: name + "-1"}
 	conns := peerconn.New()
-	own := NewServer(self.Incarnation, f.Gate, func() bool { return true }, now, f.Heard)
+	own := NewServer(self.Incarnation, f.PrimaryGuard, func() bool { return true }, now, f.SinceLastAnswer)
 	c := NewController(Config{
-		Self: self, Own: own, Peers: conns, Store: store, Promoter: group, Dialer: group, Around: f, DrainTime: 10 * time.Second,
+		Self: self, Own: own, Peers: conns, Store: store, Promoter: group, Dialer: group, Environment: f, DrainTime: 10 * time.Second,
 		Now: now, Spawn: func(task func()) { task() }, Log: log.WithField("part", "lead"),
 	})
 	t.Cleanup(conns.Close)
@@ -105,111 +108,111 @@
 	return c, f
 }
 
-// A leader that was replaced while its task ran must not write, although it knows
-// the record and the leader's key as they are by now. Found by a day of our own,
-// on which two instances promoted with one fencing token.
+// A leader that was replaced while its task ran must not write, even if by then it has read
+// the new record and the new leader's key. Otherwise two instances promote with the same
+// fencing token.
 func TestReplacedLeaderDoesNotWrite(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	second, aroundSecond := newController(t, "b", store.Client())
-	led := &ledGroup{}
-	first.takeOver(t.Context(), "g", led)
-	around.refresh(t, store.Client())
-	_, led.leading = around.view.Leader("g")
-	record, revision := around.gate.Record()
-	revision, err := first.write(t.Context(), "g", led, record, revision)
+	first, env := newController(t, "a", store.Client())
+	second, secondEnv := newController(t, "b", store.Client())
+	g := &ledGroup{}
+	first.takeOver(t.Context(), "g", g)
+	env.refresh(t, store.Client())
+	_, g.leaderRevision = env.view.Leader("g")
+	record, revision := env.guard.Record()
+	revision, err := first.write(t.Context(), "g", g, record, revision)
 	must.NoError(t, err)
 
-	store.EndLease(around.lease)
-	aroundSecond.refresh(t, store.Client())
+	store.EndLease(env.lease)
+	secondEnv.refresh(t, store.Client())
 	second.takeOver(t.Context(), "g", &ledGroup{})
-	around.refresh(t, store.Client())
-	record, newRevision := around.gate.Record()
+	env.refresh(t, store.Client())
+	record, newRevision := env.guard.Record()
 	must.Greater(t, revision, newRevision)
 	must.Eq(t, "b", record.Leader)
-	_, err = first.write(t.Context(), "g", led, record, newRevision)
+	_, err = first.write(t.Context(), "g", g, record, newRevision)
 	must.True(t, errors.Is(err, errNotLeader))
-	first.watchPrimary(t.Context(), "g", led)
-	must.Nil(t, led.outcome)
+	first.watchPrimary(t.Context(), "g", g)
+	must.Nil(t, g.outcome)
 }
 
-// An instance that the store turns away hears from others of a change that its
-// successor has announced. It must not carry that out. Found by trouble-1 of
-// swancoast-dispatch, on which two instances promoted with one fencing token.
-func TestChangeOfASuccessorIsNotCarriedOut(t *testing.T) {
+// A replaced leader that the store refuses learns from other instances that its successor
+// has announced a change. It must not execute that change. Otherwise two instances promote
+// with the same fencing token.
+func TestReplacedLeaderDoesNotExecuteSuccessorsChange(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	second, aroundSecond := newController(t, "b", store.Client())
+	first, env := newController(t, "a", store.Client())
+	second, secondEnv := newController(t, "b", store.Client())
 	first.takeOver(t.Context(), "g", &ledGroup{})
-	around.refresh(t, store.Client())
-	led := &ledGroup{}
-	first.watchPrimary(t.Context(), "g", led)
+	env.refresh(t, store.Client())
+	g := &ledGroup{}
+	first.watchPrimary(t.Context(), "g", g)
 
-	store.EndLease(around.lease)
-	aroundSecond.refresh(t, store.Client())
+	store.EndLease(env.lease)
+	secondEnv.refresh(t, store.Client())
 	second.takeOver(t.Context(), "g", &ledGroup{})
-	aroundSecond.refresh(t, store.Client())
-	announced, revision := aroundSecond.gate.Record()
+	secondEnv.refresh(t, store.Client())
+	announced, revision := secondEnv.guard.Record()
 	announced.Change = &Change{ID: "x", Planned: true}
-	around.gate.Hear(News{Record: announced, Revision: revision + 1})
+	env.guard.ApplyUpdate(GroupUpdate{Record: announced, Revision: revision + 1})
 
-	first.watchPrimary(t.Context(), "g", led)
-	must.Nil(t, led.outcome)
+	first.watchPrimary(t.Context(), "g", g)
+	must.Nil(t, g.outcome)
 	must.SliceEmpty(t, first.promoter.(*membergroup.Group).Promotions())
-	news, _ := around.gate.NewsSince(0)
-	must.Zero(t, news.Released, must.Sprint("nobody was asked to release"))
+	update, _ := env.guard.UpdateSince(0)
+	must.Zero(t, update.Released, must.Sprint("no instance was asked to release"))
 }
 
-// Each change of leader raises the fencing token.
+// Each change of leader increases the fencing token.
 func TestGenerationRisesWithEachLeader(t *testing.T) {
 	store := memstore.New()
 	var last uint64
 	for _, name := range []string{"a", "b", "a"} {
-		c, around := newController(t, name, store.Client())
-		around.refresh(t, store.Client())
+		c, env := newController(t, name, store.Client())
+		env.refresh(t, store.Client())
 		c.takeOver(t.Context(), "g", &ledGroup{})
-		around.refresh(t, store.Client())
-		record, _ := around.gate.Record()
+		env.refresh(t, store.Client())
+		record, _ := env.guard.Record()
 		must.Eq(t, name, record.Leader)
 		must.Greater(t, last, record.Generation)
 		last = record.Generation
-		store.EndLease(around.lease)
+		store.EndLease(env.lease)
 	}
 }
 
-// An instance has registered, and may hold a grant, although the leader's picture of
-// the store does not show it yet. It must be asked to release.
-func TestInstanceThatRegisteredAMomentAgoReleases(t *testing.T) {
+// An instance that has registered, and so may hold a grant, must be asked to release even
+// if the leader's view does not show it yet.
+func TestRecentlyRegisteredInstanceIsAskedToRelease(t *testing.T) {
 	store := memstore.New()
-	leader, around := newController(t, "a", store.Client())
-	stale := around.view
-	other, aroundOther := newController(t, "b", store.Client())
+	leader, env := newController(t, "a", store.Client())
+	stale := env.view
+	other, otherEnv := newController(t, "b", store.Client())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer()
-	leadpb.RegisterCoordinationServer(server, other.own)
-	go func() { _ = server.Serve(l) }() // ends with the test
+	leadpb.RegisterCoordinationServer(server, other.server)
+	go func() { _ = server.Serve(l) }() // stopped at the end of the test
 	t.Cleanup(server.Stop)
 	other.self.Address = l.Addr().String()
-	revision, err := store.Client().Commit(t.Context(), aroundOther.view.Registration(other.self, aroundOther.lease))
+	revision, err := store.Client().Commit(t.Context(), otherEnv.view.Registration(other.self, otherEnv.lease))
 	must.NoError(t, err)
-	around.view = stale
+	env.view = stale
 
-	must.NoError(t, leader.releaseAll(t.Context(), &release{group: "g", revision: revision, drain: urgentDrain}))
-	news, _ := aroundOther.gate.NewsSince(0)
-	must.Eq(t, revision, news.Released)
+	must.NoError(t, leader.releaseAll(t.Context(), &grantRelease{group: "g", revision: revision, drain: urgentDrain}))
+	update, _ := otherEnv.guard.UpdateSince(0)
+	must.Eq(t, revision, update.Released)
 }
 
-// Without the store's word on who is registered a change does not go on.
+// A change must not proceed if the registered instances cannot be read from the store.
 func TestReleaseNeedsTheStore(t *testing.T) {
 	store := memstore.New()
 	client := store.Client()
 	leader, _ := newController(t, "a", client)
 	client.Set(memstore.Faults{Refuse: true})
-	must.Error(t, leader.releaseAll(t.Context(), &release{group: "g", revision: 7, drain: urgentDrain}))
+	must.Error(t, leader.releaseAll(t.Context(), &grantRelease{group: "g", revision: 7, drain: urgentDrain}))
 }
 
-func TestReleaseOfInstancesThatCannotBeReached(t *testing.T) {
+func TestGrantOfUnreachableInstanceLapses(t *testing.T) {
 	const announced = 100 * time.Second
 	reply := func(uptime time.Duration, attested ...string) *leadpb.ReleaseReply {
 		r := &leadpb.ReleaseReply{UptimeUs: uptime.Microseconds(), AttestedUs: make(map[string]int64)}
@@ -219,47 +222,49 @@
 		return r
 	}
 	for name, c := range map[string]struct {
-		replies   []*leadpb.ReleaseReply // of a quorum of two, at the announcement
+		replies   []*leadpb.ReleaseReply // received at the announcement; two make a quorum
 		goneSince time.Duration
-		until     time.Duration // its grant counts until then
+		lapsesAt  time.Duration // when its grant lapses
 	}{
-		"no quorum":                       {[]*leadpb.ReleaseReply{reply(announced)}, 10 * time.Second, announced + storelessLapsed},
-		"its lease holds":                 {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 0, announced + grantsLapsed},
-		"gone, and never attested":        {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 95 * time.Second, 95*time.Second + grantsLapsed},
-		"gone, and attested a second ago": {[]*leadpb.ReleaseReply{reply(announced), reply(announced, "x")}, 80 * time.Second, 99*time.Second + grantsLapsed},
-		"one that would know began later": {[]*leadpb.ReleaseReply{reply(announced), reply(3 * time.Second)}, 80 * time.Second, 97*time.Second + grantsLapsed},
+		"no quorum":                                       {[]*leadpb.ReleaseReply{reply(announced)}, 10 * time.Second, announced + attestedUseLapseTime},
+		"its lease is valid":                              {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 0, announced + grantLapseTime},
+		"no lease, and never attested":                    {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 95 * time.Second, 95*time.Second + grantLapseTime},
+		"no lease, and attested a second ago":             {[]*leadpb.ReleaseReply{reply(announced), reply(announced, "x")}, 80 * time.Second, 99*time.Second + grantLapseTime},
+		"no lease, and a releasing process started later": {[]*leadpb.ReleaseReply{reply(announced), reply(3 * time.Second)}, 80 * time.Second, 97*time.Second + grantLapseTime},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &release{announced: announced, missing: 2}
+			r := &grantRelease{announced: announced, releasesNeeded: 2}
 			for _, reply := range c.replies {
-				r.note(announced, reply)
+				r.addReply(announced, reply)
 			}
-			must.False(t, r.lapsed(c.until-1, "x", c.goneSince))
-			must.True(t, r.lapsed(c.until, "x", c.goneSince))
+			must.False(t, r.hasLapsed(c.lapsesAt-1, "x", c.goneSince))
+			must.True(t, r.hasLapsed(c.lapsesAt, "x", c.goneSince))
 		})
 	}
 }
 
-// A group is not taken over again on the same picture at every tick: on the soak some
-// 16 conditional writes were made until the picture showed the first.
-func TestTakeOverIsNotRepeatedAtOnce(t *testing.T) {
-	first, ok := attempt{}.next(0, 0, 7)
+// Guards against a take-over that is repeated at each Tick, based on the same outdated
+// view. In a long-running test about 16 conditional writes were made until the view showed
+// the first one.
+func TestTakeOverBacksOff(t *testing.T) {
+	first, ok := takeOverAttempt{}.next(0, 0, 7)
 	must.True(t, ok)
-	_, ok = first.next(minTakeOverPause-1, 0, 7)
+	_, ok = first.next(minTakeOverBackoff-1, 0, 7)
 	must.False(t, ok)
-	again, ok := first.next(minTakeOverPause, 0, 7)
+	again, ok := first.next(minTakeOverBackoff, 0, 7)
 	must.True(t, ok)
-	must.Eq(t, 2*minTakeOverPause, again.pause)
-	moved, ok := again.next(minTakeOverPause, 0, 8)
-	must.True(t, ok, must.Sprint("the picture is another"))
-	must.Eq(t, minTakeOverPause, moved.pause)
+	must.Eq(t, 2*minTakeOverBackoff, again.backoff)
+	moved, ok := again.next(minTakeOverBackoff, 0, 8)
+	must.True(t, ok, must.Sprint("based on another revision"))
+	must.Eq(t, minTakeOverBackoff, moved.backoff)
 }
 
-// The load: a thousand groups whose records an instance learns again with each change. A record
-// that is known wakes nobody, unless authority comes or goes with it.
-func TestAKnownRecordWakesNobody(t *testing.T) {
+// With a thousand groups an instance applies all records again on each change in the store.
+// A record that is already known must not wake waiters, unless it makes the grant usable or
+// unusable.
+func TestKnownRecordDoesNotWakeWaiters(t *testing.T) {
 	now := time.Duration(0)
-	g := NewGate(func() time.Duration { return now })
+	g := NewPrimaryGuard(func() time.Duration { return now })
 	record := Record{Group: "g", Primary: "m1", Term: 1}
 	woken := func(changed <-chan struct{}) bool {
 		select {
@@ -269,33 +274,33 @@
 			return false
 		}
 	}
-	learn := func(revision int64) bool {
+	wakes := func(revision int64) bool {
 		changed := g.Changed()
-		g.Learn(record, revision)
+		g.ApplyRecord(record, revision)
 		return woken(changed)
 	}
-	must.True(t, learn(1))
-	must.True(t, learn(1), must.Sprint("not confirmed yet"))
+	must.True(t, wakes(1))
+	must.True(t, wakes(1), must.Sprint("the grant is not confirmed yet"))
 	g.Confirm(now)
-	must.False(t, learn(1))
-	must.True(t, learn(2))
-	now += VerifiableFor + time.Second
-	must.True(t, learn(2), must.Sprint("the grant is over"))
+	must.False(t, wakes(1))
+	must.True(t, wakes(2))
+	now += UnconfirmedUseLimit + time.Second
+	must.True(t, wakes(2), must.Sprint("the grant has expired"))
 }
 
-// Usable tells the same as Authority, in every state of a grant.
-func TestUsableIsAuthority(t *testing.T) {
+// Usable must agree with Primary in every state of a grant.
+func TestUsableAgreesWithPrimary(t *testing.T) {
 	for _, record := range []Record{{}, {Primary: "m1", Term: 1}, {Primary: "m1", Change: &Change{ID: "c"}}} {
 		for _, change := range []func(*Grant){
 			func(*Grant) {},
-			func(g *Grant) { g.Learn(record, 5) },
-			func(g *Grant) { g.Learn(record, 5); g.Confirm(time.Second) },
-			func(g *Grant) { g.Learn(record, 5); g.Confirm(time.Second); g.Release(6) },
+			func(g *Grant) { g.ApplyRecord(record, 5) },
+			func(g *Grant) { g.ApplyRecord(record, 5); g.Confirm(time.Second) },
+			func(g *Grant) { g.ApplyRecord(record, 5); g.Confirm(time.Second); g.Release(6) },
 		} {
 			var g Grant
 			change(&g)
-			for _, now := range []time.Duration{time.Second, time.Second + VerifiableFor} {
-				_, err := g.Authority(now)
+			for _, now := range []time.Duration{time.Second, time.Second + UnconfirmedUseLimit} {
+				_, err := g.Primary(now)
 				must.Eq(t, err == nil, g.Usable(now))
 			}
 		}
@@ -312,51 +317,52 @@
 	}
 	v, err := v.Apply(0, events)
 	must.NoError(t, err)
-	for n := range 21 { // the last is not alive
+	for n := range 21 { // the last one is not alive
 		for most := range 25 {
 			must.Eq(t, min(v.Rank("g", fmt.Sprint("i", n)), most), v.RankUpTo("g", fmt.Sprint("i", n), most))
 		}
 	}
 }
 
-// The load: a thousand groups begin to be led at once. Each costs one write, in which the leader names
-// the primary as well, and the leader does not write again before its picture can show that.
+// When a thousand groups get their first leaders at once, each must cost only one write,
+// which also names the primary, and the leader must not write again before its view can
+// show that write.
 func TestFirstLeaderWritesOnce(t *testing.T) {
 	store := memstore.New()
-	first, around := newController(t, "a", store.Client())
-	led := &ledGroup{}
-	first.takeOver(t.Context(), "g", led)
-	_, due := led.tried.next(minTakeOverPause, 0, 0)
+	first, env := newController(t, "a", store.Client())
+	g := &ledGroup{}
+	first.takeOver(t.Context(), "g", g)
+	_, due := g.lastTakeOver.next(minTakeOverBackoff, 0, 0)
 	must.False(t, due)
-	_, due = led.tried.next(maxTakeOverPause, 0, 0)
+	_, due = g.lastTakeOver.next(maxTakeOverBackoff, 0, 0)
 	must.True(t, due)
-	around.refresh(t, store.Client())
-	record, revision := around.view.Record("g")
-	_, leaderRevision := around.view.Leader("g")
+	env.refresh(t, store.Client())
+	record, revision := env.view.Record("g")
+	_, leaderRevision := env.view.Leader("g")
 	must.Eq(t, "m1", record.Primary)
-	must.Eq(t, leaderRevision, revision, must.Sprint("one write for both"))
+	must.Eq(t, leaderRevision, revision, must.Sprint("one write for both keys"))
 }
 
-// The load: an instance that carries one group in a fleet with many. It looks at that one each time,
-// and at those that others carry once a second, while one of them has no leader.
-func TestLooksAtGroupsOfOthersNowAndThen(t *testing.T) {
+// In a fleet with many groups an instance checks the groups that it serves on each Tick,
+// but those that only others serve once a second, and only while one of them has no leader.
+func TestUnservedGroupsAreCheckedOncePerSecond(t *testing.T) {
 	store := memstore.New()
-	c, around := newController(t, "a", store.Client())
-	around.idle = true
+	c, env := newController(t, "a", store.Client())
+	env.servesNone = true
 	clock := time.Minute
 	c.now = func() time.Duration { return clock }
 	c.Tick(t.Context())
-	around.refresh(t, store.Client())
-	leader, _ := around.view.Leader("g")
-	must.Eq(t, "a", leader.Instance, must.Sprint("the first look"))
-	store.EndLease(around.lease)
+	env.refresh(t, store.Client())
+	leader, _ := env.view.Leader("g")
+	must.Eq(t, "a", leader.Instance, must.Sprint("the first check"))
+	store.EndLease(env.lease)
 	lease, err := store.Client().Grant(t.Context(), time.Second)
 	must.NoError(t, err)
-	around.lease = lease.ID
-	around.refresh(t, store.Client())
-	clock += lookElsewhere - 1
+	env.lease = lease.ID
+	env.refresh(t, store.Client())
+	clock += otherGroupsInterval - 1
 	c.Tick(t.Context())
-	around.refresh(t, store.Client())
-	_, revision := around.view.Leader("g")
+	env.refresh(t, store.Client())
+	_, revision := env.view.Leader("g")
 	must.Zero(t, revision)
 }
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -7,170 +7,177 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Settings of grants.
+// Time limits of grants. All are durations on a monotonic clock.
 const (
-	// GrantValidity is how long a grant is confirmed from the sending of what
-	// confirmed it: an answer of the store, or attestations of most instances. A
-	// change of primary waits as long for an instance that cannot be reached, so
-	// with the time to notice (0.9 s), watchDeafness and the promotion it keeps a
-	// change within the 6 s that the project promises. It is three times the pause
-	// between two confirmations (ConfirmEvery), so that in ordinary operation no
-	// grant ever lapses.
-	GrantValidity = 3 * ConfirmEvery
-	// ConfirmEvery is after what time without a change the store is asked again.
-	// Each call is charged, and the few instances that watch the store make them
-	// for all.
-	ConfirmEvery = time.Second
-	// VerifiableFor is how long after the store was heard an instance may use a primary
-	// although its grant is not confirmed, with each answer verified by the members. It
-	// bounds by how much its picture of the members may be out of date: a member that
-	// has not been known for as long is not promoted while such an instance may exist.
-	VerifiableFor = 12 * time.Second
-	// StorelessValidity is how long attestations can stand in for the store. It bounds
-	// by how much the picture of who is registered may be out of date.
-	StorelessValidity = 30 * time.Second
-	// driftShare is by what share two steady clocks may differ: 2.5%, for clocks
-	// that are each wrong by 1%, far more than crystals show.
-	driftShare = 40
-	// grantsLapsed, verifiableLapsed and storelessLapsed are after what time on one
-	// clock the same spans, counted on another, are over.
-	grantsLapsed     = GrantValidity + GrantValidity/driftShare + watchDeafness
-	verifiableLapsed = VerifiableFor + VerifiableFor/driftShare + watchDeafness
-	storelessLapsed  = StorelessValidity + StorelessValidity/driftShare + watchDeafness
-	// watchDeafness is for how long a watch may miss a change before the store
-	// says that its history is gone.
-	watchDeafness = time.Second
+	// GrantValidity is how long a grant stays confirmed, counted from when the call that
+	// confirmed it was sent: a store call, or the requests for attestation that a majority
+	// answered. A change of primary waits as long for an instance that cannot be reached.
+	// Together with the time to detect a failure (0.9 s), maxWatchGap and the promotion,
+	// that keeps a change within the 6 s that the project promises. GrantValidity is three
+	// times ConfirmInterval, so that in normal operation no grant lapses.
+	GrantValidity = 3 * ConfirmInterval
+	// ConfirmInterval is the interval after which the store is asked again if nothing has
+	// changed. Each store call is billed, and the few instances that watch the store make
+	// these calls on behalf of all.
+	ConfirmInterval = time.Second
+	// UnconfirmedUseLimit is how long after the last answer of the store an instance may
+	// use a primary under an unconfirmed grant, with each answer verified by the members.
+	// It bounds how outdated the instance's list of members can be: a member that has been
+	// known for a shorter time is not promoted while such an instance may exist.
+	UnconfirmedUseLimit = 12 * time.Second
+	// AttestedUseLimit is how long after the last answer of the store attestations can
+	// confirm a grant. It bounds how outdated the list of registered instances can be.
+	AttestedUseLimit = 30 * time.Second
+	// clockDriftDivisor is the divisor for the difference in rate that is allowed between two
+	// monotonic clocks: 1/40 = 2.5%. That covers two clocks that are each off by 1%, far
+	// more than quartz clocks show.
+	clockDriftDivisor = 40
+	// grantLapseTime, unconfirmedUseLapseTime and attestedUseLapseTime are how long the
+	// leader waits, on its own clock, until the limits above have certainly passed on the
+	// clock of another instance.
+	grantLapseTime          = GrantValidity + GrantValidity/clockDriftDivisor + maxWatchGap
+	unconfirmedUseLapseTime = UnconfirmedUseLimit + UnconfirmedUseLimit/clockDriftDivisor + maxWatchGap
+	attestedUseLapseTime    = AttestedUseLimit + AttestedUseLimit/clockDriftDivisor + maxWatchGap
+	// maxWatchGap is how long a watch may miss a change before the store reports that its
+	// history is gone.
+	maxWatchGap = time.Second
 )
 
-// AttestQuorum returns how many of the instances that one knows to be registered must
-// attest a grant, the one that holds it included: most of them.
+// AttestQuorum returns how many of the registered instances must attest a grant, its holder
+// included: a majority of those that the holder knows.
 func AttestQuorum(registered int) int { return registered/2 + 1 }
 
-// ReleaseQuorum returns how many of some registered instances must have released
-// before grants cannot be attested any more: so many that those which remain are no
-// quorum, even for an instance that has not heard of any that joined lately.
+// ReleaseQuorum returns how many of the registered instances must have released before no
+// grant can be attested any more: enough that the remaining ones are no AttestQuorum, even
+// from the view of an instance that does not know those that joined recently.
 func ReleaseQuorum(registered, joined int) int { return registered - (registered-joined)/2 }
 
-// Authority is the right to use a member as the primary of its group.
-type Authority struct {
+// PrimaryRef identifies the primary that an instance may use.
+type PrimaryRef struct {
 	Primary  string
 	Term     uint64
-	Revision int64 // of the record
+	Revision int64 // of the record that names the primary
 }
 
-// Covers reports whether a position comes from the log of the authority's term.
-func (a Authority) Covers(p group.Position) bool { return p.Term == a.Term }
+// SameTerm reports whether a log position belongs to the term of this primary.
+func (a PrimaryRef) SameTerm(p group.Position) bool { return p.Term == a.Term }
 
-// Grant is one instance's knowledge of a group's record. It has no clock and is
-// not safe for concurrent use.
+// Grant is the state from which one instance decides whether it may use the primary of a
+// group: the latest known record, and when that was last confirmed. All times are on the
+// instance's monotonic clock, and callers pass the current time. A Grant is not safe for
+// concurrent use.
 type Grant struct {
-	record    Record
-	revision  int64         // of the record, 0: none seen
-	heard     bool          // a store call has confirmed the grant
-	settled   bool          // the leader has told the outcome of the record's change
-	confirmed time.Duration // sending of the store call that showed nothing newer
-	attested  time.Duration // sending of the questions that a quorum answered so
-	released  int64         // grants of records up to this revision are given up
+	record           Record
+	revision         int64         // of the record; 0: none known
+	storeAnswered    bool          // the store has answered this instance at least once
+	isOutcome        bool          // the record is the outcome of its change, as published by the leader
+	confirmedAt      time.Duration // when the last store call was sent that returned no newer record
+	attestedAt       time.Duration // when the last requests were sent that a quorum answered with an attestation
+	releasedRevision int64         // grants of records before this revision are released
 }
 
-// Learn takes in the record as the store holds it.
-func (g *Grant) Learn(record Record, revision int64) {
+// ApplyRecord applies a record read from the store. Older records are ignored.
+func (g *Grant) ApplyRecord(record Record, revision int64) {
 	if revision > g.revision {
-		g.record, g.revision, g.settled = record, revision, false
+		g.record, g.revision, g.isOutcome = record, revision, false
 	}
 }
 
-// Settle takes in the outcome of a change from the leader, which may not have
-// reached the store yet. It holds for the revision that announced the change.
-func (g *Grant) Settle(record Record, revision int64) {
-	if revision > g.revision || revision == g.revision && !g.settled {
-		g.record, g.revision, g.settled = record, revision, true
+// ApplyOutcome applies the outcome of a change that the leader published, perhaps before it
+// wrote it to the store. revision is that of the record that announced the change.
+func (g *Grant) ApplyOutcome(record Record, revision int64) {
+	if revision > g.revision || revision == g.revision && !g.isOutcome {
+		g.record, g.revision, g.isOutcome = record, revision, true
 	}
 }
 
-// Confirm notes that a store call sent at that time showed nothing newer than
-// what was learned.
+// Confirm records that a store call sent at that time returned no record newer than the
+// known one.
 func (g *Grant) Confirm(sent time.Duration) {
-	g.confirmed, g.heard = max(g.confirmed, sent), true
+	g.confirmedAt, g.storeAnswered = max(g.confirmedAt, sent), true
 }
 
-// Attest notes that a quorum, asked at that time, knew of nothing newer than the
-// record with a revision.
-func (g *Grant) Attest(sent time.Duration, revision int64) {
+// ConfirmByQuorum records that a quorum of instances, asked at that time, knew of no record
+// newer than the one with this revision. It has no effect if the grant rests on another
+// record by now.
+func (g *Grant) ConfirmByQuorum(sent time.Duration, revision int64) {
 	if revision == g.revision {
-		g.attested = max(g.attested, sent)
+		g.attestedAt = max(g.attestedAt, sent)
 	}
 }
 
-// News is what is known of a group beyond some revision of its record.
-type News struct {
-	Record   Record
-	Revision int64 // 0: the record is not known
-	Settled  bool
-	Released int64 // the grant was given up for a change announced with it
+// GroupUpdate is what an instance knows of a group beyond a given revision of its record.
+type GroupUpdate struct {
+	Record    Record
+	Revision  int64 // 0: Record is not set
+	IsOutcome bool  // Record is the outcome of its change, as published by the leader
+	Released  int64 // revision of the change for which the grant was released; 0: none
 }
 
-// NewsSince returns what is known beyond the record with a revision.
-func (g *Grant) NewsSince(revision int64) (News, bool) {
-	news := News{Released: g.released}
+// UpdateSince returns what this instance knows beyond the record with this revision, and
+// whether it knows anything more.
+func (g *Grant) UpdateSince(revision int64) (GroupUpdate, bool) {
+	update := GroupUpdate{Released: g.releasedRevision}
 	if g.revision > revision {
-		news.Record, news.Revision, news.Settled = g.record, g.revision, g.settled
+		update.Record, update.Revision, update.IsOutcome = g.record, g.revision, g.isOutcome
 	}
-	return news, g.revision > revision || g.released > revision
+	return update, g.revision > revision || g.releasedRevision > revision
 }
 
-// Hear takes in what another instance knows.
-func (g *Grant) Hear(n News) {
+// ApplyUpdate applies what another instance knows.
+func (g *Grant) ApplyUpdate(n GroupUpdate) {
 	g.Release(n.Released)
 	switch {
 	case n.Revision == 0:
-	case n.Settled:
-		g.Settle(n.Record, n.Revision)
+	case n.IsOutcome:
+		g.ApplyOutcome(n.Record, n.Revision)
 	default:
-		g.Learn(n.Record, n.Revision)
+		g.ApplyRecord(n.Record, n.Revision)
 	}
 }
 
-// Release gives up the grant of every record before the one that announces a
-// change, which has a revision. That one gives none until the change is settled.
-func (g *Grant) Release(revision int64) { g.released = max(g.released, revision) }
-
-// Authority returns whom the instance may use as primary, or why nobody. While the
-// grant is not confirmed, what the primary answers must be verified by the members
-// that could have been promoted meanwhile, before it is passed on.
-func (g *Grant) Authority(now time.Duration) (Authority, error) {
-	a := Authority{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
+// Release ends the grants of all records before the one that announces a change, which has
+// this revision. That record itself grants nothing until the outcome of its change is
+// known.
+func (g *Grant) Release(revision int64) { g.releasedRevision = max(g.releasedRevision, revision) }
+
+// Primary returns the primary that the instance may use, or an error that says why there
+// is none. Unless the grant is Confirmed, each answer of the primary must be verified
+// before it is passed on: the other members, any of which could have been promoted
+// meanwhile, must confirm that they are not primary.
+func (g *Grant) Primary(now time.Duration) (PrimaryRef, error) {
+	ref := PrimaryRef{Primary: g.record.Primary, Term: g.record.Term, Revision: g.revision}
 	switch {
-	case g.revision == 0 || a.Primary == "":
-		return Authority{}, fmt.Errorf("no primary is known")
+	case g.revision == 0 || ref.Primary == "":
+		return PrimaryRef{}, fmt.Errorf("no primary is known")
 	case g.record.Change != nil:
-		return Authority{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
-	case g.revision < g.released:
-		return Authority{}, fmt.Errorf("the grant was released for a change of primary")
-	case g.Over(now):
-		return Authority{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmed)
+		return PrimaryRef{}, fmt.Errorf("the primary is being changed: %s", g.record.Change.Reason)
+	case g.revision < g.releasedRevision:
+		return PrimaryRef{}, fmt.Errorf("the grant was released for a change of primary")
+	case g.Expired(now):
+		return PrimaryRef{}, fmt.Errorf("the grant is over: the store was last heard %s ago", now-g.confirmedAt)
 	}
-	return a, nil
+	return ref, nil
 }
 
-// Usable reports whether Authority names a primary.
+// Usable reports whether Primary returns a primary instead of an error.
 func (g *Grant) Usable(now time.Duration) bool {
-	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.released && !g.Over(now)
+	return g.revision > 0 && g.record.Primary != "" && g.record.Change == nil && g.revision >= g.releasedRevision && !g.Expired(now)
 }
 
-// Confirmed reports whether no other member can have been promoted yet.
+// Confirmed reports whether it is certain that no other member has been promoted.
 func (g *Grant) Confirmed(now time.Duration) bool {
-	return g.heard && now-g.confirmed < StorelessValidity && now-max(g.confirmed, g.attested) < GrantValidity
+	return g.storeAnswered && now-g.confirmedAt < AttestedUseLimit && now-max(g.confirmedAt, g.attestedAt) < GrantValidity
 }
 
-// Over reports whether the store was never heard, or so long ago that the grant is of
-// no use any more.
-func (g *Grant) Over(now time.Duration) bool {
-	return !g.heard || !g.Confirmed(now) && now-g.confirmed >= VerifiableFor
+// Expired reports whether the grant has expired: the store has never answered this instance,
+// or its last answer is too old even for verified use of the primary.
+func (g *Grant) Expired(now time.Duration) bool {
+	return !g.storeAnswered || !g.Confirmed(now) && now-g.confirmedAt >= UnconfirmedUseLimit
 }
 
-// Changing returns the change under way, if any.
+// Changing returns the change in progress, nil if there is none.
 func (g *Grant) Changing() *Change { return g.record.Change }
 
-// Record returns the record with its revision, 0 when none was seen.
+// Record returns the record and its revision, 0 if no record is known.
 func (g *Grant) Record() (Record, int64) { return g.record, g.revision }
--- a/internal/lead/select_test.go
+++ b/internal/lead/select_test.go
@@ -11,20 +11,20 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-func replica(id string, index uint64) found {
-	return found{member: topology.Member{ID: id}, status: member.Status{Term: 1, Received: group.Position{Term: 1, Index: index}}}
+func replica(id string, index uint64) memberStatus {
+	return memberStatus{member: topology.Member{ID: id}, status: member.Status{Term: 1, Received: group.Position{Term: 1, Index: index}}}
 }
 
-func primary(id string, term uint64) found {
-	return found{member: topology.Member{ID: id}, status: member.Status{Primary: true, Term: term, Received: group.Position{Term: term, Index: 9}}}
+func primary(id string, term uint64) memberStatus {
+	return memberStatus{member: topology.Member{ID: id}, status: member.Status{Primary: true, Term: term, Received: group.Position{Term: term, Index: 9}}}
 }
 
-func draining(f found) found {
+func draining(f memberStatus) memberStatus {
 	f.member.Draining = true
 	return f
 }
 
-func since(f found, at time.Duration) found {
+func since(f memberStatus, at time.Duration) memberStatus {
 	f.member.Since = at
 	return f
 }
@@ -34,56 +34,56 @@
 	planned := base
 	planned.Planned, planned.Last = true, group.Position{Term: 1, Index: 9}
 	hurried := planned
-	hurried.Hurry = true
+	hurried.AllowShorterLog = true
 	synced := base
 	synced.SyncReplicas = 1
 	unreached := base
 	unreached.Unreached, unreached.KnownBefore = true, 8
 	second := Selection{Old: "gone", Term: 2, Replicas: 2}
-	inSecond := func(id string, index uint64) found {
+	inSecond := func(id string, index uint64) memberStatus {
 		f := replica(id, index)
 		f.status.Term, f.status.Received.Term = 2, 2
 		return f
 	}
 	for name, c := range map[string]struct {
-		answers []found
+		answers []memberStatus
 		s       Selection
 		want    string // "" for undecided
 	}{
-		"nobody answers":                           {nil, base, ""},
-		"the furthest log":                         {[]found{replica("a", 3), replica("b", 5)}, base, "b"},
-		"not one that drains":                      {[]found{replica("a", 3), draining(replica("b", 5))}, base, "a"},
-		"promoted already":                         {[]found{replica("a", 3), primary("b", 2)}, base, "b"},
-		"the newest of two that lead":              {[]found{primary("a", 2), primary("b", 3)}, base, "b"},
-		"the old primary is well":                  {[]found{replica("a", 3), primary("old", 1)}, base, "old"},
-		"the old primary drains":                   {[]found{replica("a", 3), draining(primary("old", 1))}, base, "a"},
-		"the old primary leads, but must go":       {[]found{replica("a", 9), primary("old", 1)}, planned, "a"},
-		"its log is awaited":                       {[]found{replica("a", 8), replica("old", 9)}, planned, ""},
-		"its log was awaited for long enough":      {[]found{replica("a", 8)}, hurried, "a"},
-		"one that stepped down may lead again":     {[]found{replica("a", 8), replica("old", 9)}, base, "old"},
-		"one that still leads in an earlier term":  {[]found{primary("stale", 1), inSecond("a", 3)}, second, "a"},
-		"the same, whoever answers first":          {[]found{inSecond("a", 3), primary("stale", 1)}, second, "a"},
-		"the same, with nobody else":               {[]found{primary("stale", 1)}, second, "stale"},
-		"an instance may not know of the furthest": {[]found{replica("a", 3), since(replica("b", 5), 9)}, unreached, "a"},
-		"none that all know of":                    {[]found{since(replica("a", 3), 8), since(replica("b", 5), 9)}, unreached, ""},
-		"a newcomer that leads already":            {[]found{replica("a", 3), since(primary("b", 2), 9)}, unreached, "b"},
-		"a silent replica may hold acknowledged":   {[]found{replica("a", 8)}, synced, ""},
-		"all replicas were asked":                  {[]found{replica("a", 8), replica("b", 7)}, synced, "a"},
+		"no member answers":                                    {nil, base, ""},
+		"the longest log":                                      {[]memberStatus{replica("a", 3), replica("b", 5)}, base, "b"},
+		"not a draining member":                                {[]memberStatus{replica("a", 3), draining(replica("b", 5))}, base, "a"},
+		"already promoted":                                     {[]memberStatus{replica("a", 3), primary("b", 2)}, base, "b"},
+		"the newest term of two primaries":                     {[]memberStatus{primary("a", 2), primary("b", 3)}, base, "b"},
+		"the old primary is healthy":                           {[]memberStatus{replica("a", 3), primary("old", 1)}, base, "old"},
+		"the old primary drains":                               {[]memberStatus{replica("a", 3), draining(primary("old", 1))}, base, "a"},
+		"the old primary must be replaced as planned":          {[]memberStatus{replica("a", 9), primary("old", 1)}, planned, "a"},
+		"a replica lacks the old primary's last writes":        {[]memberStatus{replica("a", 8), replica("old", 9)}, planned, ""},
+		"a replica lacks the last writes and the wait is over": {[]memberStatus{replica("a", 8)}, hurried, "a"},
+		"the old primary is now a replica":                     {[]memberStatus{replica("a", 8), replica("old", 9)}, base, "old"},
+		"a stale primary of an earlier term, answers first":    {[]memberStatus{primary("stale", 1), inSecond("a", 3)}, second, "a"},
+		"a stale primary of an earlier term, answers last":     {[]memberStatus{inSecond("a", 3), primary("stale", 1)}, second, "a"},
+		"a stale primary of an earlier term, answers alone":    {[]memberStatus{primary("stale", 1)}, second, "stale"},
+		"an instance may not know the longest log":             {[]memberStatus{replica("a", 3), since(replica("b", 5), 9)}, unreached, "a"},
+		"no replica that all instances know":                   {[]memberStatus{since(replica("a", 3), 8), since(replica("b", 5), 9)}, unreached, ""},
+		"a new member that is already primary":                 {[]memberStatus{replica("a", 3), since(primary("b", 2), 9)}, unreached, "b"},
+		"a missing replica may hold acknowledged":              {[]memberStatus{replica("a", 8)}, synced, ""},
+		"all replicas answered":                                {[]memberStatus{replica("a", 8), replica("b", 7)}, synced, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, decided := Select(c.answers, c.s)
 			must.Eq(t, c.want != "", decided)
 			must.Eq(t, c.want, got.member.ID)
-			must.False(t, got.status.Primary && got.status.Term < c.s.Term, must.Sprint("it must be promoted before it may lead"))
+			must.False(t, got.status.Primary && got.status.Term < c.s.Term, must.Sprint("a stale primary must be promoted before it is used"))
 		})
 	}
 }
 
-func TestDead(t *testing.T) {
-	must.False(t, dead(1, false, silence, true, silence))
-	must.True(t, dead(refusals, false, 0, true, 0))
-	must.False(t, dead(0, true, silence-1, true, silence))
-	must.True(t, dead(0, true, silence, true, silence))
-	must.False(t, dead(0, true, 0, false, silence-1), must.Sprint("never heard: counted from the take-over"))
-	must.True(t, dead(0, true, 0, false, silence))
+func TestIsDead(t *testing.T) {
+	must.False(t, isDead(1, false, unresponsiveTimeout, true, unresponsiveTimeout))
+	must.True(t, isDead(deadAfterRefusals, false, 0, true, 0))
+	must.False(t, isDead(0, true, unresponsiveTimeout-1, true, unresponsiveTimeout))
+	must.True(t, isDead(0, true, unresponsiveTimeout, true, unresponsiveTimeout))
+	must.False(t, isDead(0, true, 0, false, unresponsiveTimeout-1), must.Sprint("never answered: counted from the take-over"))
+	must.True(t, isDead(0, true, 0, false, unresponsiveTimeout))
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -67,7 +67,7 @@
 // candidates returns the members that might serve a read.
 func (a *attempt) candidates() []routing.Candidate {
 	relay := a.s.relay
-	authority, err := a.gate.Authority()
+	authority, err := a.gate.Primary()
 	usual := a.group.usual(kindOf(a.route))
 	var candidates []routing.Candidate
 	for _, m := range relay.snapshot().MembersOf(a.route.Group) {
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	breaker := &breaker{cancel: cancel}
-	pass, err := a.gate.Enter(breaker.trip)
+	pass, err := a.gate.Acquire(breaker.trip)
 	if err != nil {
 		a.why = err.Error()
 		a.obstacle = &obstacle{reason: admission.Change, left: a.group.outage(a.now(), a.gate)}
@@ -147,7 +147,7 @@
 
 // mayWrite reports whether work that may write can be sent to the primary: the
 // grant is confirmed, or the members could verify it a moment ago.
-func (a *attempt) mayWrite(pass *lead.Pass) bool {
-	return a.reads || pass.Standing() == lead.Confirmed || a.group.verifiedLately(a.now()) ||
-		a.s.relay.verify(a.ctx, a.group, pass.Authority, false)
+func (a *attempt) mayWrite(pass *lead.Permit) bool {
+	return a.reads || pass.State() == lead.Confirmed || a.group.verifiedLately(a.now()) ||
+		a.s.relay.verify(a.ctx, a.group, pass.PrimaryRef, false)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -40,7 +40,7 @@
 	known func(group string) Known
 
 	mu    sync.Mutex // guards gates and named
-	gates map[string]*lead.Gate
+	gates map[string]*lead.PrimaryGuard
 	named []namedGate // the same, only added to
 }
 
@@ -74,7 +74,7 @@
 	r := &Relay{
 		started: cfg.Started, self: cfg.Self.Name, near: cfg.Self.DataCentre, places: cfg.Places, topology: cfg.Topology, current: cfg.Current, known: cfg.Known,
 		limiter: cfg.Limiter, upstreams: cfg.Upstreams, log: cfg.Log, set: cfg.Metrics,
-		gates: make(map[string]*lead.Gate),
+		gates: make(map[string]*lead.PrimaryGuard),
 	}
 	r.carrierConns = newCarrierConns(cfg.Conns, r.now)
 	r.sampler = logs.NewLimiter(r.now)
@@ -83,15 +83,15 @@
 }
 
 // Gate returns the gate of a group's primary. The first use of a group here makes it.
-func (r *Relay) Gate(group string) *lead.Gate {
+func (r *Relay) Gate(group string) *lead.PrimaryGuard {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.gates[group]
 	if g == nil {
-		g = lead.NewGate(r.now)
+		g = lead.NewPrimaryGuard(r.now)
 		// Under the lock: whoever learns more afterwards finds the gate and tells it.
 		if known := r.known(group); known.Revision > 0 {
-			g.Learn(known.Record, known.Revision)
+			g.ApplyRecord(known.Record, known.Revision)
 			if known.Confirmed > 0 {
 				g.Confirm(known.Confirmed)
 			}
@@ -105,11 +105,11 @@
 // namedGate is the gate of a group.
 type namedGate struct {
 	group string
-	gate  *lead.Gate
+	gate  *lead.PrimaryGuard
 }
 
 // Gates calls f with the gate of every group that was used here.
-func (r *Relay) Gates(f func(group string, g *lead.Gate)) {
+func (r *Relay) Gates(f func(group string, g *lead.PrimaryGuard)) {
 	r.mu.Lock()
 	named := r.named
 	r.mu.Unlock()
@@ -127,13 +127,13 @@
 
 // noteAnswer takes in what an answer tells of its member. Under a pass the
 // member is the primary, and its position is a sample.
-func (r *Relay) noteAnswer(up *upstream, g *groupState, pass *lead.Pass, asked time.Duration, answer statement.Answer) {
+func (r *Relay) noteAnswer(up *upstream, g *groupState, pass *lead.Permit, asked time.Duration, answer statement.Answer) {
 	up.noteAnswer(asked, r.now(), answer.Position)
 	if pass == nil && !answer.Position.IsZero() {
 		lagging := answer.Err != nil && answer.Err.Code == statement.Lagging
 		up.noteProgress(g.behind(r.now(), answer.Position), lagging, r.now())
 	}
-	if pass != nil && pass.Covers(answer.Position) && pass.Valid() {
+	if pass != nil && pass.SameTerm(answer.Position) && pass.Confirmed() {
 		g.note(asked, answer.Position)
 	}
 }
@@ -212,7 +212,7 @@
 		"read": a.reads, "offered": a.offered, "rounds": a.tries, "member": a.lastMember, "after": a.lastAfter.String(),
 		"sample_age_ms": a.group.sampleAge(r.now()).Milliseconds(),
 	}
-	if authority, err := a.gate.Authority(); err == nil {
+	if authority, err := a.gate.Primary(); err == nil {
 		fields["primary"], fields["term"], fields["record"] = authority.Primary, authority.Term, authority.Revision
 	} else {
 		fields["no_primary"] = err.Error()
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -24,7 +24,7 @@
 type bench struct {
 	relay *Relay
 	group *membergroup.Group
-	gate  *lead.Gate
+	gate  *lead.PrimaryGuard
 
 	mu   sync.Mutex // guards snap
 	snap *topology.Snapshot
@@ -62,7 +62,7 @@
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
 	b.gate = b.relay.Gate("g")
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
+	b.gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
 	b.gate.Confirm(b.relay.now())
 	return b
 }
@@ -129,7 +129,7 @@
 	released := make(chan error, 1)
 	go func() { released <- b.gate.Release(t.Context(), 2, generous) }()
 	for {
-		if _, err := b.gate.Authority(); err != nil {
+		if _, err := b.gate.Primary(); err != nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -150,11 +150,11 @@
 
 func TestWritesToAReplacedPrimaryAreNotAcknowledged(t *testing.T) {
 	b := newBench(t)
-	pass, err := b.gate.Enter(func() {})
+	pass, err := b.gate.Acquire(func() {})
 	must.NoError(t, err)
-	must.True(t, pass.Valid())
+	must.True(t, pass.Confirmed())
 	must.Error(t, b.gate.Release(cancelled(t), 2, 0), must.Sprint("the pass is still out"))
-	must.False(t, pass.Valid())
+	must.False(t, pass.Confirmed())
 	pass.Done()
 	pass.Done()
 	must.NoError(t, b.gate.Release(t.Context(), 2, 0))
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -19,7 +19,7 @@
 func newUnconfirmedBench(t *testing.T) *bench {
 	b := newBench(t)
 	b.relay.started = b.relay.started.Add(-2 * lead.GrantValidity)
-	_, err := b.gate.Authority()
+	_, err := b.gate.Primary()
 	must.NoError(t, err)
 	return b
 }
@@ -89,9 +89,9 @@
 // crash_cut, a day of our own, on which one read ran without an acknowledged commit.
 func TestReadThatWaitedIsVerified(t *testing.T) {
 	b := newBench(t)
-	pass, err := b.gate.Enter(func() {})
+	pass, err := b.gate.Acquire(func() {})
 	must.NoError(t, err)
-	must.Eq(t, lead.Confirmed, pass.Standing())
+	must.Eq(t, lead.Confirmed, pass.State())
 	up := b.relay.upstreams.get("m1")
 	settle := func() outcome {
 		lease, err := up.pool.Acquire(t.Context(), pool.Request{Deadline: generous}, nil)
@@ -111,7 +111,7 @@
 func TestVerificationBeginsAfterTheAnswer(t *testing.T) {
 	b := newUnconfirmedBench(t)
 	g := b.relay.upstreams.group("g")
-	a, err := b.gate.Authority()
+	a, err := b.gate.Primary()
 	must.NoError(t, err)
 	must.True(t, b.relay.verify(t.Context(), g, a, true))
 	must.True(t, g.verifiedLately(b.relay.now()))
