--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,10 +1,10 @@
-// Package account answers whose work a caller asks for: which client account a key
-// belongs to by the configuration in force, and what the account may ask of the
-// fleet. The package has no I/O, clock or goroutine.
+// Package account authenticates clients: it maps API keys to the client accounts of the
+// configuration in force, and holds the rate limits of the accounts. The package has no
+// I/O, clock or goroutine.
 //
-// Keys are secrets. A Key does not show itself in logs, errors or JSON, and is
-// looked up through a hash that is seeded anew in each process, so that the time
-// of a lookup tells nothing of the keys that exist.
+// Keys are secrets. A Key is redacted in logs, errors and JSON. It is looked up by a hash
+// with a seed that differs between directories, and compared in constant time, so that the
+// duration of a lookup reveals nothing about existing keys.
 package account
 
 import (
@@ -12,14 +12,13 @@
 	"hash/maphash"
 )
 
-// Key is what a caller shows to prove which account it works for.
+// Key is an API key, by which a client authenticates as an account.
 type Key struct{ secret string }
 
-// NewKey wraps a key as a caller or the operators wrote it. The empty one stands
-// for none.
+// NewKey returns the key with a secret. The empty secret stands for no key.
 func NewKey(secret string) Key { return Key{secret: secret} }
 
-// hidden stands for a key wherever one would be printed.
+// hidden is printed in place of any key.
 const hidden = "(key)"
 
 // String implements fmt.Stringer.
@@ -31,42 +30,43 @@
 // MarshalText implements encoding.TextMarshaler.
 func (Key) MarshalText() ([]byte, error) { return []byte(hidden), nil }
 
-// Limit is what an account may ask of the whole fleet.
+// Limit is the rate limit of an account over the whole fleet.
 type Limit struct {
-	Rate      float64 // operations a second, in the mean
-	Burst     float64 // operations beyond that at once
+	Rate      float64 // operations per second, on average
+	Burst     float64 // operations allowed at once in addition
 	Unlimited bool    // no limit is declared
 }
 
-// Account is a client account as the operators declare it.
+// Account is a client account as declared in the configuration.
 type Account struct {
 	Name  string
 	Keys  []Key
 	Limit Limit
 }
 
-// Directory is the accounts of one configuration. It is not changed after it was
-// made and is safe for concurrent use. A nil one holds none: whoever calls is served.
+// Directory holds the accounts of one configuration. It is immutable and safe for
+// concurrent use. With a nil directory, no accounts are declared and all clients are
+// served as anonymous.
 type Directory struct {
 	seed     maphash.Seed
 	byKey    map[uint64][]owner
 	accounts map[string]Limit
 }
 
-// owner is the account that holds a key.
+// owner is a key and the name of its account.
 type owner struct {
 	key  Key
 	name string
 }
 
-// NewDirectory returns the directory of some accounts.
+// NewDirectory returns a directory of the given accounts.
 func NewDirectory(accounts []Account) *Directory {
 	d := &Directory{seed: maphash.MakeSeed(), byKey: make(map[uint64][]owner), accounts: make(map[string]Limit, len(accounts))}
 	for _, a := range accounts {
 		d.accounts[a.Name] = a.Limit
 		for _, k := range a.Keys {
 			if k.secret == "" {
-				continue // none is not a key
+				continue // an empty key matches no client
 			}
 			h := maphash.String(d.seed, k.secret)
 			d.byKey[h] = append(d.byKey[h], owner{key: k, name: a.Name})
@@ -75,7 +75,7 @@
 	return d
 }
 
-// Holder returns the account that holds a key, and false when none does.
+// Holder returns the name of the account that a key belongs to, false if there is none.
 func (d *Directory) Holder(k Key) (string, bool) {
 	if d == nil || k.secret == "" {
 		return "", false
@@ -88,8 +88,7 @@
 	return "", false
 }
 
-// Limit returns what an account may ask, and false when the directory does not
-// hold the account.
+// Limit returns the limit of an account, false if the account is not declared.
 func (d *Directory) Limit(name string) (Limit, bool) {
 	if d == nil {
 		return Limit{}, false
@@ -98,12 +97,12 @@
 	return l, ok
 }
 
-// Anonymous is the account of callers that need not prove who they are.
+// Anonymous is the account name of clients that need not authenticate.
 const Anonymous = ""
 
-// Identify returns the account for which a caller with a key uses a route, and false
-// when the caller may not. Callers of a public route are anonymous, and so are all
-// callers where no accounts are declared.
+// Identify returns the account of a client that presents a key to use a route, false if
+// the client may not use it. Clients of a public route are anonymous, as are all clients
+// if no accounts are declared.
 func (d *Directory) Identify(public bool, k Key) (string, bool) {
 	if d == nil || public {
 		return Anonymous, true
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -58,7 +58,7 @@
 	must.False(t, ok)
 }
 
-// A key must not appear wherever a value that holds it is printed.
+// No way of printing or encoding a value that contains a key may reveal the key.
 func TestKeysDoNotShow(t *testing.T) {
 	a := Account{Name: "confirm", Keys: []Key{NewKey(confirmKey)}}
 	encoded, err := json.Marshal(a)
--- a/internal/connpool/account_test.go
+++ b/internal/connpool/account_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Whatever requests of some accounts come and go: each gets a connection of its own
-// account, at most the capacity exist, and what is in use is never closed for another.
+// For any sequence of requests of several accounts: each gets a connection of its own
+// account, no more connections exist than the capacity, and none in use is closed.
 func TestConnectionsServeTheirAccountOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 4
@@ -72,7 +72,7 @@
 	})
 }
 
-// An account that has a connection keeps it while others need none.
+// An idle connection of an account stays open until another account needs its slot.
 func TestAccountsKeepTheirConnections(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 3}, never)
 	for range 3 {
@@ -87,13 +87,13 @@
 	lease, err := p.Acquire(t.Context(), pool.Request{Service: "s", Account: "c", Deadline: never}, nil)
 	must.NoError(t, err)
 	must.Eq(t, 3, lease.Conn.label)
-	must.Eq(t, 2, p.Open(), must.Sprint("that of a, idle for longest, makes room"))
+	must.Eq(t, 2, p.Open(), must.Sprint("the connection of a, idle for longest, was closed"))
 	_, err = p.Acquire(t.Context(), pool.Request{Service: "s", Account: "a", Deadline: never}, nil)
 	must.True(t, errors.Is(err, errLimit))
 }
 
-// Where the member takes no more connections, one that is idle here makes room, and the
-// request does not wait out a backoff.
+// If the member accepts no more connections, the pool closes an idle one and dials again,
+// without waiting for the backoff.
 func TestIdleConnectionMakesRoomAtAFullMember(t *testing.T) {
 	d := &dialer{limit: 1}
 	cfg := Config{Queue: pool.Config{Capacity: 4, MaxQueue: 8}, Dials: 2, DialTimeout: never, MinBackoff: never, MaxBackoff: never,
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,10 +1,11 @@
-// Package connpool shares the connections to one member among requests. It is
-// the same for every protocol: what a connection is, how it is opened and when
-// it is clean enough to be shared again is told by a type parameter.
+// Package connpool is a connection pool for one database member. Package pool schedules
+// the requests; this package waits for grants, opens connections, keeps idle ones and
+// closes them. It is independent of the protocol: the connection type is a type parameter.
 //
-// A connection belongs to the account for which it was opened and serves requests of
-// that account only. While as many exist as may be used, the one that has been idle
-// for longest is closed to make room for another account's.
+// A connection belongs to the account for which it was opened and serves requests of that
+// account only, except for requests that accept a connection of any account. When all
+// connections within the capacity exist, the one that has been idle for longest is closed
+// to make room for one of another account.
 package connpool
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/stackspindle/stackspindle/internal/pool"
 )
 
-// Errors of Acquire. None of them means that anything ran.
+// Errors of Acquire. With each of them nothing was sent to the member.
 var (
 	ErrQueueFull = errors.New("too many requests of this service wait already")
 	ErrDeadline  = errors.New("no connection came free before the deadline")
@@ -25,67 +26,67 @@
 	ErrBackoff   = errors.New("the member could not be reached a moment ago")
 )
 
-// Conn is a connection that can be shared.
+// Conn is a pooled connection.
 type Conn interface {
-	// Alive reports whether an idle connection may be used again.
+	// Alive reports whether an idle connection is still usable.
 	Alive() bool
-	// Clean brings a connection into a state in which another caller may use it,
-	// and reports whether that succeeded.
+	// Clean resets the connection so that another session may use it, and reports
+	// whether that succeeded.
 	Clean() bool
 	// Kill closes the connection at once. It may be called at any time.
 	Kill()
 }
 
-// Config bounds a pool.
+// Config configures a pool.
 type Config struct {
 	Queue       pool.Config
-	Dials       int           // connections opened at the same time
-	DialTimeout time.Duration // for one connection
+	Dials       int           // maximum number of concurrent dials
+	DialTimeout time.Duration // for one dial
 
-	// A request that finds all connections in use waits so long for one of them
-	// before a further one is opened.
+	// Patience is how long a request waits for one of the existing connections of its
+	// account, all of which are in use, before another one is opened.
 	Patience time.Duration
 
-	// After a failed dial no further one is tried for MinBackoff, doubled with
-	// each failure up to MaxBackoff. 0: the next request tries again.
+	// After a failed dial none is attempted for MinBackoff, which doubles with each
+	// further failure up to MaxBackoff. 0: the next request dials again.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// Full reports whether a dial was refused since the member has as many connections as
-	// it takes. A connection that is idle here is closed then for the new one. nil: never.
+	// Full reports whether a dial failed because the member accepts no more connections.
+	// The pool then closes an idle connection and dials again. nil: never.
 	Full func(error) bool
 }
 
-// Pool shares the connections to one member. The queue, the idle list and the
-// backoff are guarded by mu; a connection outside the idle list belongs to
-// whoever acquired it.
+// Pool is a connection pool for one member. It is safe for concurrent use. A connection
+// that is not in the idle list belongs to the lease that holds it.
 type Pool[C Conn] struct {
 	cfg   Config
 	open  func(ctx context.Context, account string) (C, error)
 	now   func() time.Duration
-	dials chan struct{} // holds a token for each dial in progress
+	dials chan struct{} // semaphore: holds an item for each dial in progress
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the rest
 	queue    *pool.Queue
-	idle     []idle[C]        // the one used last comes last
-	all      map[any]owned[C] // by the connection
-	owned    map[string]int   // how many of them each account has
-	waiters  map[uint64]chan struct{}
+	idle     []idle[C]                // most recently used last
+	all      map[any]owned[C]         // by connection
+	owned    map[string]int           // number of connections by account
+	waiters  map[uint64]chan struct{} // by request ID; closed on a grant
 	nextID   uint64
-	freed    chan struct{} // closed, and replaced, when a connection comes free
-	failures int           // dials that failed in a row
-	retryAt  time.Duration // before which no dial is tried
-	looking  bool          // a look at what waits is to come
+	freed    chan struct{} // closed and replaced when a connection becomes idle
+	failures int           // consecutive failed dials
+	retryAt  time.Duration // end of the backoff
+	looking  bool          // a timer to poll the queue is running
 	closed   bool
-	done     chan struct{}
+	done     chan struct{} // closed by Close
 }
 
-// owned is a connection with the account that it belongs to.
+// owned is a connection and the account that it belongs to.
 type owned[C Conn] struct {
 	conn    C
 	account string
 }
 
-// New returns an empty pool. Connections are opened when needed.
+// New returns an empty pool. Connections are opened on demand with open, for an account.
+// now is a monotonic clock, on which the deadlines of requests are measured.
 func New[C Conn](cfg Config, open func(ctx context.Context, account string) (C, error), now func() time.Duration) *Pool[C] {
 	return &Pool[C]{
 		cfg:     cfg,
@@ -101,21 +102,22 @@
 	}
 }
 
-// Lease is the right to one connection.
+// Lease is the exclusive use of one connection, from Acquire to Release.
 type Lease[C Conn] struct {
 	Conn    C
 	pool    *Pool[C]
 	request pool.Request
-	since   time.Duration
+	since   time.Duration // time of the grant
 
 	// Guarded by the pool's mu.
 	parked bool
-	used   time.Duration // until it was parked first, 0: it was not
+	used   time.Duration // time from the grant to the first call of Park; 0: not parked yet
 	ended  bool
 }
 
-// Park notes that the connection is held and runs nothing for a while, or waits
-// for an answer that is not about to come. It may be called at any time.
+// Park records that the connection runs nothing for a while, as between the statements of
+// a transaction, or waits for an answer that is long overdue. Another request may become
+// active meanwhile. It may be called at any time and has no effect after Release.
 func (l *Lease[C]) Park() {
 	p := l.pool
 	p.mu.Lock()
@@ -131,7 +133,7 @@
 	}
 }
 
-// Resume ends what Park began: the connection runs something again.
+// Resume reverts Park: the connection runs a statement again.
 func (l *Lease[C]) Resume() {
 	p := l.pool
 	p.mu.Lock()
@@ -142,7 +144,8 @@
 	}
 }
 
-// end returns the grant. The caller holds the pool's mu.
+// end returns the grant to the queue. The time in use counts up to the first call of Park,
+// so that idle transactions do not raise the average. The caller holds the pool's mu.
 func (l *Lease[C]) end() {
 	l.ended = true
 	used := l.used
@@ -164,8 +167,8 @@
 	p.pass(p.now())
 }
 
-// SetMaxActive changes how many connections may be used at once, those that are
-// parked left out. 0 means no such bound.
+// SetMaxActive changes how many connections may be in use at once, not counting parked
+// ones. 0: unbounded.
 func (p *Pool[C]) SetMaxActive(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +176,7 @@
 	p.pass(p.now())
 }
 
-// Pause holds requests of a priority and of lower ones for a while.
+// Pause stops granting flexible requests of a priority and of lower ones for a time.
 func (p *Pool[C]) Pause(priority int, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,14 +209,14 @@
 	return p.queue.Waiting()
 }
 
-// Backlog returns what a new request of a priority would find.
+// Backlog returns the backlog that a new request of a priority would find.
 func (p *Pool[C]) Backlog(priority int) pool.Backlog {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Backlog(priority)
 }
 
-// Waits returns what is known of each priority, the highest first.
+// Waits returns the queue statistics of each priority, highest first.
 func (p *Pool[C]) Waits() []pool.Waiting {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,16 +237,16 @@
 	return len(p.all)
 }
 
-// RetryAfter estimates when a refused request would find room.
+// RetryAfter estimates the delay after which a rejected request would find a free slot.
 func (p *Pool[C]) RetryAfter() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.RetryAfter()
 }
 
-// Acquire waits for a connection until r.Deadline. The request's ID is set here.
-// Among idle connections the one that prefer ranks highest is taken; without
-// prefer it is the one used last.
+// Acquire returns a lease of a connection. It waits for a grant until r.Deadline or until
+// ctx is done, and then for a connection. It sets the request's ID. Of the idle connections
+// it takes the one that prefer ranks highest, or the most recently used one if prefer is nil.
 func (p *Pool[C]) Acquire(ctx context.Context, r pool.Request, prefer func(C) int) (*Lease[C], error) {
 	p.mu.Lock()
 	if p.closed {
@@ -258,7 +261,7 @@
 		granted = make(chan struct{})
 		p.waiters[r.ID] = granted
 		p.lookLater()
-		p.pass(p.now()) // what is reserved for others may have become less since the last grant
+		p.pass(p.now()) // the reserve for pinned requests may have decayed since the last grant
 	}
 	p.mu.Unlock()
 	switch outcome {
@@ -294,24 +297,26 @@
 	if !p.queue.Cancel(r) {
 		select {
 		case <-granted:
-			p.finish(r, 0) // granted at the same moment: give it back
+			p.finish(r, 0) // granted concurrently: return the grant
 		default:
 		}
 	}
 	return cause
 }
 
-// finish returns a grant that was in use for a time, and passes it on. The caller holds mu.
+// finish returns a grant to the queue and wakes the requests that are granted next. The
+// caller holds mu.
 func (p *Pool[C]) finish(r pool.Request, used time.Duration) {
 	p.queue.Done(r, used)
 	p.pass(p.now())
 }
 
-// lookPause is the pause between two looks at what waits: what is reserved for work that
-// only the member can run comes free with time, without anything else happening.
+// lookPause is the interval at which a non-empty queue is polled for grants. Polling is
+// necessary because the reserve for pinned requests decays with time, without any event.
 const lookPause = 50 * time.Millisecond
 
-// lookLater has the queue looked at while something waits. The caller holds mu.
+// lookLater starts a timer that polls the queue, if requests are queued and no timer is
+// running. The caller holds mu.
 func (p *Pool[C]) lookLater() {
 	if p.looking || p.closed || p.queue.Waiting() == 0 {
 		return
@@ -326,7 +331,7 @@
 	})
 }
 
-// pass wakes those that the queue grants a connection. The caller holds mu.
+// pass wakes the waiters of the requests that the queue grants now. The caller holds mu.
 func (p *Pool[C]) pass(now time.Duration) {
 	granted, _ := p.queue.Next(now)
 	for _, g := range granted {
@@ -337,8 +342,8 @@
 	}
 }
 
-// connect finds an idle connection for a grant or opens one. While no further
-// one can be opened it waits for those that exist.
+// connect returns a lease with an idle connection or a new one. During the reuse wait and
+// the backoff after a failed dial it waits for an existing connection of the account.
 func (p *Pool[C]) connect(ctx context.Context, r pool.Request, prefer func(C) int) (*Lease[C], error) {
 	lease := &Lease[C]{pool: p, request: r, since: p.now()}
 	for {
@@ -382,8 +387,8 @@
 	return lease, nil
 }
 
-// awaitFreed waits until a connection may have come free, or a dial may be tried
-// again. Without a connection of the account there is nothing to wait for.
+// awaitFreed waits until a connection has become idle, or until a dial may be attempted
+// after wait. It fails at once if no connection exists that the request could use.
 func (p *Pool[C]) awaitFreed(ctx context.Context, r pool.Request, freed <-chan struct{}, wait time.Duration) error {
 	if p.openFor(r) == 0 {
 		return ErrBackoff
@@ -415,7 +420,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		return conn, fmt.Errorf("connect: %w", ctx.Err()) // broken off here, which tells nothing of the member
+		return conn, fmt.Errorf("connect: %w", ctx.Err()) // canceled by the requester: no sign of a fault at the member
 	}
 	if err != nil {
 		p.retryAt = p.now() + min(p.cfg.MinBackoff<<min(p.failures, maxDoublings), p.cfg.MaxBackoff)
@@ -432,7 +437,7 @@
 	return conn, nil
 }
 
-// forget ends a connection. The caller holds mu.
+// forget closes a connection and removes it from the pool. The caller holds mu.
 func (p *Pool[C]) forget(conn C) {
 	conn.Kill()
 	known, ok := p.all[conn]
@@ -445,7 +450,7 @@
 	}
 }
 
-// openFor returns how many connections exist that a request can use.
+// openFor returns how many existing connections a request could use, idle or not.
 func (p *Pool[C]) openFor(r pool.Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -455,15 +460,15 @@
 	return p.owned[r.Account]
 }
 
-// GiveBack ends a lease that holds no connection.
+// GiveBack ends a lease that has no connection.
 func (l *Lease[C]) GiveBack() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	l.end()
 }
 
-// Release ends the lease. The connection is cleaned and shared again, or closed
-// when it cannot be shown to be clean.
+// Release ends the lease. The connection is cleaned and becomes idle, or is closed if
+// cleaning fails.
 func (l *Lease[C]) Release() {
 	clean := l.Conn.Clean()
 	if !clean {
@@ -483,7 +488,7 @@
 	l.end()
 }
 
-// Close refuses new work and breaks all connections, those in use included.
+// Close closes all connections, including those in use. Acquire fails from then on.
 func (p *Pool[C]) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -17,14 +17,14 @@
 	dirty bool
 	label int
 
-	account string // for which it was opened
+	account string // account for which it was opened
 }
 
 func (c *fakeConn) Alive() bool { return !c.dead.Load() }
 func (c *fakeConn) Clean() bool { return !c.dirty }
 func (c *fakeConn) Kill()       { c.dead.Store(true) }
 
-// dialer opens connections until limit of them exist.
+// dialer opens connections and fails after limit of them.
 type dialer struct {
 	opened atomic.Int64
 	limit  int64
@@ -39,7 +39,7 @@
 	return &fakeConn{label: int(d.opened.Add(1)), account: account}, nil
 }
 
-const never = time.Hour // no test waits for it
+const never = time.Hour // longer than any test runs
 
 func newPool(d *dialer, backoff time.Duration) (*Pool[*fakeConn], *atomic.Int64) {
 	clock := new(atomic.Int64)
@@ -56,7 +56,7 @@
 	return lease
 }
 
-// While no further connection can be opened, a request waits for one that exists.
+// During the backoff after a failed dial a request waits for an existing connection.
 func TestBackoffWaitsForConnectionsThatExist(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 1}, never)
 	first := acquire(t, p)
@@ -127,7 +127,8 @@
 	must.Eq(t, 1, p.Open())
 }
 
-// A lease that has ended cannot be parked any more, or its place would be lost.
+// Parking a lease that has ended has no effect. Otherwise its slot would stay parked for
+// ever.
 func TestParkAfterTheEndChangesNothing(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 2}, never)
 	p.SetMaxActive(1)
@@ -143,7 +144,7 @@
 	}
 }
 
-// What a pause holds is granted when it is over, without anything else happening.
+// A request held by a pause is granted at its end without any other event.
 func TestPauseEndsByItself(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 1}, never)
 	const pause = time.Millisecond
@@ -158,12 +159,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	clock.Store(int64(pause))
-	p.Pause(1, 0) // its timer, like that of the first, looks again
+	p.Pause(1, 0) // its timer, like that of the first pause, polls the queue
 	(<-granted).Release()
 }
 
-// A transaction that rests does not make connections look slow: what counts is the time until
-// it was parked.
+// The time in use counts only until the lease is first parked, so that an idle transaction
+// does not make the member look slow.
 func TestHeldTimeLeavesRestsOut(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 1}, never)
 	lease := acquire(t, p)
@@ -176,11 +177,11 @@
 	lease.Resume()
 	lease.Release()
 	lease.Resume()
-	must.Eq(t, pool.Backlog{Slots: p.Capacity(), Flexible: 1, Held: 20 * time.Millisecond}, p.Backlog(0), must.Sprint("one slot is kept for what has just ended"))
+	must.Eq(t, pool.Backlog{Slots: p.Capacity(), Flexible: 1, Held: 20 * time.Millisecond}, p.Backlog(0), must.Sprint("one slot stays reserved for the pinned request that has just ended"))
 }
 
-// The load: work that only the member can run has just ended, and a read waits for the room
-// that is kept for more of it. Nothing else happens, and the read is granted all the same.
+// Pinned requests have just ended, and a read waits for a slot that stays reserved for
+// more of them. The reserve decays, and the read is granted without any other event.
 func TestReserveThatIsNotUsedComesFree(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 4}, never)
 	p.SetCapacity(4)
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -9,16 +9,17 @@
 	"github.com/stackspindle/stackspindle/internal/pool"
 )
 
-// idle is a connection that nobody uses.
+// idle is a connection that no lease holds.
 type idle[C Conn] struct {
 	conn    C
-	account string // that it belongs to
-	since   time.Duration
+	account string        // account that it belongs to
+	since   time.Duration // time at which it became idle
 }
 
-// takeIdle takes the idle connection that a request can use and that prefer ranks
-// highest, the one used last among equals. Without one it returns for how long no dial
-// may be tried, and what tells of a connection that comes free.
+// takeIdle takes an idle connection that a request can use: the one that prefer ranks
+// highest, of equal ones the most recently used. Connections that are no longer alive are
+// closed. If there is none it returns a channel that is closed when a connection becomes
+// idle, and the rest of the dial backoff.
 func (p *Pool[C]) takeIdle(r pool.Request, prefer func(C) int) (C, bool, <-chan struct{}, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,8 +38,8 @@
 	}
 }
 
-// bestIdle returns the place of the idle connection that a request can use and that
-// prefer ranks highest, negative when there is none. The caller holds mu.
+// bestIdle returns the index of the idle connection that takeIdle takes next, -1 if there
+// is none. The caller holds mu.
 func (p *Pool[C]) bestIdle(r pool.Request, prefer func(C) int) int {
 	best, rank := -1, 0
 	for i := len(p.idle) - 1; i >= 0; i-- {
@@ -55,9 +56,9 @@
 	return best
 }
 
-// makeRoom closes the connections that have been idle for longest until a further
-// one can be opened within the capacity. What holds a grant is counted as using a
-// connection, also while it opens one.
+// makeRoom closes the connections that have been idle for longest until another one can be
+// opened within the capacity. Each grant counts as a connection in use, also while that is
+// being opened.
 func (p *Pool[C]) makeRoom() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,15 +69,15 @@
 	})
 }
 
-// DropIdle closes the connections that nobody uses.
+// DropIdle closes all idle connections.
 func (p *Pool[C]) DropIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropIdle(func(idle[C]) bool { return true })
 }
 
-// Shrink closes connections that nobody has used for a while, as long as more
-// than keep exist.
+// Shrink closes connections that have been idle for at least the time unused, as long as
+// more than keep connections exist.
 func (p *Pool[C]) Shrink(unused time.Duration, keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +91,8 @@
 	})
 }
 
-// dropIdle closes the idle connections of which drop says so. The caller holds mu.
+// dropIdle closes the idle connections for which drop returns true. It visits them from
+// the least to the most recently used. The caller holds mu.
 func (p *Pool[C]) dropIdle(drop func(idle[C]) bool) {
 	p.idle = slices.DeleteFunc(p.idle, func(i idle[C]) bool {
 		if !drop(i) {
@@ -101,8 +103,8 @@
 	})
 }
 
-// dropOldest closes the connection that has been idle for longest, and reports whether
-// there was one.
+// dropOldest closes the connection that has been idle for longest. It reports whether
+// there was an idle connection.
 func (p *Pool[C]) dropOldest() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +117,8 @@
 	return dropped
 }
 
-// Warm opens connections ahead of need until n exist, one after another.
+// Warm opens connections one after another until n exist. It stops at the first failed
+// dial. The connections belong to the anonymous account.
 func (p *Pool[C]) Warm(ctx context.Context, n int) {
 	for p.Open() < n {
 		select {
--- a/internal/limits/door.go
+++ b/internal/limits/door.go
@@ -6,8 +6,8 @@
 	"github.com/stackspindle/stackspindle/internal/quota"
 )
 
-// Admit reports whether an operation may be passed on to an instance that would run it, or
-// after what time its caller is to come back.
+// Admit reports whether an operation may be forwarded to a carrier. If not, it returns the
+// delay after which the client should retry.
 func (l *Limiter) Admit(v quota.Visit) (time.Duration, bool) {
 	if !l.isLimited(v.Account) {
 		return 0, true
@@ -21,16 +21,16 @@
 	return comeBack, ok
 }
 
-// Refused takes in that an operation which was passed on some time ago was refused, since
-// the account has no tokens for a while. It returns after what time the caller is to come
-// back, 0 when that is not known.
+// Refused records that a carrier rejected an operation, which was forwarded a time ago,
+// because the account has no tokens for the time empty. It returns the delay after which
+// the client should retry, 0 if unknown.
 func (l *Limiter) Refused(v quota.Visit, ago, empty time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.door.Refused(l.now()-ago, l.now(), l.withLimit(v), empty)
 }
 
-// Ran takes in that an operation which was passed on some time ago has found a token.
+// Ran records that an operation, which was forwarded a time ago, got a token.
 func (l *Limiter) Ran(v quota.Visit, ago time.Duration) {
 	if !l.isLimited(v.Account) {
 		return
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,7 +1,8 @@
-// Package limits keeps client accounts within their limits over the whole fleet: it
-// asks the instances that hold the shares of an account's limit for tokens, and
-// gives out those of the shares that this instance holds. What is decided is decided
-// in package quota; here are its clock, its lock and its calls.
+// Package limits enforces the rate limits of client accounts over the whole fleet. Its
+// Limiter fetches tokens, each of which permits one operation, from the instances that hold
+// shares of an account's limit, and grants tokens of the shares that this instance holds.
+// Package quota has the algorithms; this package adds the clock, locking, gRPC calls and
+// metrics. Package relay uses it for each operation of a client.
 package limits
 
 import (
@@ -22,26 +23,28 @@
 )
 
 const (
-	// askTimeout bounds a question for tokens. An instance whose share of the processor is
-	// spent stands still for as long.
+	// askTimeout is the timeout of a call for tokens. An instance that has used up its
+	// CPU quota stands still for as long.
 	askTimeout = 100 * time.Millisecond
-	// lateTimes is how many times its usual time an answer may take before the next holder is
-	// asked beside, within minLate, which a busy instance takes, and maxLate.
+	// lateTimes is the multiple of the average response time after which a holder counts
+	// as late and the next holder is asked concurrently. The delay is at least minLate,
+	// which a busy instance may take to answer, and at most maxLate.
 	lateTimes = 3
 	minLate   = 8 * time.Millisecond
 	maxLate   = 25 * time.Millisecond
-	// unansweredPause is after what time an operation is to come back that waited in vain for
-	// an answer: a few questions may have got through by then.
+	// unansweredPause is the retry delay advised for an operation that got no answer in
+	// time. A few more calls may have succeeded by then.
 	unansweredPause = 250 * time.Millisecond
-	// usualSpan is the number of answers over which their usual time is averaged.
+	// usualSpan is the number of calls over which the response time is averaged.
 	usualSpan = 16
-	// countedAccounts bounds the accounts that have counters of their own; further ones
-	// share one.
+	// countedAccounts bounds the accounts with counters of their own. Further accounts
+	// are counted together as otherAccounts.
 	countedAccounts = 512
 	otherAccounts   = "others"
 )
 
-// Limiter is the tokens and the shares of one instance. It is safe for concurrent use.
+// Limiter checks operations against account limits and serves this instance's shares of
+// the limits to other instances. It is safe for concurrent use.
 type Limiter struct {
 	limitspb.UnimplementedLimitsServer
 	self     string
@@ -51,34 +54,35 @@
 	spawn    func(func())
 	log      *logrus.Entry
 	counters counters
-	timeout  time.Duration // of a question
+	timeout  time.Duration // of a call for tokens
 
 	mu         sync.Mutex // guards the rest
 	meter      *quota.Meter
 	ledger     *quota.Ledger
-	confirmed  time.Duration // as of when the picture is known to hold
+	confirmed  time.Duration // when the store snapshot was last known to be current
 	registered []string
-	holders    *quota.Holders           // among them
-	addresses  map[string]string        // of the instances that are alive
-	questions  map[string]chan struct{} // under way, by account; closed at their end
+	holders    *quota.Holders           // derived from registered
+	addresses  map[string]string        // by name, of the instances that are alive
+	questions  map[string]chan struct{} // fetches in progress by account; each channel is closed at the end
 	waiting    map[string]int           // operations that wait for a token, by account
-	usual      time.Duration            // of answers; 0: not known
+	usual      time.Duration            // moving average of the response time of calls; 0: unknown
 	door       *quota.Door
 }
 
-// Config is what a limiter works with.
+// Config holds the settings and dependencies of a limiter.
 type Config struct {
 	Self     lead.Instance // this instance, whose process has just started
 	Rules    quota.Rules
-	Accounts func() *account.Directory // in force
+	Accounts func() *account.Directory // returns the accounts of the configuration in force
 	Conns    *peerconn.Conns           // to other instances
-	Now      func() time.Duration
-	Spawn    func(func()) // runs a task in the background
+	Now      func() time.Duration      // monotonic clock, 0 at the start of the process
+	Spawn    func(func())              // runs a task in the background
 	Log      *logrus.Entry
 	Metrics  *metrics.Set
 }
 
-// New returns a limiter.
+// New returns a limiter. It holds no shares until its activation time and a store snapshot
+// are set.
 func New(cfg Config) *Limiter {
 	return &Limiter{
 		self: cfg.Self.Name, accounts: cfg.Accounts, conns: cfg.Conns, now: cfg.Now, spawn: cfg.Spawn, log: cfg.Log,
@@ -94,7 +98,8 @@
 	}
 }
 
-// Learn takes in the registered instances, by name, and those that are alive.
+// Learn sets the names of the registered instances and the instances that are alive, from
+// a store snapshot.
 func (l *Limiter) Learn(registered []string, alive []lead.Instance) {
 	addresses, centres := make(map[string]string, len(alive)), make(map[string]string, len(alive))
 	for _, i := range alive {
@@ -110,24 +115,24 @@
 	l.meter.Register(l.holders, centres)
 }
 
-// Confirm notes as of when the picture that was learned, in which this instance is
-// alive, is known to hold.
+// Confirm records the time at which the current snapshot, which lists this instance as
+// alive, is known to have been current.
 func (l *Limiter) Confirm(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirmed = max(l.confirmed, at)
 }
 
-// Settle notes from when on this instance may hold shares.
+// Settle sets the time from which this instance may hold shares.
 func (l *Limiter) Settle(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ledger.Settle(at)
 }
 
-// Spend uses a token of an account for one operation, which waits for one no longer than
-// its patience, and not at all once ctx has ended. It reports false when there is none. In
-// the usual case it waits for nobody.
+// Spend uses a token of an account for one operation. It usually takes a cached token at
+// once; otherwise it waits for one for at most patience, or until ctx is done. If it gets
+// none it returns false and the reason.
 func (l *Limiter) Spend(ctx context.Context, name string, patience time.Duration) (quota.Token, quota.Shortage, bool) {
 	if !l.isLimited(name) {
 		return quota.Token{}, quota.Shortage{}, true
@@ -160,22 +165,23 @@
 	}
 }
 
-// isLimited reports whether operations of an account need tokens.
+// isLimited reports whether operations of an account need tokens. Those of an unknown
+// account do.
 func (l *Limiter) isLimited(name string) bool {
 	limit, known := l.accounts().Limit(name)
 	return name != account.Anonymous && !(known && limit.Unlimited)
 }
 
-// Return gives back the token of an operation that has not run.
+// Return puts back the token of an operation that did not run.
 func (l *Limiter) Return(name string, t quota.Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.meter.Return(name, t)
 }
 
-// take decides about an operation, which may have waited before, and begins the
-// question that it brings unless one of the account is under way. The channel is closed
-// when that has ended.
+// take decides about an operation, which may have waited before. If tokens are needed it
+// starts to fetch some, unless a fetch for the account is in progress already. The returned
+// channel is closed when that fetch has ended.
 func (l *Limiter) take(name string, waited bool) (quota.Decision, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +198,7 @@
 		decision = l.meter.Take(l.now(), name)
 	}
 	if under := l.questions[name]; under != nil && decision.Verdict == quota.Refuse && decision.Shortage.Without == 0 {
-		decision.Verdict = quota.Ask // no holder has said anything yet
+		decision.Verdict = quota.Ask // no holder has reported having no token: await the fetch in progress
 		l.waiting[name]++
 		return decision, under
 	}
@@ -212,7 +218,7 @@
 	return decision, done
 }
 
-// giveUp notes that an operation waits no longer, and why.
+// giveUp records that an operation has stopped waiting, and why.
 func (l *Limiter) giveUp(name, outcome string) {
 	l.mu.Lock()
 	l.waiting[name]--
@@ -220,18 +226,18 @@
 	l.counters.note(name, outcome)
 }
 
-// question is one account's question for tokens, to one holder after another.
+// question is one fetch of tokens for an account, which asks one holder after another.
 type question struct {
 	limiter *Limiter
 	account string
-	answers chan struct{} // has an item for each holder that has answered, or failed to
-	ended   chan struct{} // closed at the end
-	awaited int           // holders that have not answered
-	late    []string      // those that were asked, and have been passed over since
+	answers chan struct{} // receives an item for each call that has succeeded or failed
+	ended   chan struct{} // closed at the end of the fetch
+	awaited int           // calls without a result
+	late    []string      // holders that were asked and did not answer before the next was asked
 }
 
-// ask asks a holder for tokens, and then others as long as there are too few. One that is
-// late is awaited beside the next.
+// ask requests tokens from a holder, and then from others until there are enough. A late
+// holder is awaited concurrently with the next one.
 func (l *Limiter) ask(name, holder string, wanted int, done chan struct{}) {
 	q := &question{limiter: l, account: name, answers: make(chan struct{}), ended: make(chan struct{})}
 	defer close(q.ended)
@@ -248,7 +254,8 @@
 	close(done)
 }
 
-// put asks one holder. Its answer is taken in also after the question has ended.
+// put calls one holder in the background. An answer that arrives after the end of the
+// fetch is still processed.
 func (q *question) put(holder string, wanted int) {
 	l := q.limiter
 	q.awaited++
@@ -263,8 +270,8 @@
 	})
 }
 
-// await waits for an answer of any holder, and for one that was asked just now no longer
-// than is usual.
+// await waits for the result of any call. If a holder was asked just now it waits no
+// longer than lateAfter, and then counts that holder as late.
 func (q *question) await(asked string) {
 	if asked == "" {
 		<-q.answers
@@ -281,7 +288,7 @@
 	}
 }
 
-// answered takes in a holder's answer, or that it gave none.
+// answered processes the result of a call to a holder.
 func (l *Limiter) answered(sent time.Duration, name, holder string, g quota.Grant, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -298,15 +305,16 @@
 	l.meter.Granted(sent, l.now(), name, holder, g)
 }
 
-// lateAfter returns after what time a holder that has not answered is late.
+// lateAfter returns the time without an answer after which a holder counts as late.
 func (l *Limiter) lateAfter() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return min(max(lateTimes*l.usual, minLate), maxLate)
 }
 
-// next returns the holder to ask next; without one, open reports whether those that are
-// late are to be awaited.
+// next returns the holder to ask next and how many tokens to request. If there is none,
+// open reports whether to wait for the late holders. Tokens of this instance's own share
+// are reserved directly.
 func (l *Limiter) next(name string, late []string) (holder string, wanted int, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -339,7 +347,7 @@
 	}, nil
 }
 
-// reserve gives out tokens of this instance's share. The caller holds mu.
+// reserve grants tokens of this instance's share. The caller holds mu.
 func (l *Limiter) reserve(name string, wanted int) quota.Grant {
 	limit, known := l.accounts().Limit(name)
 	if !known {
@@ -358,7 +366,7 @@
 	}, nil
 }
 
-// counters count the operations of each account, for a bounded number of accounts.
+// counters counts operations by account and outcome, for a bounded number of accounts.
 type counters struct {
 	set *metrics.Set
 
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -26,10 +26,10 @@
 
 var rules = quota.Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}
 
-const generous = time.Minute // a bound that no test reaches
+const generous = time.Minute // a timeout that no test reaches
 
-// fleet is some limiters that reach one another over loopback, on one clock that stands
-// still unless it is moved.
+// fleet is a number of limiters that call one another over loopback. They share a clock,
+// which advances only when a test sets it.
 type fleet struct {
 	clock    atomic.Int64
 	limiters []*Limiter
@@ -72,15 +72,15 @@
 		l.Settle(0)
 		l.Learn(names, f.alive)
 	}
-	f.clock.Add(int64(time.Minute)) // the buckets fill
+	f.clock.Add(int64(time.Minute)) // fills the buckets
 	for _, l := range f.limiters {
 		l.Confirm(l.now())
 	}
 	return f
 }
 
-// Whoever runs an account's operations: all together run what the account may have, and
-// then all are refused, with when to come back.
+// All instances together run no more operations of an account than its limit allows, and
+// then reject the others with a retry delay.
 func TestInstancesShareOneLimit(t *testing.T) {
 	limit := account.Limit{Rate: 20, Burst: 20}
 	f := newFleet(t, 8, limit)
@@ -94,7 +94,7 @@
 				} else {
 					refused.Add(1)
 					if shortage.ComeBack <= 0 {
-						t.Error("a refusal without when to come back")
+						t.Error("a rejection without a retry delay")
 					}
 				}
 			}
@@ -106,7 +106,7 @@
 	must.LessEq(t, int64(rules.Budget(limit).Depth), ran.Load())
 }
 
-// Who needs no right asks nobody.
+// Operations of unlimited and anonymous accounts need no tokens and call no holder.
 func TestUnlimitedAccountsAskNobody(t *testing.T) {
 	f := newFleet(t, 1, account.Limit{Rate: 1})
 	f.servers[0].Stop()
@@ -116,7 +116,7 @@
 	}
 }
 
-// Holders that do not answer are passed over, and those that do have their shares.
+// Holders that do not answer are skipped in favour of those that do.
 func TestHoldersThatAreGoneArePassedOver(t *testing.T) {
 	f := newFleet(t, 8, account.Limit{Rate: 50, Burst: 50})
 	for _, server := range f.servers[1:4] {
@@ -126,7 +126,7 @@
 	must.True(t, ok)
 }
 
-// An operation that has not run gives its right back.
+// The token of an operation that did not run can be used by another one.
 func TestReturnedTokenIsUsedAgain(t *testing.T) {
 	f := newFleet(t, 2, account.Limit{Rate: 1})
 	l := f.limiters[0]
@@ -143,14 +143,14 @@
 	must.True(t, ok)
 }
 
-// An account that nobody knows here gets nothing.
+// Operations of an account that is not declared are rejected.
 func TestUnknownAccountIsRefused(t *testing.T) {
 	f := newFleet(t, 2, account.Limit{Rate: 1})
 	_, _, ok := f.limiters[0].Spend(t.Context(), "none", generous)
 	must.False(t, ok)
 }
 
-// holdersBut returns the holders of an account but for one.
+// holdersBut returns the indexes of the holders of an account except for one.
 func (f *fleet) holdersBut(name, not string) []int {
 	var held []int
 	for i, l := range f.limiters {
@@ -161,10 +161,10 @@
 	return held
 }
 
-// mute has a holder leave all questions without an answer.
+// mute makes a holder leave all calls unanswered.
 func (f *fleet) mute(t *testing.T, i int) {
 	f.servers[i].Stop()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // connections are taken, and nothing is said
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, l.Close()) })
 	for n := range f.alive {
@@ -177,8 +177,8 @@
 	}
 }
 
-// After a loss of many instances, five of six holders do not answer: an operation has its
-// token from the sixth while the questions to the others are open.
+// With five of six holders unresponsive, as after a failure of many instances, an operation
+// gets its token from the sixth while the calls to the others are still pending.
 func TestLateHoldersAreNotWaitedFor(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
 	var asker *Limiter
@@ -197,7 +197,7 @@
 	}
 }
 
-// An operation whose caller has gone waits for no token.
+// An operation whose client has disconnected does not wait for a token.
 func TestTokenIsNotAwaitedForNobody(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
 	l := f.limiters[0]
@@ -208,15 +208,16 @@
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	if slices.Contains(l.holders.Of("a"), l.self) {
-		l.Settle(2 * time.Hour) // its own share is of no help
+		l.Settle(2 * time.Hour) // makes its own share unavailable
 	}
 	_, shortage, ok := l.Spend(ctx, "a", generous)
 	must.False(t, ok)
 	must.Positive(t, shortage.ComeBack)
 }
 
-// An account at its limit, one of whose holders does not answer: once the others have said
-// that they have no token, operations are refused and not held for the one that is late.
+// An account is at its limit and one of its holders does not answer. Once another holder
+// has reported having no token, operations are rejected rather than held until the late
+// one answers.
 func TestLateHolderHoldsNobodyAtTheLimit(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 10, Burst: 10})
 	var asker *Limiter
--- a/internal/member/conn.go
+++ b/internal/member/conn.go
@@ -1,7 +1,7 @@
-// Package member is the fleet's side of the members of a database group: the
-// port through which one connection to a member is used, and the pool that
-// shares a member's few connections without mixing what belongs to different
-// callers.
+// Package member is the client side of the connections to members of a database group. It
+// defines the protocol-independent interface of a connection (Conn, Dialer), which package
+// platform implements, a connection with tracked session state that sessions can take turns
+// to use (Shared), and a record of whether a member responds (Health).
 package member
 
 import (
@@ -14,66 +14,67 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// ErrBroken says that a connection ended, or stayed silent for too long, before
-// the whole answer arrived. What was sent may have run.
+// ErrBroken means that a connection was closed or timed out before the complete answer
+// arrived. The statement that was sent may have run.
 var ErrBroken = errors.New("the connection broke before the whole answer arrived")
 
-// Value is a session value.
+// Value is a session variable and its value.
 type Value struct {
 	Name  string
 	Value string
 }
 
-// Prepared is a statement to be known under a name.
+// Prepared is a prepared statement.
 type Prepared struct {
 	Name   string
 	Writes bool
-	Shape  string
+	Shape  string // statement text
 }
 
-// Status is what a member reports of itself.
+// Status is a member's report of its replication state.
 type Status struct {
 	Primary     bool
-	Term        uint64         // in which it leads or follows
-	Received    group.Position // end of its log, what it has not applied yet included
-	Lag         time.Duration  // of what it has applied, as it believes
-	Connections int            // open at the member, from all instances
+	Term        uint64         // term in which it is primary or replica
+	Received    group.Position // end of its log, including entries not applied yet
+	Lag         time.Duration  // age of its applied state by its own estimate
+	Connections int            // open connections at the member, from all instances
 }
 
-// Request is one caller's statement on its way to a member.
+// Request is a client's statement as sent to a member.
 type Request struct {
 	Statement statement.Statement
-	Name      string         // Execute: the name by which the member knows the statement
-	After     group.Position // the log must hold this; zero: any
-	Deadline  time.Time      // for the whole answer
+	Name      string         // Execute: name of the prepared statement at the member
+	After     group.Position // position that the member's log must have reached; zero: any
+	Deadline  time.Time      // for the complete answer
 }
 
-// Conn is one connection to a member. It is used by one goroutine at a time;
-// only Close may be called from elsewhere.
+// Conn is one connection to a member. It is used by one goroutine at a time; only Close
+// may be called concurrently.
 //
-// An error that wraps ErrBroken leaves the outcome of the call unknown and the
-// connection unusable. An error of type *statement.Error is the member's answer.
+// After an error that wraps ErrBroken the outcome of the call is unknown and the connection
+// is unusable. An error of type *statement.Error is the member's answer.
 type Conn interface {
-	// Run has the member run a caller's statement.
+	// Run runs a client's statement at the member.
 	Run(req Request) (statement.Answer, error)
-	// Configure sets the session's values and names, after a reset if asked for.
+	// Configure sets session variables and prepares statements. If reset is true it first
+	// discards those that exist.
 	Configure(deadline time.Time, reset bool, values []Value, prepared []Prepared) error
-	// Rollback ends the open transaction.
+	// Rollback rolls back the open transaction.
 	Rollback(deadline time.Time) error
-	// Status asks the member about itself.
+	// Status queries the member's status.
 	Status(deadline time.Time) (Status, error)
-	// StepDown makes a primary of a lower term a replica.
+	// StepDown demotes the member to a replica if it is a primary of a lower term.
 	StepDown(deadline time.Time, term uint64) (Status, error)
-	// Silent reports whether the connection is open and nothing unasked has come.
+	// Silent reports whether the connection is open and no unsolicited data has arrived.
 	Silent() bool
-	// Close ends the connection at once. What is open there is rolled back.
+	// Close closes the connection at once. The member rolls back its open transaction.
 	Close()
 }
 
-// Dialer opens connections to members. A connection belongs to one client account
-// for as long as it lives, since the member is told the account when it begins;
-// account.Anonymous stands for callers without one and for the fleet's own
-// questions. An error of type *statement.Error is the member's refusal.
+// Dialer opens connections to members. A connection belongs to one client account for its
+// lifetime, because the account is sent to the member when it is opened. account.Anonymous
+// stands for clients without an account and for the instances' own queries. An error of
+// type *statement.Error means that the member rejected the connection.
 type Dialer interface {
 	Dial(ctx context.Context, m topology.Member, account string) (Conn, error)
 }
--- a/internal/member/health.go
+++ b/internal/member/health.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Bounds of how long a member that did not answer is passed over.
+// Bounds of the exponential backoff for which a member that did not answer is avoided.
 const (
-	minPassOver = 200 * time.Millisecond // a pause of the member, or a lost answer
-	maxPassOver = 2 * time.Second        // seldom enough that a dead member costs little
-	maxShift    = 4
+	minPassOver = 200 * time.Millisecond // covers a short pause of the member or a lost answer
+	maxPassOver = 2 * time.Second        // long enough that attempts at a dead member cost little
+	maxShift    = 4                      // keeps the shift of the backoff in range
 )
 
-// Health is what one instance has seen of a member. It has no clock and is not
-// safe for concurrent use.
+// Health tracks whether a member answers this instance, as a circuit breaker does. The
+// zero Health is of a member that was not contacted yet. It has no clock and is not safe
+// for concurrent use.
 type Health struct {
-	lastAnswer time.Duration // when a complete answer last arrived
-	answered   bool
-	failures   int           // attempts in a row that got no answer
-	missedAt   time.Duration // when the first of them did not
-	passUntil  time.Duration
+	lastAnswer time.Duration // time of the last complete answer
+	answered   bool          // an answer has arrived at some time
+	failures   int           // consecutive attempts without an answer
+	missedAt   time.Duration // time of the first of them
+	passUntil  time.Duration // end of the backoff
 }
 
-// Answered notes a complete answer, whatever it says.
+// Answered records a complete answer, whether it reports success or an error.
 func (h *Health) Answered(now time.Duration) {
 	h.lastAnswer, h.answered = now, true
 	h.failures, h.passUntil = 0, 0
 }
 
-// Missed notes an attempt that got no answer.
+// Missed records an attempt that got no answer.
 func (h *Health) Missed(now time.Duration) {
 	if h.failures == 0 {
 		h.missedAt = now
@@ -34,16 +35,17 @@
 	h.failures++
 }
 
-// Usable reports whether the member should get work while others could.
+// Usable reports whether the member may be chosen for a statement that other members could
+// run as well.
 func (h *Health) Usable(now time.Duration) bool { return now >= h.passUntil }
 
-// SinceAnswer returns how long ago the member answered, and whether it ever did.
+// SinceAnswer returns the time since the member's last answer, and whether there was one.
 func (h *Health) SinceAnswer(now time.Duration) (time.Duration, bool) {
 	return now - h.lastAnswer, h.answered
 }
 
-// SilentFor returns for how long attempts have got no answer, 0 where the last one did.
-// Time in which nobody asked does not count.
+// SilentFor returns the time since the first of the consecutive attempts without an answer,
+// 0 if the last attempt got one. Time without attempts after an answer does not count.
 func (h *Health) SilentFor(now time.Duration) time.Duration {
 	if h.failures == 0 {
 		return 0
@@ -51,5 +53,5 @@
 	return now - h.missedAt
 }
 
-// Doubtful reports whether an attempt since the last answer got none.
+// Doubtful reports whether an attempt since the last answer failed to get one.
 func (h *Health) Doubtful() bool { return h.failures > 0 }
--- a/internal/member/shared.go
+++ b/internal/member/shared.go
@@ -11,29 +11,30 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// ErrNotReady says that a connection could not be brought to a session's state.
-// Nothing of the session's statement was sent.
+// ErrNotReady means that the session state could not be set on a connection. The session's
+// statement was not sent.
 var ErrNotReady = errors.New("the connection could not be prepared for the session")
 
-// ownTimeout bounds the fleet's own statements, which cost the member no work:
-// several round trips, and a queue of statements before them.
+// ownTimeout is the timeout of the instance's own statements, which cause the member no
+// work. It allows for several round trips and for a queue of statements at the member.
 const ownTimeout = 500 * time.Millisecond
 
-// maxPrepared bounds the names kept on one connection.
+// maxPrepared bounds the prepared statements on one connection. With more the session is
+// reset.
 const maxPrepared = 256
 
-// Shared is a connection with what is known of its state, so that it can pass
-// from one session to another.
+// Shared is a connection whose session state is tracked, so that sessions can use it one
+// after another. It implements connpool.Conn. Only Kill may be called concurrently.
 type Shared struct {
 	conn     Conn
 	state    statement.State
-	values   map[string]string // session values as set at the member
-	prepared map[string]bool   // names known to the member
-	doubtful bool              // values and names may differ from what is noted
+	values   map[string]string // session variables set at the member
+	prepared map[string]bool   // names of the statements prepared at the member
+	doubtful bool              // values and prepared may differ from the state at the member
 	broken   atomic.Bool
 }
 
-// NewShared wraps a connection that was just opened.
+// NewShared wraps a newly opened connection.
 func NewShared(conn Conn) *Shared {
 	return &Shared{
 		conn:     conn,
@@ -43,8 +44,8 @@
 	}
 }
 
-// PreparedName names a statement by its content, so that sessions which prepare
-// the same share it and different ones never clash.
+// PreparedName derives the name of a prepared statement from its content, so that sessions
+// which prepare the same statement share it and different ones do not collide.
 func PreparedName(writes bool, shape string) string {
 	mode := "r"
 	if writes {
@@ -62,8 +63,8 @@
 	s.conn.Close()
 }
 
-// Clean implements connpool.Conn: an open transaction is rolled back. Values and
-// names stay, since they are noted and brought to the next session's.
+// Clean implements connpool.Conn: it rolls back an open transaction. Session variables and
+// prepared statements stay, since they are tracked and adapted to the next session.
 func (s *Shared) Clean() bool {
 	if s.broken.Load() {
 		return false
@@ -78,11 +79,11 @@
 	return true
 }
 
-// State returns where the connection stands after the last answer.
+// State returns the transaction state after the last answer.
 func (s *Shared) State() statement.State { return s.state }
 
-// Match ranks how little must be sent before a session with these values can use
-// the connection: 2 nothing, 1 values on top, 0 a reset.
+// Match ranks the connection for a session with the given variables by the work needed to
+// apply them: 2 for none, 1 if variables must be set, 0 if the session must be reset.
 func (s *Shared) Match(values map[string]string) int {
 	switch {
 	case s.doubtful || !subset(s.values, values):
@@ -93,7 +94,7 @@
 	return 2
 }
 
-// subset reports whether every name of a stands in b.
+// subset reports whether every key of a is a key of b.
 func subset(a, b map[string]string) bool {
 	for name := range a {
 		if _, ok := b[name]; !ok {
@@ -112,8 +113,9 @@
 	return true
 }
 
-// Prepare brings the connection to a session's values and makes a prepared
-// statement known, if one is needed. An error wraps ErrNotReady.
+// Prepare applies a session's variables to the connection and prepares the needed
+// statement, unless that is nil. It sends only differences from the tracked state, and
+// nothing if there are none. An error wraps ErrNotReady.
 func (s *Shared) Prepare(values map[string]string, needed *Prepared) error {
 	reset := s.doubtful || !subset(s.values, values) || len(s.prepared) > maxPrepared
 	var set []Value
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// Run has the member run a statement. An error wraps ErrBroken.
+// Run runs a statement at the member. An error wraps ErrBroken and closes the connection.
 func (s *Shared) Run(req Request) (statement.Answer, error) {
 	answer, err := s.conn.Run(req)
 	if err != nil {
@@ -162,17 +164,17 @@
 	return answer, nil
 }
 
-// Status asks the member about itself.
+// Status queries the member's status.
 func (s *Shared) Status(deadline time.Time) (Status, error) {
 	return settle(s, func() (Status, error) { return s.conn.Status(deadline) })
 }
 
-// StepDown makes a primary of a lower term a replica.
+// StepDown demotes the member to a replica if it is a primary of a lower term.
 func (s *Shared) StepDown(deadline time.Time, term uint64) (Status, error) {
 	return settle(s, func() (Status, error) { return s.conn.StepDown(deadline, term) })
 }
 
-// settle kills a connection on which a call of the fleet's own broke.
+// settle makes a call and closes the connection if the call's outcome is unknown.
 func settle(s *Shared, call func() (Status, error)) (Status, error) {
 	status, err := call()
 	if errors.Is(err, ErrBroken) {
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,54 +1,55 @@
-// Package pacing learns from response times what a member can take. Several
-// instances share each member and know nothing of one another's statements; when
-// they have more of them than the member can run, what is too much waits at the
-// member, in the order in which it came, and whatever is short or urgent waits behind
-// it. So each instance sends less as the member's answers take longer than they
-// usually do, and keeps the rest in a queue of its own, where it has an order and can
-// be given up. The package has no I/O, clock or goroutine.
+// Package pacing limits, from observed response times, the load that an instance puts on a
+// member. Several instances share each member and do not know of one another's statements.
+// When together they send more than the member can run, statements queue at the member in
+// order of arrival, and short or urgent ones wait behind long ones. Therefore each instance
+// sends less as the member's response times rise above their baseline, and keeps the rest
+// in its own queue, where statements are prioritized and can be canceled. Package relay
+// uses it for each member. The package has no I/O, clock or goroutine.
 package pacing
 
 import "time"
 
-// Settings of the window.
+// Settings of the throttle.
 const (
-	// ratioSpan is the number of answers over which the ratio of response times to
-	// usual ones is averaged. Single statements of one kind differ by more than a
-	// factor of two; over 8 answers members were paced that were no more than busy.
+	// ratioSpan is the number of answers over which the ratio of response time to
+	// baseline is averaged. Single statements of one kind differ by more than a factor
+	// of two; an average over 8 answers throttled members that were merely busy.
 	ratioSpan = 16
-	// fullRatio is how many times its usual response time a member that is full takes,
-	// roomRatio below what ratio it has room. A statement that finds one other before it
-	// for each that runs takes twice as long. Ratios of 2 and 1.6 serve as many where a
-	// member is full, and fewer where it is only busy.
+	// fullRatio is the ratio of response time to baseline above which a member counts as
+	// overloaded, roomRatio the one below which it has spare capacity. A statement takes
+	// twice as long if one other is queued ahead of it for each that runs. Ratios of 2
+	// and 1.6 serve as many statements at a saturated member and fewer at a busy one.
 	fullRatio = 2.5
 	roomRatio = 2.0
-	// shrink and grow are the steps by answer: from everything to an eighth takes 29
-	// answers, and back 43.
+	// shrink and grow are the factors applied to the share with each answer: from 1 down
+	// to an eighth takes 29 answers, and back up 43.
 	shrink = 0.93
 	grow   = 1.05
-	// leastShare keeps each instance asking, so that it notices room.
+	// leastShare is the minimum share. Each instance keeps sending some statements, so
+	// that it notices when the member has spare capacity again.
 	leastShare = 0.125
 )
 
-// Window is the share of the time in which an instance has a statement running at a
-// member. The zero Window is full open. It is not safe for concurrent use.
+// Window adapts the share of the time in which an instance has a statement running at a
+// member. The zero Window has share 1. It is not safe for concurrent use.
 type Window struct {
-	less  float64 // what the share lacks to 1
-	ratio float64 // of response times to usual ones, averaged
+	less  float64 // 1 - share, so that the zero value has share 1
+	ratio float64 // moving average of response time divided by baseline
 }
 
-// Share returns the share, at most 1.
+// Share returns the share, from leastShare to 1.
 func (w *Window) Share() float64 { return 1 - w.less }
 
-// Slowdown returns how many times its usual time a statement takes at the member now, 0
-// while that is not known.
+// Slowdown returns the average ratio of response time to baseline, 0 while unknown.
 func (w *Window) Slowdown() float64 { return w.ratio }
 
-// Full reports whether the member has about as much as it can run, or more.
+// Full reports whether the member is saturated: it has about as much work as it can run,
+// or more.
 func (w *Window) Full() bool { return w.ratio >= roomRatio }
 
-// Answered takes in an answer that took a time and usually takes another, and returns
-// for how long nothing of the same importance should be sent. Where nothing usual is
-// known there is no pause.
+// Answered records the response time of a statement and its baseline, and returns for how
+// long no statement of the same importance should be sent. If the baseline is unknown (0)
+// there is no pause.
 func (w *Window) Answered(took, usual time.Duration) time.Duration {
 	if usual <= 0 {
 		return 0
@@ -65,29 +66,29 @@
 	return time.Duration(float64(took) * (1/share - 1))
 }
 
-// Settings of what is learned of a kind of work.
+// Settings of the baseline.
 const (
-	// usualSpan is the number of answers of which one average is taken.
+	// usualSpan is the number of answers per average.
 	usualSpan = 16
-	// relax is by what part the usual time rises with each average above it, so that
-	// work which has become heavier is found to be usual after some hundred averages,
-	// while a member that is full for a minute is not.
+	// relax is the divisor by which the baseline rises with each average above it: by
+	// 1/100. If statements have become heavier, the baseline adapts after some hundred
+	// averages, whereas it barely changes while a member is saturated for a minute.
 	relax = 100
 )
 
-// Work is what is known of one kind of work: how long it usually takes where nobody
-// else is in its way. It is not safe for concurrent use.
+// Work estimates the baseline latency of one kind of statement, which is its response time
+// without contention: the minimum of averages over usualSpan answers, which rises slowly.
+// It is not safe for concurrent use.
 type Work struct {
-	usual time.Duration // the least average seen, which rises slowly
-	sum   time.Duration // of the average under way
-	count int
+	usual time.Duration // baseline; 0: unknown
+	sum   time.Duration // sum of the answers in the average in progress
+	count int           // number of answers in the average in progress
 }
 
-// Usual returns what the work takes where nobody else is in its way, 0 while that is
-// not known.
+// Usual returns the baseline latency, 0 while unknown.
 func (w *Work) Usual() time.Duration { return w.usual }
 
-// Took notes one answer.
+// Took records the response time of one answer.
 func (w *Work) Took(d time.Duration) {
 	w.sum += d
 	if w.count++; w.count < usualSpan {
@@ -102,9 +103,9 @@
 	w.usual += w.usual / relax
 }
 
-// Level returns from which priority on a pause holds requests that follows work of
-// one priority, where those of a group's routes reach from top to last. What is of the
-// highest is not held, unless everything is.
+// Level returns the priority from which on a pause applies after an answer to a statement
+// of some priority. The routes of the group have priorities from top, the highest, to last.
+// The highest priority is never paused unless it is the only one.
 func Level(priority, top, last int) int {
 	if top == last {
 		return priority
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -30,7 +30,7 @@
 	var w Window
 	must.Eq(t, 0, answered(&w, 100, usual))
 	must.Eq(t, 1, w.Share())
-	must.Positive(t, answered(&w, 100, 5*usual), must.Sprint("the member is full"))
+	must.Positive(t, answered(&w, 100, 5*usual), must.Sprint("the member is overloaded"))
 	must.Less(t, 0.2, w.Share())
 	must.Eq(t, 0, answered(&w, 200, usual))
 	must.Eq(t, 1, w.Share())
@@ -42,8 +42,8 @@
 	must.Eq(t, 1, w.Share())
 }
 
-// Whatever a member does, an instance goes on asking it, and pauses for no longer than
-// its least share says.
+// For any response times the share stays within its bounds, and no pause is longer than
+// the minimum share implies.
 func TestWindowKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Window
@@ -68,20 +68,20 @@
 		}
 	}
 	took(usualSpan-1, usual)
-	must.Eq(t, 0, w.Usual(), must.Sprint("too little is known"))
+	must.Eq(t, 0, w.Usual(), must.Sprint("too few answers"))
 	took(1, usual)
 	must.Eq(t, usual, w.Usual())
 	took(10*usualSpan, 5*usual)
-	must.Less(t, usual+usual/8, w.Usual(), must.Sprint("a full member does not become usual at once"))
+	must.Less(t, usual+usual/8, w.Usual(), must.Sprint("saturation does not raise the baseline at once"))
 	took(usualSpan, usual/2)
 	must.Eq(t, usual/2, w.Usual())
 	took(1000*usualSpan, 3*usual)
-	must.Eq(t, 3*usual, w.Usual().Round(usual), must.Sprint("the work has become heavier"))
+	must.Eq(t, 3*usual, w.Usual().Round(usual), must.Sprint("the baseline adapts to heavier statements"))
 }
 
 func TestLevel(t *testing.T) {
-	must.Eq(t, 2, Level(1, 1, 2), must.Sprint("the highest priority is not held"))
+	must.Eq(t, 2, Level(1, 1, 2), must.Sprint("the highest priority is not paused"))
 	must.Eq(t, 2, Level(2, 1, 2))
-	must.Eq(t, 3, Level(3, 1, 4), must.Sprint("what is less important does not hold what is more"))
-	must.Eq(t, 1, Level(1, 1, 1), must.Sprint("all are of one priority"))
+	must.Eq(t, 3, Level(3, 1, 4), must.Sprint("a lower priority does not pause higher ones"))
+	must.Eq(t, 1, Level(1, 1, 1), must.Sprint("there is a single priority"))
 }
--- a/internal/pacing/room.go
+++ b/internal/pacing/room.go
@@ -1,18 +1,20 @@
 package pacing
 
-// giveBack is the part of its room that an instance keeps with each answer of a member
-// that is full: it is back within its share after a few answers.
+// giveBack is the factor applied to the spare capacity with each answer of an overloaded
+// member. The instance is back to its share after a few answers.
 const giveBack = 0.8
 
-// Room is how many statements an instance may have running at a member beyond its share
-// of it. The shares are made for instances that all reach the member. Where those near
-// it are gone or cut off from it, the others have work for it and the member has slots
-// that nobody uses. The zero Room is none. It is not safe for concurrent use.
+// Room is the number of statements that an instance may run at a member at once beyond its
+// share of the member's slots. Shares assume that all instances reach the member. If those
+// close to it have failed or are partitioned from it, the other instances have work for the
+// member while some of its slots stay unused. The zero Room allows none. It is not safe for
+// concurrent use.
 type Room struct{ extra float64 }
 
-// Answered takes in an answer that the window has taken in, and returns the room. wanted
-// says that statements wait here for the member. One statement is added for as many answers as
-// may run at once, while the member answers as if nobody were in the way, up to most in all.
+// Answered adjusts the spare capacity after an answer that the throttle w has recorded, and
+// returns it. share is the number of statements in the instance's share and most the upper
+// bound including it. While the member is not saturated and statements are queued for it
+// here (wanted), the value grows by one per as many answers as statements may run at once.
 func (r *Room) Answered(w *Window, wanted bool, share, most int) int {
 	switch {
 	case w.ratio > fullRatio:
--- a/internal/pacing/room_test.go
+++ b/internal/pacing/room_test.go
@@ -10,9 +10,9 @@
 
 const share, most = 2, 12
 
-// The load: the instances near a member are cut off from it, and all that is meant for it
-// comes to one that has a small share. That one takes what the others leave, and gives it
-// back within some answers once they are there again.
+// The instances close to a member are partitioned from it, and all statements for it reach
+// one instance that has a small share. That instance uses the slots that the others leave
+// unused, and gives them up within some answers once the others are back.
 func TestRoomThatOthersLeave(t *testing.T) {
 	var w Window
 	var r Room
@@ -23,14 +23,14 @@
 		}
 		return room
 	}
-	must.Zero(t, answered(100, usual, false), must.Sprint("nobody waits"))
+	must.Zero(t, answered(100, usual, false), must.Sprint("no statements are queued"))
 	must.Positive(t, answered(2*share, usual, true))
 	must.Eq(t, most-share, answered(most*most, usual, true))
-	must.Eq(t, most-share, answered(10, usual, false), must.Sprint("the member has room all the same"))
-	must.Zero(t, answered(3*ratioSpan, 5*usual, true), must.Sprint("the others are back, and the member is full"))
+	must.Eq(t, most-share, answered(10, usual, false), must.Sprint("the spare capacity stays without queued statements"))
+	must.Zero(t, answered(3*ratioSpan, 5*usual, true), must.Sprint("the others are back, and the member is overloaded"))
 }
 
-// After a start nothing usual is known, and nobody takes more than its share.
+// While no baseline is known, as after a start, no instance exceeds its share.
 func TestNoRoomWithoutAnythingUsual(t *testing.T) {
 	var w Window
 	var r Room
--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Backlog is what a new request of some priority would find.
+// Backlog is the queue as a new request of some priority would find it. It is the
+// input for predicting how long that request would wait.
 type Backlog struct {
-	Ahead  int           // requests that wait and would be granted before it
-	Work   time.Duration // that these are expected to take
+	Ahead  int           // queued requests that would be granted before it
+	Work   time.Duration // total expected execution time of those requests
 	Active int           // requests that hold a connection and are not parked
-	Slots  int           // how many may be active at once, with the connections that parked ones leave
-	// Flexible is how many of the slots are for requests that could run elsewhere.
+	Slots  int           // requests that may be active at once: connections not taken by parked requests, at most MaxActive
+	// Flexible is the number of slots open to requests that another member could run.
 	Flexible int
-	Held     time.Duration // usual time for which a connection is in use, 0: not known
-	// PausedUntil is until when flexible requests of the priority are held, 0: they are not.
+	Held     time.Duration // moving average of the time a connection is in use; 0: unknown
+	// PausedUntil is the end of the pause of flexible requests of the priority; 0: no pause.
 	PausedUntil time.Duration
 }
 
-// Backlog returns what a new request of a priority would find. Those whose work is
-// not known count with the usual time.
+// Backlog returns the backlog for a new request of a priority. A queued request of
+// unknown expected work counts with the average time a connection is in use.
 func (q *Queue) Backlog(priority int) Backlog {
 	b := Backlog{Active: q.inUse - q.parked, Slots: max(0, q.cfg.Capacity-q.parked), Held: q.average}
 	if q.cfg.MaxActive > 0 {
@@ -39,15 +40,15 @@
 	return b
 }
 
-// Waiting tells how many requests of a priority wait, and what the order did for them.
+// Waiting holds queue statistics of one priority.
 type Waiting struct {
 	Priority int
-	Now      int
-	Overtook int // granted before others that had come earlier, in all
-	Overdue  int // granted since none had been for too long, in all
+	Now      int // requests in the queue at present
+	Overtook int // total grants made ahead of a request that had arrived earlier
+	Overdue  int // total grants made because the priority had been starved for too long
 }
 
-// Waits returns what is known of each priority, the highest first.
+// Waits returns the statistics of each priority seen so far, highest priority first.
 func (q *Queue) Waits() []Waiting {
 	waits := make([]Waiting, 0, len(q.classes))
 	for _, c := range q.classes {
--- a/internal/pool/class.go
+++ b/internal/pool/class.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// stage tells whether a request that waits can still be answered in time.
+// stage tells whether a queued request can still meet its latency objective.
 type stage int
 
 const (
@@ -11,13 +11,13 @@
 	stages
 )
 
-// lane tells what room a request may take.
+// lane tells which connections a request may take.
 type lane int
 
 const (
-	flexible  lane = iota // leaves what is reserved for work that only this member can run
-	fixedRead             // leaves what is reserved for writes
-	write
+	flexible  lane = iota // may take neither the write reserve nor the slots reserved for pinned requests
+	fixedRead             // any other read: may not take the write reserve
+	write                 // may take any connection
 	lanes
 )
 
@@ -31,24 +31,24 @@
 	return fixedRead
 }
 
-// class is what has the same priority.
+// class holds the queued and running requests of one priority.
 type class struct {
 	priority int
 	flows    map[flowKey]*flow
-	lines    [stages][lanes]indexed[*line] // those that have requests, of flows within their limits
+	lines    [stages][lanes]indexed[*line] // non-empty lines of flows below their connection limit
 	fluid    fluid
 	inUse    int
 	waiting  [stages]int
-	work     [stages]time.Duration // expected, of what waits and tells
-	unknown  [stages]int           // requests that wait and do not tell
+	work     [stages]time.Duration // total expected work of the queued requests for which it is known
+	unknown  [stages]int           // queued requests of unknown expected work
 
-	overtook      int // grants before others that had come earlier
-	overdueGrants int // grants since there had been none for too long
+	overtook      int // grants made ahead of a request that had arrived earlier
+	overdueGrants int // grants made because the class was starved
 
-	unserved time.Duration // when it first asked since it was last granted anything
-	asking   bool          // it has asked since
-	asked    time.Duration // when it asked last
-	span     time.Duration // the longest objective of its requests
+	unserved time.Duration // time of the first request since the last grant
+	asking   bool          // a request has arrived, or was left queued, since the last grant
+	asked    time.Duration // time of the last request
+	span     time.Duration // the longest objective of its requests, from their arrival
 }
 
 func newClass(priority int) *class {
@@ -70,8 +70,9 @@
 	return f
 }
 
-// forget drops what nothing needs any more: a flow without requests that has had no more
-// than its share, and all of them when the class is idle.
+// forget drops state that is no longer needed: a flow without requests that has received
+// no more than its fair share, and all flows when the class is idle. A flow ahead of its
+// share must stay, or it would start afresh with the share already used.
 func (c *class) forget(f *flow) {
 	if c.inUse == 0 && c.waiting[timely]+c.waiting[late] == 0 {
 		clear(c.flows)
@@ -83,7 +84,7 @@
 	}
 }
 
-// count adds a request to what waits, or takes it from there.
+// count adds a request to the totals of its stage (sign 1) or subtracts it (sign -1).
 func (c *class) count(e *entry, sign int) {
 	s := e.line.stage
 	c.waiting[s] += sign
@@ -93,7 +94,8 @@
 	}
 }
 
-// first returns the request of a stage that is due among the lanes that have room.
+// first returns the next request of a stage among the lanes with a free slot, nil if
+// there is none.
 func (c *class) first(s stage, room [lanes]bool, now time.Duration) *entry {
 	var due *line
 	for l := range c.lines[s] {
@@ -110,8 +112,8 @@
 	return due.requests.first()
 }
 
-// head returns the line of a stage and a lane that is due, after those requests that it
-// finds too late to be in time have gone to the next stage.
+// head returns the next line of a stage and a lane. Requests at the front that can no
+// longer meet their objective are moved to the late stage first.
 func (c *class) head(s stage, l lane, now time.Duration) *line {
 	lines := &c.lines[s][l]
 	for lines.len() > 0 {
@@ -126,19 +128,21 @@
 	return nil
 }
 
-// overdue reports whether the class has asked for longer than its callers want to wait
-// for an answer, and was granted nothing.
+// overdue reports whether the class is starved: it has had requests for longer than the
+// longest of their objectives and was granted nothing.
 func (c *class) overdue(now time.Duration) bool {
 	return c.asking && c.span > 0 && c.waiting[timely]+c.waiting[late] > 0 && now-c.unserved >= c.span
 }
 
-// noteGranted records that a request was granted. What still waits goes on asking.
+// noteGranted records a grant and restarts the starvation timer, which runs on if
+// requests are still queued.
 func (c *class) noteGranted(now time.Duration) {
 	c.asking, c.unserved = c.waiting[timely]+c.waiting[late] > 0, now
 }
 
-// noteAsked records that a request came. Requests may ask over and over without waiting
-// here; what was asked for longer ago than callers want to wait is over.
+// noteAsked records the arrival of a request. Clients may retry without waiting in this
+// queue, so demand counts as continuous while arrivals are no further apart than the
+// longest objective.
 func (c *class) noteAsked(now time.Duration, r *Request) {
 	if !c.asking || now-c.asked > c.span {
 		c.asking, c.unserved = true, now
--- a/internal/pool/fairness_test.go
+++ b/internal/pool/fairness_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// ideal gives accounts work in infinitely small parts: each that has demand gets the same
-// as the others, which is their max-min fair share.
+// ideal is the reference model: it divides work in infinitely small parts equally among
+// the accounts that have unmet demand, which yields their max-min fair shares.
 type ideal struct{ demand, got []float64 }
 
 func (f *ideal) serve(work float64) {
@@ -34,9 +34,9 @@
 	}
 }
 
-// The load: accounts bring any statements at any time, so that some have much more than
-// their share. No account with demand ever got less than its max-min fair share of what was
-// granted, less one statement.
+// Accounts send random requests at random times, so that some demand much more than their
+// share. At no time has an account been granted less than its max-min fair share of the
+// granted work minus one request of the largest size.
 func TestAccountsGetTheirFairShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 50
@@ -55,7 +55,7 @@
 				q.Done(running[0], running[0].Work)
 				running = running[1:]
 			} else {
-				// The first account brings about half of everything.
+				// The first account sends about half of all requests.
 				account := max(0, rapid.IntRange(-accounts+1, accounts-1).Draw(t, "account"))
 				r := Request{
 					ID: id, Account: fmt.Sprint(account), Deadline: time.Hour,
@@ -84,7 +84,8 @@
 	return i
 }
 
-// BenchmarkGrant measures what a statement costs the queue while so many accounts wait.
+// BenchmarkGrant measures one cycle of Done, Next and Offer by the number of accounts with
+// queued requests.
 func BenchmarkGrant(b *testing.B) {
 	for _, accounts := range []int{0, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/internal/pool/flow.go
+++ b/internal/pool/flow.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// entry is a request that waits.
+// entry is a queued request.
 type entry struct {
 	Request
 	line    *line
-	order   uint64        // of arrival
-	cost    float64       // its work, divided by the weight of its flow
+	order   uint64        // arrival number
+	cost    float64       // expected work in seconds, divided by the weight of its flow
 	arrived float64       // virtual time of its arrival
-	start   time.Duration // when it must be granted at the latest to be in time
-	arrival *list.Element // its place in the order of arrival
-	inLine  int           // its place among the requests of its line
-	inEnds  int           // its place among all deadlines
+	start   time.Duration // latest time of a grant that still meets the objective
+	arrival *list.Element // its element in Queue.arrivals
+	inLine  int           // heap index in its line
+	inEnds  int           // heap index in Queue.ends
 }
 
-// latestStart returns until when a request must be granted to be answered in time.
+// latestStart returns the latest time of a grant with which the request still meets its
+// objective. Without an objective that is never too late.
 func latestStart(r *Request) time.Duration {
 	if r.Objective <= 0 {
 		return math.MaxInt64
@@ -34,24 +35,25 @@
 	return a.order < b.order
 }
 
-// line holds the requests of one flow that are in one stage and one lane.
+// line queues the requests of one flow that are in one stage and one lane, ordered by
+// their latest start.
 type line struct {
 	flow     *flow
 	stage    stage
 	lane     lane
 	requests indexed[*entry]
-	inClass  int // its place among the lines of its class
+	inClass  int // heap index in its class
 }
 
-// finish returns the virtual time at which the first request of a line would be served
-// if its flow got no more than its share.
+// finish returns the virtual finish time of the line's first request: when it would
+// complete if the flow got exactly its fair share.
 func (l *line) finish() float64 {
 	e := l.requests.first()
 	return max(l.flow.virtual, e.arrived) + e.cost
 }
 
-// before reports whether the first request of a comes before that of b: the one that
-// ends first in fair shares, and of equals the one that must start first.
+// before orders lines by the virtual finish time of their first requests, and lines with
+// equal ones by the latest start.
 func before(a, b *line) bool {
 	if fa, fb := a.finish(), b.finish(); fa != fb {
 		return fa < fb
@@ -59,24 +61,24 @@
 	return earlier(a.requests.first(), b.requests.first())
 }
 
-// flowKey names what shares fairly within a priority.
+// flowKey identifies a flow, the unit of fair sharing within a priority.
 type flowKey struct{ service, account string }
 
-// flow is the state of one account, or service, in one priority.
+// flow is the fair queueing state of one service and account in one priority.
 type flow struct {
 	class   *class
 	key     flowKey
 	lines   [stages][lanes]*line // nil: never used
 	weight  float64
-	virtual float64 // time at which all that it was granted would be served in fair shares
-	served  float64 // time at which all that it asked for is served in fair shares
-	inFluid int     // its place among the flows that have demand there
-	inUse   int
-	waiting int
-	limit   int // connections that it may use at once, 0: no bound
+	virtual float64 // virtual time at which everything granted to it would be complete under fair sharing
+	served  float64 // virtual time at which everything it requested would be complete under fair sharing
+	inFluid int     // heap index in fluid.demanded
+	inUse   int     // connections granted
+	waiting int     // requests queued
+	limit   int     // connections that it may use at once; 0: unlimited
 }
 
-// line returns the line of a flow for a stage and a lane.
+// line returns the flow's line for a stage and a lane, which it creates on first use.
 func (f *flow) line(s stage, l lane) *line {
 	if f.lines[s][l] == nil {
 		f.lines[s][l] = &line{
@@ -87,8 +89,9 @@
 	return f.lines[s][l]
 }
 
-// refresh brings the lines of a flow to their places in the class after its tag, its
-// requests or its use has changed.
+// refresh updates the positions of the flow's lines in the class after its virtual time,
+// its requests or its number of connections has changed. The lines of a flow at its
+// connection limit are taken out of the class.
 func (f *flow) refresh() {
 	open := f.limit <= 0 || f.inUse < f.limit
 	for s := range f.lines {
@@ -109,10 +112,11 @@
 	}
 }
 
-// unknownWork is the cost of a request whose work is not known.
+// unknownWork is the work charged for a request whose expected work is not known.
 const unknownWork = time.Millisecond
 
-// cost returns the share of the class that a request needs.
+// cost returns the weighted cost of a request in seconds, by which the flow's virtual
+// time advances.
 func (f *flow) cost(r *Request) float64 {
 	work := r.Work
 	if work <= 0 {
@@ -121,7 +125,8 @@
 	return work.Seconds() / f.weight
 }
 
-// ask notes that the flow wants what a request costs.
+// ask adds a request to the flow's demand. The weight of a flow changes only while it has
+// no demand.
 func (f *flow) ask(r *Request) {
 	if f.inFluid == absent {
 		f.weight = float64(max(r.Weight, 1))
@@ -129,13 +134,14 @@
 	f.class.fluid.demand(f, f.cost(r))
 }
 
-// charge notes that the flow was granted a request that arrived at a virtual time.
+// charge advances the flow's virtual time by the cost of a granted request that had
+// arrived at a virtual time.
 func (f *flow) charge(cost, arrived float64) {
 	f.virtual = max(f.virtual, arrived) + cost
 	f.class.fluid.serve(cost * f.weight)
 }
 
-// add takes in a request that has to wait.
+// add queues a request in a stage.
 func (f *flow) add(e *entry, s stage) {
 	e.line = f.line(s, laneOf(&e.Request))
 	unlist(e.line)
@@ -145,7 +151,7 @@
 	f.refresh()
 }
 
-// drop takes a request out that waits.
+// drop takes a request out of its line.
 func (f *flow) drop(e *entry) {
 	unlist(e.line)
 	e.line.requests.remove(e)
@@ -154,8 +160,8 @@
 	f.refresh()
 }
 
-// unlist takes a line out of its class while its first request may change, since the
-// order of the class depends on that.
+// unlist takes a line out of the class's heap before its first request may change, since
+// that request is the line's sort key. refresh puts it back.
 func unlist(l *line) {
 	if l.inClass != absent {
 		l.flow.class.lines[l.stage][l.lane].remove(l)
--- a/internal/pool/fluid.go
+++ b/internal/pool/fluid.go
@@ -1,13 +1,13 @@
 package pool
 
-// fluid is the ideal that flows are compared with: all that have demand are served at
-// the same time, by their weights. What it has done is told by a virtual time, which moves
-// on by the work that is granted, divided by the weights of those that share it
-// (Parekh and Gallager, generalized processor sharing).
+// fluid is the generalized processor sharing model (Parekh and Gallager) that weighted
+// fair queueing approximates: all flows with demand are served simultaneously, in
+// proportion to their weights. Its progress is a virtual time, which advances by the
+// granted work divided by the total weight of the flows that have demand.
 type fluid struct {
 	virtual  float64
-	weight   float64        // of the flows that have demand
-	demanded indexed[*flow] // these, by the virtual time at which all of it is served
+	weight   float64        // total weight of the flows with demand
+	demanded indexed[*flow] // flows with demand, by the virtual time at which it is satisfied
 }
 
 func newFluid() fluid {
@@ -17,7 +17,7 @@
 	}}
 }
 
-// demand adds the cost of a request to what a flow asks for.
+// demand adds the cost of a request to the flow's demand.
 func (u *fluid) demand(f *flow, cost float64) {
 	f.served = max(f.served, u.virtual) + cost
 	if f.inFluid != absent {
@@ -28,7 +28,7 @@
 	u.weight += f.weight
 }
 
-// withdraw takes the cost of a request away that is not granted.
+// withdraw subtracts the cost of a request that will not be granted.
 func (u *fluid) withdraw(f *flow, cost float64) {
 	if f.inFluid == absent {
 		return
@@ -40,7 +40,7 @@
 	u.demanded.fix(f)
 }
 
-// serve moves the virtual time on by work that was granted.
+// serve advances the virtual time by granted work, in seconds.
 func (u *fluid) serve(work float64) {
 	for work > 0 && u.demanded.len() > 0 {
 		next := u.demanded.first()
--- a/internal/pool/heap.go
+++ b/internal/pool/heap.go
@@ -1,19 +1,19 @@
 package pool
 
-// indexed is a binary heap whose items know their places in it, so that any of them
-// can be moved or taken out.
+// indexed is a binary heap whose items store their own index, so that any item can be
+// moved or removed in logarithmic time.
 type indexed[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	place func(T) *int // where an item keeps its place, absent while it is not in the heap
+	place func(T) *int // the field of an item that stores its index; absent while it is not in the heap
 }
 
-// absent is the place of an item that is in no heap.
+// absent is the index of an item that is not in the heap.
 const absent = -1
 
 func (h *indexed[T]) len() int { return len(h.items) }
 
-// first returns the least item of a heap that is not empty.
+// first returns the least item. The heap must not be empty.
 func (h *indexed[T]) first() T { return h.items[0] }
 
 func (h *indexed[T]) push(item T) {
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// busy returns a queue whose places are all taken by requests that it also returns.
+// busy returns a queue without a free slot and the requests that hold the slots.
 func busy(cfg Config) (*Queue, []Request) {
 	q := New(cfg)
 	var running []Request
@@ -25,7 +25,8 @@
 	}
 }
 
-// grantedInOrder frees one place after another and returns what takes it, in order.
+// grantedInOrder frees one slot after another and returns the IDs of the requests that
+// are granted, in order.
 func grantedInOrder(q *Queue, running []Request, now time.Duration) []uint64 {
 	var ids []uint64
 	for len(running) > 0 {
@@ -65,9 +66,9 @@
 	}
 }
 
-// The load: a member gets three times what it can run, most of it of the middle priority.
-// The highest is served as if it were alone, and the lowest gets something in each time for
-// which its callers want to wait.
+// A member receives more than twice the work that it can run, most of it of the middle and
+// the lowest priority. The highest priority is served as if it were alone, and the lowest
+// gets a grant once per latency objective.
 func TestPrioritiesUnderOverload(t *testing.T) {
 	const work, objective, length = 10 * ms, 200 * ms, 4 * time.Second
 	q, running := busy(Config{Capacity: 1, MaxQueue: 1000, Patient: true})
@@ -98,19 +99,19 @@
 			}
 		}
 	}
-	t.Logf("granted %v of %v, longest waits %v, the lowest went without a grant for %v", grants, asked, waited, longestGap)
+	t.Logf("granted %v of %v, longest waits %v, longest time without a grant for the lowest priority %v", grants, asked, waited, longestGap)
 	must.Eq(t, asked[0], grants[0])
 	must.LessEq(t, 2*work, waited[0])
 	must.LessEq(t, objective+2*work, longestGap)
 	must.GreaterEq(t, int(length/(objective+2*work)), grants[2])
 	waits := q.Waits()
 	must.Positive(t, waits[0].Overtook)
-	must.Eq(t, []int{0, 0, grants[2]}, []int{waits[0].Overdue, waits[1].Overdue, waits[2].Overdue}, must.Sprint("it gets nothing else"))
+	must.Eq(t, []int{0, 0, grants[2]}, []int{waits[0].Overdue, waits[1].Overdue, waits[2].Overdue}, must.Sprint("all grants of the lowest priority are due to starvation"))
 }
 
-// Whatever comes and goes, also when callers leave and nothing that runs ever ends: no
-// priority that asks all the time goes without a grant for longer than its bound once places
-// come free, and when all is over the queue remembers nothing.
+// For any sequence of arrivals, cancellations and returned connections, also when none are
+// returned, the counters match the queued and running requests, and once all requests are
+// gone the queue holds no state of them.
 func TestNothingStaysBehind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 20, Patient: true})
@@ -172,7 +173,7 @@
 	must.Eq(t, len(waiting), q.Waiting())
 	must.Eq(t, len(running), q.InUse())
 	all := q.Backlog(2)
-	must.LessEq(t, len(waiting), all.Ahead, must.Sprint("what is late does not come before"))
+	must.LessEq(t, len(waiting), all.Ahead, must.Sprint("late requests do not count as ahead"))
 	must.LessEq(t, all.Ahead, q.Backlog(0).Ahead)
 }
 
@@ -186,13 +187,13 @@
 		must.Eq(t, Queued, q.Offer(0, r))
 	}
 	must.Eq(t, Backlog{Ahead: 1, Work: 5 * ms, Active: 2, Slots: 2, Flexible: 2, Held: 20 * ms}, q.Backlog(0))
-	must.Eq(t, Backlog{Ahead: 3, Work: 32 * ms, Active: 2, Slots: 2, Flexible: 2, Held: 20 * ms}, q.Backlog(1), must.Sprint("unknown work counts as usual"))
+	must.Eq(t, Backlog{Ahead: 3, Work: 32 * ms, Active: 2, Slots: 2, Flexible: 2, Held: 20 * ms}, q.Backlog(1), must.Sprint("unknown work counts as the average time in use"))
 	q.Park(running[0])
 	must.Eq(t, 1, q.Backlog(1).Active)
 }
 
-// The load: reads that others could serve fill a primary, and writes come. The reads leave
-// as many places as writes want at once, and take all of them where none want any.
+// Reads that replicas could serve saturate a primary when writes arrive. From then on the
+// reads leave as many slots free as writes need at once; without writes they take all.
 func TestFlexibleRequestsLeaveAReserve(t *testing.T) {
 	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 4, Patient: true})
 	read := func(id uint64) Request { return Request{ID: id, Elsewhere: true, Deadline: time.Hour} }
@@ -206,11 +207,11 @@
 	q.Done(read(2), ms)
 	writes, _ := q.Next(0)
 	must.Len(t, 2, writes)
-	must.True(t, writes[0].Write && writes[1].Write, must.Sprint("the read ranks higher, but leaves what is reserved"))
+	must.True(t, writes[0].Write && writes[1].Write, must.Sprint("the read has the higher priority but may not take the reserve"))
 	q.Done(writes[0], ms)
 	q.Done(writes[1], ms)
 	granted, _ := q.Next(0)
-	must.SliceEmpty(t, granted, must.Sprint("two places are kept for the next writes"))
+	must.SliceEmpty(t, granted, must.Sprint("two slots stay reserved for the next writes"))
 	q.Done(read(3), ms)
 	granted, _ = q.Next(0)
 	must.Len(t, 1, granted)
@@ -218,18 +219,19 @@
 	must.Eq(t, Granted, q.Offer(ms, Request{ID: 12, Write: true, Deadline: time.Hour}))
 	q.Done(Request{ID: 12, Write: true}, ms)
 	granted, _ = q.Next(10 * demandHalfLife)
-	must.Len(t, 1, granted, must.Sprint("nobody has wanted the reserve for long"))
+	must.Len(t, 1, granted, must.Sprint("the reserve has decayed without demand"))
 }
 
-// The load: transactions are open at a primary that reads fill. A further statement runs at
-// once, also beyond the bound, counts while it runs, and keeps its place reserved for the next.
+// A transaction is open at a primary that is saturated with reads. Its next statement runs
+// at once, even beyond MaxActive, counts as active while it runs, and afterwards keeps a
+// slot reserved for the one that follows.
 func TestFurtherStatementsComeFirst(t *testing.T) {
 	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 2, Patient: true})
 	tx := Request{ID: 1, Write: true, Deadline: time.Hour}
 	read := func(id uint64) Request { return Request{ID: id, Elsewhere: true, Deadline: time.Hour} }
 	must.Eq(t, Granted, q.Offer(0, tx))
 	q.Park(tx)
-	later := 10 * demandHalfLife // what its beginning reserved is over
+	later := 10 * demandHalfLife // the demand of its first statement has decayed
 	must.Eq(t, Granted, q.Offer(later, read(2)))
 	must.Eq(t, Granted, q.Offer(later, read(3)))
 	q.Resume(later, tx)
@@ -240,14 +242,14 @@
 	must.SliceEmpty(t, granted)
 	q.Park(tx)
 	granted, _ = q.Next(later)
-	must.SliceEmpty(t, granted, must.Sprint("its place is kept for its next statement"))
+	must.SliceEmpty(t, granted, must.Sprint("a slot stays reserved for the transaction's next statement"))
 	q.Done(read(3), ms)
 	granted, _ = q.Next(later)
 	must.Len(t, 1, granted)
 }
 
-// The load: work that only this member can run comes, while transactions rest. A new
-// request that could run elsewhere finds the slots that both leave, and the pause that holds it.
+// Of two pinned requests one is active and one parked. The backlog for a new flexible
+// request shows the slots that remain for it and the pause that holds it.
 func TestBacklogTellsWhatIsLeft(t *testing.T) {
 	q := New(Config{Capacity: 4, MaxActive: 3, MaxQueue: 10})
 	must.Eq(t, Granted, q.Offer(0, Request{ID: 1, Work: ms, Deadline: time.Second}))
@@ -257,7 +259,7 @@
 	b := q.Backlog(1)
 	must.Eq(t, 1, b.Active)
 	must.Eq(t, 3, b.Slots)
-	must.Eq(t, 2, b.Flexible, must.Sprint("one more was active a moment ago"))
+	must.Eq(t, 2, b.Flexible, must.Sprint("one slot is reserved: two pinned requests were active a moment ago"))
 	must.Eq(t, 30*ms, b.PausedUntil)
 	must.Zero(t, q.Backlog(0).PausedUntil)
 }
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -1,14 +1,22 @@
-// Package pool decides who gets the next connection of a member.
+// Package pool schedules requests for the connections of one database member. It decides
+// which request is granted the next free connection; package connpool uses it and holds
+// the connections themselves.
 //
-// Higher priorities come first, and what can still be answered in time before what
-// cannot. Within a priority services and accounts share by weighted fair queueing,
-// by the work that their requests are expected to take; what one of them brings is
-// ordered by the time at which it must start. A priority that has asked for as long as
-// its callers want to wait for an answer, and was granted nothing, gets one grant.
+// Order: requests that can still meet their latency objective come before those that
+// cannot, and higher priorities before lower ones. Within a priority, services and
+// accounts share by weighted fair queueing over the expected execution time of their
+// requests; the requests of one service and account are ordered by the latest time at
+// which they must start. To prevent starvation, a priority that has had requests for as
+// long as its longest objective without a grant gets one grant.
 //
-// Some connections are kept for writes, and as many as are wanted for work that only
-// this member can run. A queue that is not patient refuses a request on arrival that
-// would not be served before its deadline. The package has no I/O, clock or goroutine.
+// Reserves: a fixed number of connections is kept for writes. A further number, which
+// follows demand, is kept for pinned requests, which only this member can run; flexible
+// requests, which other members could run as well, may not take it.
+//
+// A request is rejected on arrival when too many of its service and account are queued
+// already. Unless Config says to keep requests until their deadline, it is also rejected
+// when it is not expected to be granted before then. The package has no I/O, clock or
+// goroutine; the time is passed in.
 package pool
 
 import (
@@ -21,15 +29,15 @@
 // Config bounds the use of one member's connections.
 type Config struct {
 	Capacity     int // connections that may be used at once
-	WriteReserve int // of them, those that reads may not take
-	MaxQueue     int // requests that may wait, of each service and account in one priority
+	WriteReserve int // connections, of the capacity, that reads may not take
+	MaxQueue     int // requests that may be queued, per service and account in one priority
 
-	// MaxActive bounds the connections in use but for the parked ones, 0: no
-	// bound. It keeps a queue in front of a busy member here, where it is fair and
-	// ends at deadlines, instead of at the member.
+	// MaxActive bounds the connections in use that are not parked; 0: unbounded. It
+	// makes requests for a busy member queue here, where sharing is fair and
+	// deadlines are enforced, instead of at the member.
 	MaxActive int
 	// Patient keeps requests in the queue until their deadline even when they are
-	// not expected to be served before it.
+	// not expected to be granted before it.
 	Patient bool
 }
 
@@ -37,55 +45,55 @@
 type Request struct {
 	ID       uint64
 	Service  string
-	Account  string        // whose connection is wanted, where connections belong to accounts
-	Priority int           // lower ranks higher; callers' begin at 0, negative ones are the instance's own questions
-	Work     time.Duration // expected time at the member, 0: not known
-	// Objective is until when an answer is in time, 0: none.
+	Account  string        // client account whose connection is needed
+	Priority int           // lower values rank higher; those of clients start at 0, negative ones are for the instance's own queries
+	Work     time.Duration // expected execution time at the member; 0: unknown
+	// Objective is the time by which the answer meets the latency objective; 0: none.
 	Objective time.Duration
-	Elsewhere bool          // another member could run it, now or a moment later
-	Any       bool          // a connection of any account will do, as for what is nobody's work
-	Weight    int           // share of the service or account within its priority, at least 1
-	Limit     int           // connections the service may use at once, 0: no bound
-	Write     bool          // may use the reserve
-	Deadline  time.Duration // after which the request must not be granted
+	Elsewhere bool          // another member could run it, now or shortly
+	Any       bool          // a connection of any account will do: the work is done for no account
+	Weight    int           // fair queueing weight of the service and account within the priority, at least 1
+	Limit     int           // connections that the service and account may use at once in the priority; 0: unlimited
+	Write     bool          // may use the write reserve
+	Deadline  time.Duration // time from which the request must not be granted
 }
 
-// fixed reports whether only this member can run the work of a request.
+// fixed reports whether the request is pinned to this member: no other member can run it.
 func (r *Request) fixed() bool { return !r.Elsewhere && !r.Any }
 
-// Outcome is what happens to a request.
+// Outcome is the result of offering a request to the queue.
 type Outcome int
 
 // The outcomes.
 const (
 	Granted Outcome = iota
 	Queued
-	QueueFull // refused: too many of the service or account wait already
-	TooLate   // refused: it would not be served before its deadline
+	QueueFull // rejected: too many requests of the service and account are queued
+	TooLate   // rejected: it would not be granted before its deadline
 )
 
-// Queue is the state of one member's connections. It is not safe for
-// concurrent use.
+// Queue schedules the connections of one member. It is not safe for concurrent use.
 type Queue struct {
 	cfg      Config
-	classes  []*class // by priority, the highest first; a priority that was seen stays
-	entries  map[uint64]*entry
-	arrivals list.List       // of *entry, the oldest first
-	ends     indexed[*entry] // by deadline
-	order    uint64          // of arrivals
-
-	inUse  int
-	parked int // of these, connections whose holder has nothing running
-	reads  int
-	fixed  use // by what only this member can run
+	classes  []*class          // by priority, highest first; never removed
+	entries  map[uint64]*entry // queued requests by ID
+	arrivals list.List         // queued requests as *entry, oldest first
+	ends     indexed[*entry]   // queued requests by deadline
+	order    uint64            // arrivals so far
+
+	inUse  int // connections granted
+	parked int // of those, connections whose holder runs nothing at present
+	reads  int // of those in use, connections granted for reads
+	fixed  use // counts of pinned requests
 	demand demand
 
-	pauses  map[int]time.Duration // until when requests of a priority and below are held
-	now     time.Duration         // at the last call that told
-	average time.Duration         // moving average of how long a connection is in use
+	pauses  map[int]time.Duration // by priority: end of the pause of flexible requests of it and lower ones
+	now     time.Duration         // as passed in the last call
+	average time.Duration         // moving average of the time a connection is in use
 }
 
-// use counts connections.
+// use counts requests that hold a connection, those of them that are parked, and queued
+// requests.
 type use struct{ inUse, parked, waiting int }
 
 // New returns an empty queue.
@@ -102,17 +110,17 @@
 // SetCapacity changes the number of connections. Those in use stay in use.
 func (q *Queue) SetCapacity(n int) { q.cfg.Capacity = n }
 
-// SetMaxActive changes the bound of the connections in use but for parked ones.
+// SetMaxActive changes the bound of the connections in use that are not parked.
 func (q *Queue) SetMaxActive(n int) { q.cfg.MaxActive = n }
 
-// Pause holds flexible requests of a priority and of lower ones until a time. What only this
-// member can run is not held: nobody else serves it meanwhile. Those that wait are granted
-// by the first call of Next after it.
+// Pause stops granting flexible requests of a priority and of lower ones until a time.
+// Pinned requests go on, since no other member could serve them meanwhile. Requests queued
+// during the pause are granted by the first call of Next after its end.
 func (q *Queue) Pause(priority int, until time.Duration) {
 	q.pauses[priority] = max(q.pauses[priority], until)
 }
 
-// held reports whether a pause holds requests of a lane and a priority.
+// held reports whether a pause is in effect for a lane and a priority.
 func (q *Queue) held(l lane, priority int) bool {
 	if l != flexible {
 		return false
@@ -125,8 +133,9 @@
 	return false
 }
 
-// Park notes that the connection granted for a request runs nothing for a while, as one
-// that is held by a transaction. It counts on within the capacity.
+// Park records that the connection granted for a request runs nothing for a while, such
+// as one held by a transaction between statements. It no longer counts as active but
+// still counts towards the capacity.
 func (q *Queue) Park(r Request) {
 	q.parked++
 	if r.fixed() {
@@ -134,8 +143,8 @@
 	}
 }
 
-// Unpark ends what Park began. It is not bounded, since what holds the connection has
-// begun and others wait for its end.
+// Unpark reverts Park. It may exceed MaxActive: the holder's transaction has begun, and
+// other requests may wait for locks until it ends.
 func (q *Queue) Unpark(r Request) {
 	q.parked--
 	if r.fixed() {
@@ -143,7 +152,8 @@
 	}
 }
 
-// Resume ends what Park began for further work of the same request.
+// Resume reverts Park because the holder runs another statement, and counts that
+// statement as demand.
 func (q *Queue) Resume(now time.Duration, r Request) {
 	q.now = now
 	q.Unpark(r)
@@ -161,12 +171,12 @@
 // Waiting returns how many requests wait.
 func (q *Queue) Waiting() int { return len(q.entries) }
 
-// RetryAfter estimates when a refused request would find room.
+// RetryAfter estimates the delay after which a rejected request would find a free slot.
 func (q *Queue) RetryAfter() time.Duration {
 	return max(q.expectedWait(len(q.entries)), 10*time.Millisecond)
 }
 
-// class returns the state of a priority.
+// class returns the class of a priority, which it creates on first use.
 func (q *Queue) class(priority int) *class {
 	i, known := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return cmp.Compare(c.priority, p) })
 	if !known {
@@ -175,7 +185,8 @@
 	return q.classes[i]
 }
 
-// Offer takes in a request. A queued one is granted or expired by Next.
+// Offer grants, queues or rejects a request. A queued request is granted or expired by a
+// later call of Next.
 func (q *Queue) Offer(now time.Duration, r Request) Outcome {
 	q.now = now
 	c := q.class(r.Priority)
@@ -217,7 +228,7 @@
 	f.add(e, timely)
 }
 
-// giveUp takes a request out that is not granted.
+// giveUp removes a queued request that will not be granted, and its demand.
 func (q *Queue) giveUp(e *entry) {
 	f := e.line.flow
 	q.remove(e)
@@ -225,7 +236,7 @@
 	f.class.forget(f)
 }
 
-// remove takes a request out that waits.
+// remove takes a request out of the queue.
 func (q *Queue) remove(e *entry) {
 	e.line.flow.drop(e)
 	q.ends.remove(e)
@@ -236,8 +247,9 @@
 	}
 }
 
-// aheadOf estimates how many grants come before a new request of a flow: its own
-// queue, and as many of every other one as its share allows meanwhile.
+// aheadOf estimates how many grants it takes until a new request of a flow is granted:
+// those to the flow's own queue, and at most as many to each other flow of the same or a
+// higher priority, since flows take turns. A connection limit of the flow scales it up.
 func (q *Queue) aheadOf(f *flow, r *Request) int {
 	own := f.waiting + 1
 	ahead := own
@@ -258,7 +270,7 @@
 	return q.average * time.Duration(ahead) / time.Duration(max(q.cfg.Capacity, 1))
 }
 
-// admissible reports whether a new request need not wait.
+// admissible reports whether a new request can be granted at once.
 func (q *Queue) admissible(f *flow, r *Request) bool {
 	l := laneOf(r)
 	if r.Limit > 0 && f.inUse >= r.Limit || q.held(l, r.Priority) {
@@ -267,8 +279,8 @@
 	return q.room()[l] && !q.waitsAhead(l, r.Priority)
 }
 
-// waitsAhead reports whether something waits for room of a lane that comes before a new
-// request of a priority, and is held by nothing else.
+// waitsAhead reports whether requests of the same or a higher priority are queued for a
+// lane and are held back neither by a pause nor by a connection limit.
 func (q *Queue) waitsAhead(l lane, priority int) bool {
 	for _, c := range q.classes {
 		if c.priority <= priority && !q.held(l, c.priority) && c.lines[timely][l].len()+c.lines[late][l].len() > 0 {
@@ -278,7 +290,7 @@
 	return false
 }
 
-// room tells which lanes have room.
+// room returns the lanes in which a request may be granted now.
 func (q *Queue) room() (room [lanes]bool) {
 	active := q.inUse - q.parked
 	if q.inUse >= q.cfg.Capacity || q.cfg.MaxActive > 0 && active >= q.cfg.MaxActive {
@@ -290,7 +302,7 @@
 	return room
 }
 
-// open returns of the lanes that have room those that no pause holds for a priority.
+// open returns those of the lanes that no pause of the priority blocks.
 func (q *Queue) open(room [lanes]bool, priority int) [lanes]bool {
 	for l := range room {
 		room[l] = room[l] && !q.held(lane(l), priority)
@@ -313,7 +325,8 @@
 	f.refresh()
 }
 
-// Done returns a connection that was in use for a time.
+// Done returns the connection granted for a request. held is the time for which it was in
+// use; 0 leaves the average unchanged.
 func (q *Queue) Done(r Request, held time.Duration) {
 	c := q.class(r.Priority)
 	f := c.flow(flowKey{r.Service, r.Account})
@@ -340,11 +353,11 @@
 	q.average += (held - q.average) / averageSpan
 }
 
-// averageSpan is the number of grants over which the holding time is averaged.
+// averageSpan is the number of grants over which the time in use is averaged.
 const averageSpan = 16
 
-// Next grants what there is room for, in order, and gives up on requests
-// whose deadline has passed.
+// Next grants as many queued requests as possible, in order, and removes those whose
+// deadline has passed.
 func (q *Queue) Next(now time.Duration) (granted, expired []Request) {
 	q.now = now
 	expired = q.expire(now)
@@ -373,7 +386,7 @@
 	return expired
 }
 
-// due returns the request that is to be granted next, nil when none can be.
+// due returns the request to grant next, nil if none can be granted.
 func (q *Queue) due() *entry {
 	room := q.room()
 	if !room[write] || len(q.entries) == 0 {
@@ -387,7 +400,7 @@
 	return next
 }
 
-// inOrder returns the request that is due by stage and priority.
+// inOrder returns the next request by stage and priority, starvation aside.
 func (q *Queue) inOrder(room [lanes]bool) *entry {
 	for s := range stages {
 		for _, c := range q.classes {
@@ -399,8 +412,8 @@
 	return nil
 }
 
-// overdue returns a request of a priority that has been granted nothing for too long. It
-// may take what is reserved.
+// overdue returns a request of the highest priority that is starved, nil if none is. Such
+// a request may take the slots reserved for pinned requests.
 func (q *Queue) overdue(room [lanes]bool) *entry {
 	room[flexible] = room[fixedRead]
 	for _, c := range q.classes {
@@ -416,7 +429,7 @@
 	return nil
 }
 
-// Cancel takes a waiting request out. It reports false when it does not wait.
+// Cancel removes a queued request. It returns false if the request is not queued.
 func (q *Queue) Cancel(r Request) bool {
 	e := q.entries[r.ID]
 	if e == nil {
--- a/internal/pool/queue_test.go
+++ b/internal/pool/queue_test.go
@@ -18,12 +18,12 @@
 	}
 }
 
-// services is how many services the property below draws requests of.
+// services is the number of services in TestQueueKeepsItsBounds.
 const services = 4
 
-// For any sequence of requests, returns and waits: no bound is exceeded, nothing
-// is granted after its deadline or twice, and no connection stays idle while a
-// request that may have it waits.
+// For any sequence of requests and returned connections over time: no bound is exceeded, no
+// request is granted after its deadline or twice, and no connection stays idle while a
+// request that may use it is queued.
 func TestQueueKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
@@ -155,8 +155,7 @@
 	return got
 }
 
-// Under contention each service gets what its weight says, however many
-// requests the others bring.
+// In a saturated queue each service is granted connections in proportion to its weight.
 func TestFairShares(t *testing.T) {
 	got := shares(map[string]int{"a": 1, "b": 1, "c": 2}, 4000)
 	must.Between(t, 900, got["a"], 1100)
@@ -174,11 +173,12 @@
 	for id := range uint64(30) {
 		outcomes[q.Offer(0, Request{ID: id + 2, Service: "a", Deadline: time.Second})]++
 	}
-	must.Eq(t, 10, outcomes[Queued], must.Sprint("ten of 100 ms fit into the second"))
+	must.Eq(t, 10, outcomes[Queued], must.Sprint("ten requests of 100 ms fit into the second"))
 	must.Eq(t, 20, outcomes[TooLate])
 }
 
-// Connections that run nothing do not count as active, and others take their place.
+// Parked connections do not count towards MaxActive, so that further requests are granted,
+// but do count towards the capacity.
 func TestParkedConnectionsAreNotActive(t *testing.T) {
 	q := New(Config{Capacity: 3, MaxQueue: 4, MaxActive: 1, Patient: true})
 	offer := func(id uint64) Outcome { return q.Offer(0, Request{ID: id, Service: "s", Deadline: time.Second}) }
@@ -190,14 +190,15 @@
 	q.Park(Request{Service: "s"})
 	must.Eq(t, Granted, offer(3))
 	q.Park(Request{Service: "s"})
-	must.Eq(t, Queued, offer(4), must.Sprint("the capacity holds for parked ones as well"))
+	must.Eq(t, Queued, offer(4), must.Sprint("parked connections count towards the capacity"))
 	q.Unpark(Request{Service: "s"})
 	q.Done(Request{ID: 1, Service: "s"}, 0)
 	granted, _ = q.Next(0)
 	must.Len(t, 1, granted)
 }
 
-// A patient queue keeps what it would otherwise refuse on arrival.
+// A patient queue keeps a request that it would otherwise reject on arrival because it is
+// not expected to be granted in time.
 func TestPatientQueue(t *testing.T) {
 	for _, patient := range []bool{false, true} {
 		q := New(Config{Capacity: 1, MaxQueue: 4, Patient: patient})
@@ -209,12 +210,12 @@
 			want = Queued
 		}
 		must.Eq(t, want, q.Offer(0, Request{ID: 3, Service: "s", Deadline: time.Millisecond}))
-		must.Eq(t, TooLate, q.Offer(0, Request{ID: 4, Service: "s", Deadline: 0}), must.Sprint("no time to wait at all"))
+		must.Eq(t, TooLate, q.Offer(0, Request{ID: 4, Service: "s", Deadline: 0}), must.Sprint("the deadline has passed on arrival"))
 	}
 }
 
-// A pause holds what is of its level and above until it is over, and nothing else: also not
-// what no other member can run.
+// A pause holds flexible requests of its priority and lower ones until its end. It holds
+// neither higher priorities nor requests that only this member can run.
 func TestPauseHoldsItsLevel(t *testing.T) {
 	q := New(Config{Capacity: 6, MaxQueue: 4, Patient: true})
 	request := func(id uint64, level int) Request {
--- a/internal/quota/door.go
+++ b/internal/quota/door.go
@@ -8,51 +8,57 @@
 )
 
 const (
-	// maxShut bounds for how long operations are refused on one piece of news. An account
-	// that has come below its limit meanwhile loses no more than twice that.
+	// maxShut bounds the time for which operations are rejected after one carrier
+	// rejection. An account that has dropped below its limit meanwhile is rejected
+	// for at most twice that.
 	maxShut = 500 * time.Millisecond
-	// doorMemory is for how long the pace of an account at its limit is remembered.
+	// doorMemory is how long the probe interval of an account is kept after its last
+	// carrier rejection.
 	doorMemory = 10 * time.Second
-	// doorAccounts bounds the accounts that are remembered. Operations of others are passed on.
+	// doorAccounts bounds the accounts in the cache. Operations of further accounts are
+	// admitted.
 	doorAccounts = 1024
-	// turnShare is the part of the interval for which a caller that comes back in its turn
-	// has precedence over one that has just come.
+	// turnShare is the fraction of the interval for which only clients that retry as
+	// advised are admitted, ahead of new ones.
 	turnShare = 0.25
 )
 
-// Door refuses operations of accounts that are at their limit at the instance to which
-// their callers are connected, on the word of those that would have run them. It paces
-// what it passes on: twice as slowly after each refusal, twice as fast after each
-// operation that found a token, so that an instance takes part in what is left of the
-// limit without knowing how many others do. It is not safe for concurrent use.
+// Door is the rejection cache of an ingress instance, to which clients are connected. It
+// rejects operations of accounts that are at their limit, based on recent rejections by the
+// carriers that would have run them, which saves forwarding them. While an account is at
+// its limit, one operation per interval is admitted. The interval doubles with each carrier
+// rejection and halves with each operation that got a token, so that an instance gets part
+// of the remaining limit without knowing how many other instances compete for it. It is
+// not safe for concurrent use.
 type Door struct {
 	accounts map[string]*shut
 }
 
-// shut is an account that was at its limit lately.
+// shut is the state of an account that was recently rejected by a carrier.
 type shut struct {
-	open     bool          // an operation has found a token since
-	told     time.Duration // when the last refusal came
-	until    time.Duration // from when on the next operation is passed on
-	interval time.Duration // between two of them
-	passed   time.Duration // when one was, since until; 0: none
-	lastTurn time.Duration // of those that were told when to come back
+	open     bool          // an operation got a token since the last rejection: admit all
+	told     time.Duration // time of the last carrier rejection
+	until    time.Duration // time at which the next operation may be admitted
+	interval time.Duration // between two admitted operations
+	passed   time.Duration // last admission since until; 0: none
+	lastTurn time.Duration // latest retry time advised to a client
 }
 
-// NewDoor returns a door that passes all on.
+// NewDoor returns an empty cache, which admits all operations.
 func NewDoor() *Door { return &Door{accounts: make(map[string]*shut)} }
 
-// Visit is one operation before the door.
+// Visit is one operation to be checked against the rejection cache.
 type Visit struct {
 	Account   string
-	Limit     account.Limit // of the account; filled in by the limiter
-	Returning bool          // its caller was told to come back by now
-	Horizon   time.Duration // for how long the caller can wait to come back
+	Limit     account.Limit // of the account; set by the limiter
+	Returning bool          // the client was rejected before and its advised delay has passed
+	Horizon   time.Duration // longest delay that the client can accept; 0: unbounded
 }
 
-// Admit reports whether an operation may be passed on, or after what time its caller is to
-// come back. At the end of the time for which there are no tokens one operation goes
-// first, in the order in which the callers were refused.
+// Admit reports whether an operation may be forwarded. If not, it returns the delay after
+// which the client should retry. When the rejection time of an account ends, a single
+// operation is admitted first; clients are advised distinct retry times in the order in
+// which they were rejected.
 func (d *Door) Admit(now time.Duration, v Visit) (time.Duration, bool) {
 	s := d.accounts[v.Account]
 	switch {
@@ -65,7 +71,8 @@
 	return s.promise(now, v), false
 }
 
-// isNext reports whether an operation is the one that is passed on now.
+// isNext reports whether an operation may be the next one admitted. Retries have
+// precedence over new operations for the first part of the interval.
 func (s *shut) isNext(now time.Duration, returning bool) bool {
 	if returning {
 		return s.passed == 0 || now-s.passed >= s.interval
@@ -76,8 +83,8 @@
 	return s.lastTurn < now || now >= s.until+time.Duration(turnShare*float64(s.interval))
 }
 
-// promise returns after what time a refused caller is to come back: one after the other,
-// as far apart as operations are passed on.
+// promise returns the retry delay for a rejected client. Successive clients are advised
+// times that are one interval apart, as operations are admitted.
 func (s *shut) promise(now time.Duration, v Visit) time.Duration {
 	turn := max(s.until, s.lastTurn+s.interval, now+time.Millisecond)
 	if v.Horizon > 0 && turn > now+v.Horizon {
@@ -87,11 +94,12 @@
 	return turn - now
 }
 
-// Refused takes in that an operation which was passed on at a time was refused, since the
-// account has no tokens for a while, and returns after what time its caller is to come
-// back. What cannot be is ignored, and answered with 0. How long the account is refused
-// follows from its limit: the time that was told is one that others wait for as well, and an
-// account a little above its limit has tokens sooner.
+// Refused records that a carrier rejected an operation that was forwarded at time sent,
+// because the account has no tokens for the time empty. It returns the delay after which
+// the client should retry. Implausible values of empty are ignored and yield 0. Apart from
+// that the value is unused: the rejection time follows from the account's limit, because
+// other instances wait for the same time and an account slightly above its limit gets
+// tokens sooner.
 func (d *Door) Refused(sent, now time.Duration, v Visit, empty time.Duration) time.Duration {
 	if empty <= 0 || empty > maxLife || v.Limit.Unlimited {
 		return 0
@@ -105,7 +113,7 @@
 		s = &shut{interval: shortest(v.Limit)}
 		d.accounts[v.Account] = s
 	case sent < s.told:
-		return s.promise(now, v) // it left before the refusal that is known already
+		return s.promise(now, v) // forwarded before the last recorded rejection
 	case now-s.told > doorMemory:
 		s.interval = shortest(v.Limit)
 	default:
@@ -116,7 +124,7 @@
 	return s.promise(now, v)
 }
 
-// Ran takes in that an operation which was passed on at a time has found a token.
+// Ran records that an operation forwarded at time sent got a token.
 func (d *Door) Ran(sent time.Duration, v Visit) {
 	s := d.accounts[v.Account]
 	if s == nil || sent < s.told {
@@ -126,8 +134,8 @@
 	s.interval = max(s.interval/2, shortest(v.Limit))
 }
 
-// hasRoom reports whether another account can be remembered, and forgets those that have
-// not been at their limit for a while.
+// hasRoom reports whether another account fits into the cache. A full cache first drops
+// the accounts that were last rejected more than doorMemory ago.
 func (d *Door) hasRoom(now time.Duration) bool {
 	if len(d.accounts) < doorAccounts {
 		return true
@@ -136,7 +144,8 @@
 	return len(d.accounts) < doorAccounts
 }
 
-// shortest returns the least interval between operations: that of an account's tokens.
+// shortest returns the shortest interval between admitted operations: that at which the
+// account's limit yields tokens, at most maxShut.
 func shortest(l account.Limit) time.Duration {
 	if l.Rate <= 1/maxShut.Seconds() {
 		return maxShut
--- a/internal/quota/door_test.go
+++ b/internal/quota/door_test.go
@@ -20,15 +20,15 @@
 	return ok
 }
 
-// shutDoor returns a door that was told at a second that an account is at its limit.
+// shutDoor returns a cache in which an account was recorded as rejected at one second.
 func shutDoor(v Visit, empty time.Duration) *Door {
 	d := NewDoor()
 	d.Refused(0, time.Second, v, empty)
 	return d
 }
 
-// While an account has no tokens its operations are refused here; then one goes first,
-// and the others go on once it has found a token.
+// While an account has no tokens its operations are rejected. Then a single operation is
+// admitted, and all others once it got a token.
 func TestDoorPassesOneAtTheEnd(t *testing.T) {
 	v, other := visit("a"), visit("b")
 	const empty = 100 * time.Millisecond
@@ -37,7 +37,7 @@
 	must.True(t, admitted(d, time.Second, other))
 	end := time.Second + empty
 	d = shutDoor(v, empty)
-	must.False(t, admitted(d, end, v), must.Sprint("the turn of the caller that was refused"))
+	must.False(t, admitted(d, end, v), must.Sprint("reserved for the retry of the rejected client"))
 	end += empty / 2
 	must.True(t, admitted(d, end, v))
 	must.False(t, admitted(d, end, v))
@@ -47,7 +47,7 @@
 	must.True(t, admitted(d, end+2, v))
 }
 
-// An account that asks on and on beyond its limit is passed on more and more seldom.
+// The operations of an account that stays above its limit are admitted at growing intervals.
 func TestDoorSlowsDown(t *testing.T) {
 	v := visit("a")
 	d := NewDoor()
@@ -63,7 +63,8 @@
 	must.GreaterEq(t, int(float64(length/maxShut)/(1+turnShare)), passed)
 }
 
-// What cannot be is no news: a door that was told so passes all on.
+// A rejection with an implausible time without tokens is ignored, as is one of an account
+// without a limit: operations stay admitted.
 func TestDoorIgnoresWhatCannotBe(t *testing.T) {
 	v := visit("a")
 	for _, empty := range []time.Duration{0, -1, -1 << 63, maxLife + 1, 1<<63 - 1} {
@@ -75,8 +76,8 @@
 	must.True(t, admitted(shutDoor(visit("a"), time.Second), time.Second, v))
 }
 
-// However many accounts there are, few are remembered, and those that matter no more make
-// room.
+// The cache holds a bounded number of accounts, and drops those that were not rejected
+// recently to make room for others.
 func TestDoorRemembersFewAccounts(t *testing.T) {
 	d := NewDoor()
 	for n := range 2 * doorAccounts {
@@ -88,8 +89,8 @@
 	must.False(t, admitted(d, later, visit("late")))
 }
 
-// Callers that are refused are told times one after the other, and whoever comes back in
-// its turn goes before one that has just come.
+// Rejected clients are advised successive retry times, and a client that retries as advised
+// has precedence over a new one.
 func TestDoorServesCallersInTurn(t *testing.T) {
 	v := visit("a")
 	const empty = 100 * time.Millisecond
@@ -114,9 +115,9 @@
 	must.Eq(t, empty, comeBack)
 }
 
-// Whatever a door was told, when, and by whom: once no refusal comes any more, it refuses
-// an account for no longer than twice maxShut, with the only operation that it passed on
-// lost on its way; and a refusal says when to come back.
+// For any sequence of operations and carrier rejections: after the last carrier rejection
+// an account is rejected for no longer than twice maxShut, even if the only operation
+// admitted since is lost, and each rejection advises a retry delay.
 func TestDoorNeverStaysShut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDoor()
@@ -146,8 +147,9 @@
 	})
 }
 
-// fleetDoors plays callers of one account at many entries, each with a door, before one
-// bucket, and returns how many operations ran and how many were passed on.
+// fleetDoors simulates clients of one account at many ingress instances, each with its own
+// cache, in front of a single token bucket. It returns how many operations ran and how many
+// were admitted.
 func fleetDoors(entries int, rate float64, pause, length time.Duration) (ran, passed int) {
 	doors := make([]*Door, entries)
 	for i := range doors {
@@ -173,9 +175,9 @@
 	return ran, passed
 }
 
-// An account that asks for a little more than its limit, or for ten times as much, at many
-// entries gets its limit, and what is passed on in vain is bounded by the entries, not by
-// what it asks for.
+// An account that demands slightly more than its limit, or ten times as much, through many
+// ingress instances gets its limit. The operations that are forwarded in vain are bounded
+// by the number of ingress instances, not by the demand.
 func TestDoorsTogetherGiveTheLimit(t *testing.T) {
 	const length = 20 * time.Second
 	for _, entries := range []int{1, 8, 80} {
@@ -183,7 +185,7 @@
 			for _, demand := range []float64{1.1, 1.5, 10} {
 				pause := seconds(float64(entries) / (demand * rate))
 				ran, passed := fleetDoors(entries, rate, pause, length)
-				at := must.Sprintf("entries %d, rate %v, demand %v: %d ran, %d passed on", entries, rate, demand, ran, passed)
+				at := must.Sprintf("%d ingress instances, rate %v, demand %v: %d ran, %d admitted", entries, rate, demand, ran, passed)
 				must.GreaterEq(t, 0.95*rate*length.Seconds(), float64(ran), at)
 				most := 4*rate*length.Seconds() + 2*float64(entries)*length.Seconds()
 				must.LessEq(t, most, float64(passed), at)
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// holdersPerAccount is among how many instances an account's limit is shared. With
-	// one, an account waits for a new holder when that is gone; with six, two may be away.
-	// With twelve, buckets that begin empty all come to their first whole token later: after
-	// a restart of all instances accounts with small limits wait twice as long. Over a day
-	// with one, 0.926 of all was served with six and 0.910 with twelve; while a third of
-	// 71 instances were cut off, 0.951 and 0.958.
+	// holdersPerAccount is the number of instances among which an account's limit is
+	// divided. With one, the account would have no tokens after that instance fails
+	// until another takes over; with six, two may fail. With twelve, each bucket refills
+	// more slowly, so that after a restart of all instances, when buckets start empty,
+	// accounts with small limits wait twice as long for their first token. Over a day
+	// with one such restart 0.926 of the operations were served with six holders and
+	// 0.910 with twelve; while a third of 71 instances were cut off, 0.951 and 0.958.
 	holdersPerAccount = 6
-	// partitions is into how many parts the accounts are divided, each with holders of
-	// its own. It bounds how many instances hold shares, and so how many connections
-	// an instance keeps to them: 96 of 550.
+	// partitions is the number of parts into which accounts are divided, each with its
+	// own holders. It bounds the number of instances that hold shares, and so the
+	// connections that an instance keeps to them: 96 with 550 instances.
 	partitions = 16
 )
 
-// Holders tells which instances hold the shares of which account, by one list of
-// registered instances.
+// Holders maps accounts to their limit holders, the instances that hold shares of the
+// account's limit. The mapping depends only on the list of registered instances.
 type Holders struct {
 	registered  []string
-	byPartition map[uint64][]string // computed when asked for
+	byPartition map[uint64][]string // computed on demand
 }
 
-// NewHolders returns the holders among the registered instances.
+// NewHolders returns the mapping for a list of registered instances.
 func NewHolders(registered []string) *Holders {
 	return &Holders{registered: registered, byPartition: make(map[uint64][]string, partitions)}
 }
 
-// Of returns the holders of an account's shares. It must not be changed. It is not safe for
-// concurrent use.
+// Of returns the limit holders of an account. The caller must not modify the result. Of is
+// not safe for concurrent use.
 func (h *Holders) Of(account string) []string {
 	partition := ownership.Score("account", account) % partitions
 	if known, ok := h.byPartition[partition]; ok {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,32 +7,33 @@
 	"github.com/stackspindle/stackspindle/internal/account"
 )
 
-// Ledger is the shares that one instance holds. It is not safe for concurrent use.
+// Ledger holds the token buckets of the shares that one instance holds. It is not safe for
+// concurrent use.
 type Ledger struct {
 	self    string
 	rules   Rules
 	holders *Holders
 	changed time.Duration // when the list of registered instances last changed
-	settled time.Duration // from when on this instance may hold shares; negative: not yet known
+	settled time.Duration // time from which this instance may hold shares; negative: not yet known
 	buckets map[string]*bucket
 }
 
-// bucket is the share of one account.
+// bucket is the token bucket for this instance's share of one account's limit.
 type bucket struct {
 	tokens float64
-	at     time.Duration // when tokens were last reckoned
+	at     time.Duration // when tokens was last updated
 }
 
-// NewLedger returns the ledger of an instance whose process has just started. Its
-// buckets are empty: the process before it may have given out all that was in them.
+// NewLedger returns the buckets of an instance whose process has just started. They are
+// empty: the previous process may have granted all of its tokens.
 func NewLedger(self string, rules Rules) *Ledger {
 	return &Ledger{self: self, rules: rules, holders: NewHolders(nil), settled: -1, buckets: make(map[string]*bucket)}
 }
 
-// Settle notes from when on this instance may hold shares: from the start where its
-// registration says that it has settled, else SettleAfter after it was registered. One
-// whose registration had ended and that registers again begins anew; one that only
-// renews it goes on, with what it has given out.
+// Settle sets the time from which this instance may hold shares: 0 if its registration is
+// marked as settled, else SettleAfter after it was registered. A later time than before
+// means that the registration had ended and the instance has registered again: all buckets
+// are dropped. Renewing a registration keeps the time, and so the state of the buckets.
 func (l *Ledger) Settle(at time.Duration) {
 	if l.settled >= 0 && at <= l.settled {
 		return
@@ -41,8 +42,9 @@
 	clear(l.buckets)
 }
 
-// Register takes in the list of registered instances. A share that has passed to
-// another instance begins empty when it comes back.
+// Register sets the limit holders after the list of registered instances has changed. The
+// bucket of an account that has moved to other holders is dropped, so that it starts empty
+// if the account comes back.
 func (l *Ledger) Register(now time.Duration, h *Holders) {
 	l.holders, l.changed = h, now
 	for name := range l.buckets {
@@ -52,18 +54,19 @@
 	}
 }
 
-// Grant is the answer to a question for tokens.
+// Grant is the answer of a limit holder to a request for tokens.
 type Grant struct {
 	Tokens int
-	Life   time.Duration // of the tokens, from when they were asked for
-	// ComeBack is after what time a token can be had, or the instance may hold a share; with
-	// tokens it is 0, as where that is not known.
+	Life   time.Duration // lifetime of the tokens, from when the request was sent
+	// ComeBack is the delay after which a token is available or the instance may hold a
+	// share; 0 with tokens, or if that is not known.
 	ComeBack time.Duration
-	Holder   bool // false: the instance holds no share of the account
+	Holder   bool // the instance holds a share of the account
 }
 
-// Reserve gives out up to some tokens of an account. confirmed is as of when the picture
-// of the store that names the holders, and this instance as alive, is known to hold.
+// Reserve grants up to wanted tokens of an account. confirmed is the time at which the
+// store snapshot, which determines the limit holders and lists this instance as alive, was
+// last known to be current.
 func (l *Ledger) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
 	if limit.Unlimited {
 		return Grant{Tokens: wanted, Life: maxLife, Holder: true}
@@ -71,7 +74,7 @@
 	holders := l.holders.Of(name)
 	switch {
 	case l.settled < 0 || now-confirmed > Validity:
-		return Grant{ComeBack: firstPause} // it has not read the store yet
+		return Grant{ComeBack: firstPause} // no recent snapshot of the store
 	case !slices.Contains(holders, l.self):
 		return Grant{}
 	case now < l.settled:
@@ -87,7 +90,7 @@
 	return Grant{ComeBack: budget.after(1 - b.tokens), Holder: true}
 }
 
-// after returns how long it takes until some tokens have come, rounded up.
+// after returns how long it takes to refill some tokens, rounded up.
 func (b Budget) after(tokens float64) time.Duration {
 	if b.Refill <= 0 {
 		return maxLife
@@ -95,9 +98,10 @@
 	return seconds(max(0, tokens)/b.Refill) + time.Millisecond
 }
 
-// fill returns the bucket of an account with the tokens that have come meanwhile. One
-// that is new was empty when this instance last came to hold the share: when it settled,
-// when its process started, or when the holder before it had given out its last.
+// fill returns the bucket of an account after adding the tokens refilled since the last
+// call. A new bucket counts as empty at the time at which this instance came to hold the
+// share: the latest of when it settled, when its process started, and when the previous
+// holder granted its last token.
 func (l *Ledger) fill(now time.Duration, name string, budget Budget) *bucket {
 	b := l.buckets[name]
 	if b == nil {
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -9,117 +9,121 @@
 )
 
 const (
-	// stockOfLife is for which part of the life of a token an account's usual use is kept
-	// ahead: so few are lost when the use falls.
+	// stockOfLife is the fraction of a token's lifetime whose average use of tokens is
+	// prefetched. It is low enough that few tokens expire unused when the use falls.
 	stockOfLife = 0.5
-	// maxStock bounds the tokens that are asked for at once.
+	// maxStock bounds the number of tokens prefetched for an account.
 	maxStock = 64
-	// gapSpan is the number of operations over which the usual pause between them is
+	// gapSpan is the number of operations over which the interval between them is
 	// averaged.
 	gapSpan = 8
-	// awayPause is the longest for which a holder that did not answer is not asked again, and
-	// one that holds nothing.
+	// awayPause is the longest backoff for a holder that did not answer, and the pause
+	// for one that does not hold the account.
 	awayPause = time.Second
-	// firstPause is for how long it is not asked after the first time: one that has just
-	// started answers a moment later. It doubles with each time in a row.
+	// firstPause is the initial backoff for a holder that did not answer. It is short
+	// since one that has just started answers soon, and doubles with each failure in a
+	// row.
 	firstPause = 100 * time.Millisecond
-	// emptyPause is the least time before a holder without tokens is asked again: many
-	// instances may want the next one.
+	// emptyPause is the minimum time before a holder without tokens is asked again,
+	// since many instances may compete for the next token.
 	emptyPause = 100 * time.Millisecond
 )
 
-// Meter is the tokens that one instance has taken, and whom to ask for more. It is not
-// safe for concurrent use.
+// Meter caches the tokens that one instance has fetched from limit holders and decides
+// when to fetch more and from which holder. It is not safe for concurrent use.
 type Meter struct {
 	self     string
 	near     string // this instance's data centre
 	holders  *Holders
-	centres  map[string]string  // data centre by instance, of those that are alive
-	away     map[string]silence // holders that did not answer
+	centres  map[string]string  // data centre by instance, for those that are alive
+	away     map[string]silence // backoff by holder, for those that did not answer
 	accounts map[string]*stock
 }
 
-// silence is what is known of a holder that did not answer.
+// silence is the backoff state of a holder that did not answer.
 type silence struct {
-	until time.Duration // until when it is not asked
-	times int           // in a row
+	until time.Duration // end of the backoff
+	times int           // failures in a row
 }
 
-// stock is what the instance has of one account.
+// stock is the state of one account.
 type stock struct {
-	batches []batch                  // by the end of their life
-	empty   map[string]time.Duration // until when a holder has none, by name
-	unready map[string]time.Duration // until when one cannot tell
+	batches []batch                  // cached tokens, ordered by expiry
+	empty   map[string]time.Duration // by holder: end of the pause after it had no tokens
+	unready map[string]time.Duration // by holder: end of the pause after it could not serve the account
 	last    time.Duration            // when the last token was used
-	gap     time.Duration            // usual pause between two uses; 0: not known
-	life    time.Duration            // of the tokens that came last
+	gap     time.Duration            // moving average of the interval between uses; 0: unknown
+	life    time.Duration            // lifetime of the tokens granted last
 }
 
-// batch is some tokens that end together.
+// batch is a number of tokens with the same expiry.
 type batch struct {
 	tokens int
 	until  time.Duration
 }
 
-// NewMeter returns a meter without tokens.
+// NewMeter returns a cache without tokens.
 func NewMeter(self, dataCentre string) *Meter {
 	return &Meter{self: self, near: dataCentre, holders: NewHolders(nil), away: make(map[string]silence), accounts: make(map[string]*stock)}
 }
 
-// Register takes in the registered instances and the data centres of those alive.
+// Register sets the limit holders and the data centres of the instances that are alive.
 func (m *Meter) Register(h *Holders, alive map[string]string) {
 	m.holders, m.centres = h, alive
 }
 
-// Token is the right to one operation. The zero one is none.
+// Token permits one operation until it expires. The zero token stands for an operation that
+// needs none and never expires.
 type Token struct{ until time.Duration }
 
-// TokenUntil returns a token that is worth something until a time.
+// TokenUntil returns a token that expires at a time.
 func TokenUntil(until time.Duration) Token { return Token{until: until} }
 
-// Expired reports whether the token is not worth anything any more, so that its operation
-// must not be sent to a member with it. The zero token never expires.
+// Expired reports whether the token has expired, so that its operation must not be sent to
+// a member any more. The zero token never expires.
 func (t Token) Expired(now time.Duration) bool { return t != (Token{}) && t.until <= now }
 
-// Return takes back a token whose operation has not run.
+// Return puts the token of an operation that did not run back into the cache.
 func (m *Meter) Return(name string, t Token) {
 	if t != (Token{}) {
 		m.stock(name).add(batch{tokens: 1, until: t.until})
 	}
 }
 
-// Verdict is what is to be done about an operation.
+// Verdict says how to proceed with an operation.
 type Verdict int
 
 // The verdicts.
 const (
-	Run    Verdict = iota // a token was used
-	Ask                   // a token must be asked for first
-	Refuse                // no holder has one
+	Run    Verdict = iota // run the operation: a token was used
+	Ask                   // fetch tokens from a holder first
+	Refuse                // reject the operation: no holder is known to have a token
 )
 
-// Decision is the answer of Take.
+// Decision is the result of Take.
 type Decision struct {
 	Verdict  Verdict
-	Token    Token    // with Run: what was used
-	Holder   string   // to be asked: with Ask before the operation, with Run ahead of the next; empty: nobody
-	Wanted   int      // tokens
+	Token    Token    // with Run: the token used
+	Holder   string   // from which to fetch tokens: with Ask for this operation, with Run ahead of need; empty: none
+	Wanted   int      // number of tokens to fetch
 	Shortage Shortage // with Refuse
 }
 
-// Shortage tells why an account has no token now.
+// Shortage describes why no token is available for an account.
 type Shortage struct {
-	ComeBack time.Duration // after what time one can be had
-	Without  int           // holders that said that they have none
-	Silent   int           // that did not answer a moment ago, or could not tell
-	Gone     int           // that are not alive
+	ComeBack time.Duration // delay after which one may be available
+	Without  int           // holders that reported having no token
+	Silent   int           // holders that recently did not answer or could not serve the account
+	Gone     int           // holders that are not alive
 }
 
-// Empty reports whether all holders said that they have no token. On one side of a cut
-// nobody knows that: instances on the other side may reach those that are missed here.
+// Empty reports whether the account is at its limit: all holders reported having no token.
+// During a network partition this is false, since instances on the other side may reach
+// the holders that are unreachable here.
 func (s Shortage) Empty() bool { return s.Without > 0 && s.Silent == 0 && s.Gone == 0 }
 
-// Take uses a token of an account for an operation.
+// Take uses a cached token for an operation of an account, or returns from which holder to
+// fetch some, or why none is available.
 func (m *Meter) Take(now time.Duration, name string) Decision {
 	s := m.stock(name)
 	s.expire(now)
@@ -135,8 +139,9 @@
 	return d
 }
 
-// Ahead returns the holder to ask for tokens ahead of need, and how many, or no holder when
-// there are enough, or none may have any. Half of what is kept ahead may be used before.
+// Ahead returns the holder from which to prefetch tokens and their number, or no holder if
+// enough tokens are cached or no holder may have any. It prefetches once fewer than half of
+// the target are left.
 func (m *Meter) Ahead(now time.Duration, name string) (string, int) {
 	s := m.stock(name)
 	s.expire(now)
@@ -148,10 +153,10 @@
 	return holder, target - left
 }
 
-// Next returns the holder to ask for tokens while some operations wait for one, and how
-// many, but for those that have been asked and are late. Without a holder, open reports
-// whether the late ones are to be awaited: when operations wait and no holder has said that
-// it has none.
+// Next returns the holder to ask next, and for how many tokens, while some operations wait
+// for one. It skips the holders in late, which were asked and have not answered yet. If
+// there is no other holder, open reports whether to wait for the late ones: if operations
+// wait and no holder has reported having no token.
 func (m *Meter) Next(now time.Duration, name string, waiting int, late []string) (holder string, wanted int, open bool) {
 	s := m.stock(name)
 	s.expire(now)
@@ -166,7 +171,8 @@
 	return holder, waiting + s.target(), shortage.Without == 0
 }
 
-// Granted takes in a holder's answer to a question that was sent at a time.
+// Granted processes the answer of a holder to a request that was sent at time sent. The
+// lifetime of tokens counts from then, shortened by the clock drift.
 func (m *Meter) Granted(sent, now time.Duration, name, holder string, g Grant) {
 	s := m.stock(name)
 	delete(m.away, holder)
@@ -177,7 +183,7 @@
 	case !g.Holder && g.ComeBack > 0:
 		s.unready[holder] = now + min(g.ComeBack, awayPause)
 	case !g.Holder:
-		s.unready[holder] = now + awayPause // it sees other holders
+		s.unready[holder] = now + awayPause // its list of registered instances yields other holders
 	case g.Tokens == 0:
 		s.empty[holder] = now + max(g.ComeBack, emptyPause)
 	default:
@@ -192,13 +198,13 @@
 	slices.SortFunc(s.batches, func(a, b batch) int { return cmp.Compare(a.until, b.until) })
 }
 
-// Failed notes that a holder did not answer.
+// Failed records that a holder did not answer and starts its backoff.
 func (m *Meter) Failed(now time.Duration, holder string) {
 	known := m.away[holder]
 	m.away[holder] = silence{until: now + min(firstPause<<known.times, awayPause), times: min(known.times+1, maxDoublings)}
 }
 
-// maxDoublings keeps the pause after a silence in range.
+// maxDoublings keeps the shift of the backoff in range.
 const maxDoublings = 10
 
 func (m *Meter) stock(name string) *stock {
@@ -210,9 +216,10 @@
 	return s
 }
 
-// ask returns the holder to ask for tokens of an account: this instance itself, then
-// near ones, each instance another one first. Without one that may have some it
-// returns after what time one may.
+// ask returns the holder from which to fetch tokens of an account: this instance itself if
+// it is one, else a holder in the same data centre, else any. Ties are broken by a hash of
+// this instance and the holder, which spreads instances over holders. If no holder may have
+// tokens, the shortage tells why and after what delay one may.
 func (m *Meter) ask(now time.Duration, name string, s *stock, late ...string) (string, Shortage) {
 	best, rank, shortage := "", 0, Shortage{ComeBack: awayPause}
 	var score uint64
@@ -252,12 +259,12 @@
 	return 2
 }
 
-// expire drops tokens that are not worth anything any more.
+// expire drops used up batches and expired tokens.
 func (s *stock) expire(now time.Duration) {
 	s.batches = slices.DeleteFunc(s.batches, func(b batch) bool { return b.tokens == 0 || b.until <= now })
 }
 
-// left returns how many tokens there are.
+// left returns the number of cached tokens.
 func (s *stock) left() int {
 	n := 0
 	for _, b := range s.batches {
@@ -266,7 +273,7 @@
 	return n
 }
 
-// use uses the token that ends first, and notes the pause since the one before.
+// use takes the token that expires first and updates the average interval between uses.
 func (s *stock) use(now time.Duration) Token {
 	token := Token{until: s.batches[0].until}
 	s.batches[0].tokens--
@@ -280,8 +287,9 @@
 	return token
 }
 
-// target returns how many tokens are to be kept ahead: those of the next while, and one
-// where the next operation usually comes within the life of a token.
+// target returns the number of tokens to keep cached: the average use in a fraction
+// stockOfLife of a token's lifetime plus one, or none if the next operation is usually
+// further away than that lifetime.
 func (s *stock) target() int {
 	switch {
 	case s.gap == 0 || s.gap >= s.life:
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -20,39 +20,39 @@
 	}
 }
 
-// removedAfter is after what time without a sign of life an instance's registration is
-// removed: 31.75 s after its lease was over (package lead), on a clock that is 1% fast.
+// removedAfter is the time without a heartbeat after which an instance's registration is
+// removed: 31.75 s after the expiry of its lease (package lead), on a clock that is 1% fast.
 const removedAfter = 31430 * time.Millisecond
 
-// world is a fleet with one account, seen from outside, in true time.
+// world simulates a fleet with one account. Its times are true time unless stated otherwise.
 type world struct {
 	t     *rapid.T
 	rules Rules
 	limit account.Limit
 	now   time.Duration
 	nodes []*node
-	used  []time.Duration // operations, in order
+	used  []time.Duration // times of the operations, in order
 }
 
-// node is one machine. Its process has a clock of its own.
+// node is one instance. Each of its processes has a clock that starts at 0.
 type node struct {
 	name       string
 	registered bool // in the store
 	settled    bool // in the store
-	alive      bool // in the store: its lease holds
+	alive      bool // in the store: its lease is valid
 	lastAlive  time.Duration
-	up, cut    bool
+	up, cut    bool // the process runs; it cannot reach the store
 
-	rate      float64 // of the process's clock
+	rate      float64 // speed of the process's clock relative to true time
 	started   time.Duration
 	ledger    *Ledger
-	confirmed time.Duration // on the process's clock
-	joined    time.Duration // when it registered for the first time, on the process's clock; settled: 0
-	seen      []string      // the registered instances, as it knows them
+	confirmed time.Duration // time of the store snapshot, on the process's clock
+	joined    time.Duration // time of the first registration, on the process's clock; -1: none yet
+	seen      []string      // the registered instances in the snapshot
 	tokens    []heldTokens
 }
 
-// heldTokens are tokens that a node has, and until when on its clock.
+// heldTokens are tokens held by an instance, with their expiry on its clock.
 type heldTokens struct {
 	n     int
 	until time.Duration
@@ -83,7 +83,8 @@
 	n.joined = -1
 }
 
-// sync lets a node read the store, which shows it as registered and alive.
+// sync lets an instance write its registration and heartbeat to the store and read a
+// snapshot.
 func (w *world) sync(n *node) {
 	if !n.up || n.cut {
 		return
@@ -106,8 +107,8 @@
 	n.confirmed = local
 }
 
-// pass lets time go by. Leases of who does not renew them end after 3 s, and
-// registrations long after that.
+// pass advances the time. Leases expire 3 s after the last heartbeat, and registrations
+// are removed after removedAfter.
 func (w *world) pass(d time.Duration) {
 	w.now += d
 	for _, n := range w.nodes {
@@ -120,7 +121,7 @@
 	}
 }
 
-// reserve lets one node ask another for tokens; the answer may come late.
+// reserve lets one instance request tokens from another, with a random latency each way.
 func (w *world) reserve(from, holder *node) {
 	if !from.up || !holder.up {
 		return
@@ -134,10 +135,10 @@
 	}
 }
 
-// surgeLength is longer than a window and the life of a token.
+// surgeLength is longer than a window plus the lifetime of a token.
 const surgeLength = 9 * time.Second
 
-// surge lets a node take and use all that all nodes give, again and again.
+// surge lets an instance repeatedly fetch and use all tokens that all instances grant.
 func (w *world) surge(n *node) {
 	const pause = 250 * time.Millisecond
 	for range surgeLength / pause {
@@ -154,7 +155,7 @@
 	}
 }
 
-// spend lets a node use all tokens that are still worth something.
+// spend lets an instance use all of its unexpired tokens.
 func (w *world) spend(n *node) {
 	if !n.up {
 		return
@@ -182,8 +183,9 @@
 	}
 }
 
-// TestNoWindowExceedsTheLimit drives a fleet through cuts, restarts, joins and removals,
-// with callers that want all they can get, and counts every window.
+// TestNoWindowExceedsTheLimit takes a fleet through random partitions, restarts, joins and
+// removals, with clients that use every token available, and checks the number of
+// operations in every window.
 func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, rules: Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}}
@@ -208,7 +210,7 @@
 func (w *world) step() {
 	n := rapid.SampledFrom(w.nodes).Draw(w.t, "node")
 	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "what") {
-	case "greed": // a node takes from all others, and uses it now or as late as it can
+	case "greed": // an instance fetches tokens from all, and uses them at once or later
 		for _, holder := range w.nodes {
 			w.reserve(n, holder)
 		}
@@ -216,11 +218,11 @@
 			w.pass(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second}).Draw(w.t, "for"))
 		}
 		w.spend(n)
-	case "surge": // all that all give, for longer than a window
+	case "surge": // an instance uses all tokens of all instances for longer than a window
 		w.surge(n)
 	case "pass":
 		w.pass(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}).Draw(w.t, "for"))
-	case "leap": // long enough for pictures and registrations to end, while some hear of the store
+	case "leap": // longer than snapshots stay valid and registrations last, while the instances that reach the store sync
 		for range 8 {
 			w.pass(4 * time.Second)
 			for _, other := range w.nodes {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,27 +1,33 @@
-// Package quota keeps what each client account asks of the whole fleet within the
-// account's limit, whatever instances are cut off, restart or join.
+// Package quota enforces the rate limits of client accounts over the whole fleet, also
+// while instances are partitioned, restart or join. Package limits adds the clock, the
+// locking and the calls between instances.
 //
-// An account's limit is a rate and a burst. What counts is every sliding window of a
-// given length, in which an account may have rate x window + burst operations, with a
-// tolerance (a share of that, and some operations more). The package spends the
-// tolerance on what a fleet cannot know at once, and gives away nothing beyond it.
+// A limit is a rate and a burst. It applies to every sliding window of a configured length:
+// in each of them an account may run rate x window + burst operations, plus a tolerance (a
+// fraction of that number and some operations). The tolerance covers what distributed
+// instances cannot know of one another; it is never exceeded.
 //
-// Some registered instances hold a share of each account's limit each (Holders), as a
-// token bucket that is empty when its process starts (Ledger). Whoever runs statements
-// takes tokens from them, a few ahead of need, which are worth nothing after a while
-// (Meter). So a statement waits for nobody in the usual case, an instance that is cut
-// off goes on with what it can reach, and one that is gone takes its share of the limit
-// with it, and nothing else: with the usual load at 0.62 of the limit, two of six holders
-// may be away at once before anybody is refused.
+// A limit is divided equally among a few of the registered instances, the limit holders of
+// the account (Holders). Each has a token bucket for its share, which is empty when its
+// process starts (Ledger). Instances that run statements fetch tokens from the holders, a
+// few ahead of need; tokens expire after a short lifetime (Meter). So a statement usually
+// waits for no round trip, a partitioned instance goes on with the holders that it reaches,
+// and an instance that fails takes only its share of the limit with it: under the usual
+// load of 0.62 of the limit, two of six holders may be down before operations are rejected.
+// Ingress instances reject operations of accounts at their limit without forwarding them
+// (Door).
 //
-// That at most the shares of one limit are given out rests on three things, which
-// TestNoWindowExceedsTheLimit drives through cuts, restarts, late messages and clocks that
-// drift: holders are the first in rank among the registered, by a picture of the
-// store that is not older than Validity; an instance holds nothing before it has been
-// registered for as long (SettleAfter); and its registration ends only when it has not been
-// alive for longer than Validity.
+// Three invariants ensure that at most one limit's worth of shares is held at any time:
+//   - The holders of an account are the highest ranked among the registered instances,
+//     according to a snapshot of the store that is no older than Validity.
+//   - An instance holds no share until it has been registered for that long (SettleAfter).
+//   - A registration is removed only after the instance has not been alive for longer than
+//     Validity.
 //
-// The package has no I/O, clock or goroutine.
+// TestNoWindowExceedsTheLimit checks the result under partitions, restarts, delayed
+// messages and clock drift.
+//
+// The package has no I/O, clock or goroutine; the time is passed in.
 package quota
 
 import (
@@ -31,54 +37,54 @@
 )
 
 const (
-	// Validity is how old the picture of the store may be by which an instance holds
-	// shares. It is less than the time after which an instance that is gone loses its
-	// registration (32 s).
+	// Validity is the maximum age of the store snapshot by which an instance holds
+	// shares. It is less than the time after which the registration of a failed instance
+	// is removed (32 s).
 	Validity = 28 * time.Second
-	// SettleAfter is for how long an instance must have been registered before it holds
-	// shares, on its own clock.
+	// SettleAfter is how long an instance must have been registered, by its own clock,
+	// before it holds shares. The 2% over Validity cover clock drift.
 	SettleAfter = Validity + Validity/50
-	// silentBefore is for how long a holder has given out nothing when its registration is
-	// removed, and with it the reason why another one holds its share: the 32 s less
-	// Validity, each by a clock of its own. A process that starts again counts from its start
-	// so, not from when it has read the store: those are the seconds in which
-	// all callers return.
+	// silentBefore is how long a holder has granted no tokens when its registration is
+	// removed, upon which another instance takes over its share: the 32 s less Validity,
+	// allowing for the drift of both clocks. Because of it a restarted process refills
+	// its buckets from its start rather than from its first read of the store: these are
+	// the seconds in which all clients reconnect.
 	silentBefore = 3 * time.Second
-	// drift is the part by which the clocks of two instances may differ in speed.
+	// drift is the maximum relative difference in speed between the clocks of two
+	// instances.
 	drift = 0.01
-	// minLife and maxLife bound for how long a token is worth something. It must outlast
-	// its way to whoever uses it; and a token that waits for long is one that nobody
-	// else can use.
+	// minLife and maxLife bound the lifetime of a token. It must be longer than the
+	// network latency to the instance that uses it; on the other hand a cached token is
+	// unavailable to all other instances.
 	minLife = 200 * time.Millisecond
 	maxLife = 3 * time.Second
-	// lifeOfTolerance and lifeOfSlack are the parts of the tolerance and of the slack that
-	// are spent on a longer life of tokens, so that an account which asks little finds one
-	// waiting at each of its carriers. The rest makes the buckets deep enough for what many
-	// instances ask for ahead.
+	// lifeOfTolerance and lifeOfSlack are the fractions of the tolerance and of the slack
+	// that are spent on a longer token lifetime, so that an account with few operations
+	// finds a cached token at each of its carriers. The rest makes the buckets deep
+	// enough for many instances that prefetch tokens.
 	lifeOfTolerance = 0.4
 	lifeOfSlack     = 0.5
 )
 
-// Rules say how an account's use is judged.
+// Rules define how operations are counted against a limit.
 type Rules struct {
-	Window    time.Duration // every span of this length is counted
-	Tolerance float64       // part of the limit by which a window may exceed it
-	Slack     float64       // operations by which a window may exceed it beyond that
+	Window    time.Duration // length of the sliding window
+	Tolerance float64       // fraction of the limit by which a window may exceed it
+	Slack     float64       // number of operations by which a window may exceed it in addition
 }
 
-// Budget is what the rules allow an account: a bucket of tokens, of which each is worth
-// an operation for a while.
+// Budget holds the parameters of the token bucket that enforces a limit.
 type Budget struct {
-	Refill float64       // tokens a second
-	Depth  float64       // tokens at the most
-	Life   time.Duration // of a token, from when it was asked for
+	Refill float64       // tokens per second
+	Depth  float64       // maximum number of tokens
+	Life   time.Duration // lifetime of a token, from when the request for it was sent
 }
 
-// Budget returns the budget of an account. In any window and the life of a token before
-// it, no more tokens are given out than operations are allowed in a window. Tokens come
-// as fast as an account may go on asking, window after window, which is faster than its rate:
-// with a burst of a second's rate and a window of 5 s, a bucket that is refilled at the rate
-// gives 0.83 of what may be had, as reckoned.
+// Budget returns the bucket parameters for a limit. In any window plus one token lifetime
+// before it, no more tokens are granted than operations are allowed in the window. The
+// refill rate is the highest rate that an account may sustain window after window, which
+// exceeds the rate of its limit: with a burst of one second's rate and a window of 5 s, a
+// bucket refilled at the limit's rate would yield 0.83 of the operations allowed.
 func (r Rules) Budget(l account.Limit) Budget {
 	if l.Rate <= 0 && l.Burst <= 0 {
 		return Budget{}
@@ -95,7 +101,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// share returns the part of a budget that one of some holders gives out.
+// share returns the bucket parameters of one of some holders, which divide a budget equally.
 func (b Budget) share(holders int) Budget {
 	n := float64(max(holders, 1))
 	return Budget{Refill: b.Refill / n, Depth: b.Depth / n, Life: b.Life}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,8 +13,9 @@
 
 var rules = Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}
 
-// In a window and the life of a token before it, as many tokens come as operations are
-// allowed in the window; an account gets its rate, and buckets hold a token at least.
+// In a window plus one token lifetime no more tokens are granted than operations are
+// allowed in the window. The limit's sustained rate is refilled, and the bucket is deep
+// enough for one token per holder unless the limit is very small.
 func TestBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules Rules
@@ -49,7 +50,8 @@
 	return names
 }
 
-// Few instances hold shares of any account, and one more or less changes few.
+// The holders of all accounts are a small part of the instances, and adding or removing an
+// instance changes the holders of few accounts.
 func TestHoldersAreFewAndStay(t *testing.T) {
 	all, fewer := NewHolders(names(550)), NewHolders(names(549))
 	holding := make(map[string]bool)
@@ -69,7 +71,7 @@
 	must.Len(t, 2, NewHolders(names(2)).Of("a"))
 }
 
-// fleetOf returns a meter before some holders that are all alive.
+// fleetOf returns a token cache and the buckets of n holders, all of which are alive.
 func fleetOf(n int) (*Meter, map[string]*Ledger) {
 	m := NewMeter("front-000", "dc")
 	holders := NewHolders(names(n))
@@ -84,8 +86,9 @@
 	return m, ledgers
 }
 
-// operate plays operations of one account at a steady pace, each question answered in a
-// millisecond, and returns how many ran at once, had to ask first, and were refused.
+// operate simulates operations of one account at regular intervals, with a latency of one
+// millisecond to the holders. It returns how many ran at once, how many had to fetch a
+// token first, and how many were rejected.
 func operate(m *Meter, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (atOnce, asked, refused int) {
 	const way = time.Millisecond
 	ask := func(now time.Duration, d Decision) {
@@ -118,8 +121,8 @@
 	return atOnce, asked, refused
 }
 
-// An account that stays within its limit, as accounts do but for bursts, waits for no
-// question: 0.62 of the rate, steadily, at one instance.
+// The operations of an account at 0.62 of its limit's rate, the usual load, through one
+// instance find prefetched tokens: almost none waits for a round trip.
 func TestOperationsWithinTheLimitDoNotWait(t *testing.T) {
 	for _, rate := range []float64{2, 20, 200} {
 		m, ledgers := fleetOf(71)
@@ -130,19 +133,19 @@
 	}
 }
 
-// An account that asks ten times its limit gets its limit, whichever holders are asked.
+// An account that demands ten times its limit gets its limit.
 func TestOperationsBeyondTheLimitGetTheLimit(t *testing.T) {
 	m, ledgers := fleetOf(71)
 	limit := account.Limit{Rate: 50, Burst: 50}
 	const length = time.Minute
 	atOnce, asked, _ := operate(m, ledgers, limit, time.Millisecond*2, length)
 	ran := float64(atOnce + asked)
-	allowed := limit.Rate + limit.Burst/rules.Window.Seconds() // a second, window after window
+	allowed := limit.Rate + limit.Burst/rules.Window.Seconds() // operations per second, sustained
 	must.GreaterEq(t, 0.95*allowed*length.Seconds(), ran)
 	must.LessEq(t, 1.05*allowed*length.Seconds()+rules.Budget(limit).Depth, ran)
 }
 
-// The limit is at hand while two of the six that share it are away.
+// Under the usual load no operation is rejected while two of the six holders are down.
 func TestTwoHoldersMayBeAway(t *testing.T) {
 	m, ledgers := fleetOf(71)
 	for _, holder := range m.holders.Of("a")[:2] {
@@ -153,7 +156,8 @@
 	must.Zero(t, refused)
 }
 
-// A refusal says when to come back, and that is true where nobody else asks.
+// A rejection advises a retry delay, after which a token is available if no other instance
+// has fetched it.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 0}
@@ -171,8 +175,9 @@
 	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.ComeBack, now, "a", limit, 1).Tokens)
 }
 
-// A registration that ended while its instance was cut off, and began anew, gives no
-// shares back at once: their buckets may have been held by others meanwhile.
+// An instance whose registration was removed while it was partitioned, and that registers
+// again, holds no share until it has settled, and then starts with an empty bucket: other
+// instances may have held its shares meanwhile.
 func TestShareBeginsEmptyAfterARegistrationThatEnded(t *testing.T) {
 	l := NewLedger("front-000", rules)
 	l.Settle(0)
@@ -188,7 +193,7 @@
 	must.Positive(t, l.Reserve(2*time.Minute+time.Second, 2*time.Minute+time.Second, "a", limit, 1).Tokens)
 }
 
-// A registration that is written again, as after its lease was lost, fills no bucket.
+// Renewing a registration, as after the loss of a lease, does not refill any bucket.
 func TestSettlingAgainGivesNothing(t *testing.T) {
 	l := NewLedger("front-000", rules)
 	l.Settle(0)
@@ -199,8 +204,8 @@
 	must.Zero(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
 }
 
-// A holder that does not answer is asked again soon after the first time, since it may
-// have just started, and then more and more seldom. What it might have is not known.
+// A holder that does not answer is asked again with exponential backoff, which starts short
+// since the holder may have just started. It does not count as having no token.
 func TestSilentHolderIsAskedAgain(t *testing.T) {
 	m, _ := fleetOf(1)
 	now, pause := time.Minute, firstPause
@@ -219,8 +224,8 @@
 	must.Eq(t, Ask, m.Take(now+time.Second, "a").Verdict)
 }
 
-// After a restart of all, holders say that they cannot tell yet: they are asked again soon,
-// and nobody concludes that the account is at its limit.
+// After a restart of all instances, holders without a store snapshot cannot serve accounts
+// yet. They are asked again soon, and the account does not count as being at its limit.
 func TestHolderThatHasJustStartedIsNotEmpty(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 10}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,9 +1,9 @@
-// Package retry decides whether a request that did not succeed is tried again.
-// It has no I/O, clock, randomness or goroutine of its own.
+// Package retry decides whether and when a failed request is retried. Package dispatch uses
+// it. It has no I/O, clock, randomness or goroutine of its own.
 //
-// The rule that must hold: without a request key nothing that may have run is
-// tried again. What was refused as not run may be, within the request's
-// deadline and the retry budget.
+// Invariant: a request that may have run is retried only if it carries a request key, which
+// makes it idempotent. A request that was rejected before it ran is retried within its
+// deadline, at a rate bounded by the retry budget.
 package retry
 
 import (
@@ -12,34 +12,34 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// Outcome is how one attempt ended.
+// Outcome describes how an attempt failed, and the state of its request.
 type Outcome struct {
 	Refusal   peerpb.Refusal
-	NotSent   bool          // the request did not leave this instance
+	NotSent   bool          // the request was not sent
 	Broken    bool          // the stream broke after the request was sent
-	Delivered bool          // part of the answer has reached the caller
-	Keyed     bool          // the request carries a key and is idempotent
-	Hint      bool          // the refusal names the owner
-	Attempt   int           // 1 for the first
-	Left      time.Duration // until the request's deadline
-	Jitter    float64       // uniform in [0, 1)
+	Delivered bool          // part of the answer was passed on to the client
+	Keyed     bool          // the request carries a request key and is idempotent
+	Hint      bool          // the rejection names the owner of the group
+	Attempt   int           // number of the failed attempt, from 1
+	Left      time.Duration // time until the request's deadline
+	Jitter    float64       // uniformly distributed in [0, 1)
 }
 
-// Decision tells what to do.
+// Decision says whether to retry and after what delay.
 type Decision struct {
 	Retry bool
 	After time.Duration
 }
 
-// Bounds of the delay between two attempts.
+// Bounds of the exponential backoff between two attempts, before jitter.
 const (
 	minDelay = 5 * time.Millisecond
 	maxDelay = 100 * time.Millisecond
 )
 
-// Next decides about one outcome. A drained budget does not refuse a retry, it
-// makes it wait for the longest delay, so that a failover is bridged without a
-// storm of requests.
+// Next decides about a failed attempt. With an exhausted budget a retry is still allowed,
+// but only after the longest delay, so that requests survive a failover without causing a
+// retry storm.
 func Next(o Outcome, b *Budget) Decision {
 	if !repeatable(o) {
 		return Decision{}
@@ -59,11 +59,11 @@
 }
 
 const (
-	freeRedirects = 3
-	maxShift      = 6
+	freeRedirects = 3 // attempts after which a retry at the named owner has neither delay nor cost
+	maxShift      = 6 // keeps the shift of the backoff in range
 )
 
-// repeatable reports whether another attempt is allowed at all.
+// repeatable reports whether the request may be retried at all.
 func repeatable(o Outcome) bool {
 	if o.Delivered || o.Left <= 0 {
 		return false
@@ -81,25 +81,24 @@
 	return false
 }
 
-// Budget bounds retries to a share of first attempts. It is not safe for
-// concurrent use.
+// Budget limits retries to a fraction of first attempts. It is not safe for concurrent use.
 type Budget struct {
 	tokens float64
 }
 
-// Settings of the budget: each first attempt earns a fifth of a retry.
+// Settings of the budget.
 const (
-	earned    = 0.2
-	maxTokens = 50
+	earned    = 0.2 // retries earned by each first attempt
+	maxTokens = 50  // retries that the budget holds at most
 )
 
 // NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{tokens: maxTokens} }
 
-// Earn notes a first attempt.
+// Earn records a first attempt.
 func (b *Budget) Earn() { b.tokens = min(b.tokens+earned, maxTokens) }
 
-// Take uses one retry up and reports whether there was one.
+// Take uses one retry of the budget, and reports whether one was available.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Retries stay within a fifth of the requests at short delays; beyond that they
-// wait for the longest one.
+// The number of retries with a short delay is at most a fifth of the requests plus the
+// initial budget. All further retries wait for the longest delay.
 func TestBudgetBoundsTheRate(t *testing.T) {
 	b := NewBudget()
 	short := 0
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,6 +1,6 @@
-// Package statement holds the vocabulary of the statement path that does not
-// depend on a protocol: what a caller asks for, what a member answers, and what
-// an error promises about the work it ends. It has no behaviour beyond that.
+// Package statement defines the protocol-independent types of the statement path: the
+// statements of clients, the answers of members, and error codes, which say whether a
+// failed statement may have run. It contains no logic beyond that.
 package statement
 
 import (
@@ -10,68 +10,68 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Kind is what a statement does.
+// Kind is the kind of a statement.
 type Kind int
 
-// The kinds.
+// The kinds of statements.
 const (
-	Begin     Kind = iota // opens a transaction that may write
-	BeginRead             // opens a transaction that only reads
+	Begin     Kind = iota // opens a read-write transaction
+	BeginRead             // opens a read-only transaction
 	Commit
 	Rollback
 	Read
 	Write
-	Set     // sets a session value
-	Prepare // names a statement
-	Execute // runs a named statement
-	Close   // forgets a named statement
+	Set     // sets a session variable
+	Prepare // prepares a statement under a name
+	Execute // runs a prepared statement
+	Close   // discards a prepared statement
 )
 
-// Statement is one request of a caller.
+// Statement is one statement of a client.
 type Statement struct {
-	ID   string // the caller's own, passed on unchanged
-	Text string // as the caller wrote it
+	ID   string // assigned by the client and passed on unchanged
+	Text string // as received from the client
 	Kind Kind
 
-	Name   string // Set: the value's name; Prepare, Execute, Close: the statement's
-	Value  string // Set
-	Writes bool   // Prepare: the named statement writes
-	Shape  string // Prepare: what is prepared
-	Args   string // Execute: what follows the name
+	Name   string // Set: name of the variable; Prepare, Execute, Close: name of the prepared statement
+	Value  string // Set: new value
+	Writes bool   // Prepare: the prepared statement writes
+	Shape  string // Prepare: text of the prepared statement
+	Args   string // Execute: arguments, the text after the name
 }
 
-// State is where a session stands between two statements.
+// State is the transaction state of a session between two statements.
 type State byte
 
-// The states.
+// The transaction states.
 const (
 	Idle          State = 'I'
 	InTransaction State = 'T'
-	Failed        State = 'E' // the transaction has failed and waits for its end
+	Failed        State = 'E' // the transaction has failed and must be ended
 )
 
 // Code says why a statement did not succeed.
 type Code int
 
-// The codes. NotRun tells which of them promise that nothing is kept.
+// The error codes. NotRun tells which of them guarantee that the statement had no effect.
 const (
-	Busy              Code = iota + 1 // no room in time
+	Busy              Code = iota + 1 // no connection was available in time
 	Aborted                           // the transaction was rolled back
-	Lagging                           // the replica's log is not far enough
-	ReadOnly                          // the member does not lead
+	Lagging                           // the replica's log has not reached the required position
+	ReadOnly                          // the member is not the primary
 	Misrouted                         // another member answers at that address
-	TooMany                           // the member takes no more connections
-	Unprepared                        // the member does not know the name
-	NoDatabase                        // no route leads to the database
-	Unauthenticated                   // no account holds the caller's key
-	Malformed                         // the request cannot be understood
-	StatementFailed                   // it ran, and failed
-	TimedOut                          // it may have run
-	Unknown                           // it may have run: the answer did not arrive
-	UnrecognisedError                 // the member's code is not known here: it may have run
+	TooMany                           // the member accepts no more connections
+	Unprepared                        // the member does not have the prepared statement
+	NoDatabase                        // no route for the database exists
+	Unauthenticated                   // the client's key belongs to no account
+	Malformed                         // the request cannot be parsed
+	StatementFailed                   // the statement ran and failed
+	TimedOut                          // no answer in time: the statement may have run
+	Unknown                           // the answer was lost: the statement may have run
+	UnrecognisedError                 // the member returned an unrecognised code: the statement may have run
 )
 
-// NotRun reports whether the code promises that nothing of the attempt is kept.
+// NotRun reports whether the code guarantees that the attempt had no lasting effect.
 func (c Code) NotRun() bool {
 	switch c {
 	case Busy, Aborted, Lagging, ReadOnly, Misrouted, TooMany, Unprepared, NoDatabase, Unauthenticated, Malformed:
@@ -95,32 +95,32 @@
 	TimedOut: "timed_out", Unknown: "outcome_unknown", UnrecognisedError: "unrecognised",
 }
 
-// Error is a statement's failure as the caller is told of it.
+// Error is the failure of a statement as reported to the client.
 type Error struct {
 	Code       Code
 	Detail     string
-	RetryAfter time.Duration // when to come back, for work that has not run; 0: no advice
+	RetryAfter time.Duration // advised retry delay for a statement that has not run; 0: none
 }
 
 // Error implements error.
 func (e *Error) Error() string { return e.Code.String() + ": " + e.Detail }
 
-// Answer is all that a statement got in return.
+// Answer is the complete answer to a statement.
 type Answer struct {
-	Rows     []string // as the member sent them
-	Receipt  string   // the member's proof that it ran the statement; "-" for none
-	Err      *Error   // nil: success
-	State    State
-	Position group.Position // end of the answering member's log; zero: not told
+	Rows     []string       // as sent by the member
+	Receipt  string         // sent by the member as evidence that it ran the statement; NoReceipt if none did
+	Err      *Error         // nil on success
+	State    State          // of the session after the statement
+	Position group.Position // end of the member's log; zero: not reported
 }
 
-// Failure returns the answer to a statement that ended with an error here.
+// Failure returns the answer to a statement that failed at this instance.
 func Failure(state State, code Code, format string, args ...any) Answer {
 	return Answer{State: state, Err: &Error{Code: code, Detail: fmt.Sprintf(format, args...)}}
 }
 
-// NoReceipt is the receipt of a statement that no member had to run.
+// NoReceipt is the receipt of a statement that was completed without a member.
 const NoReceipt = "-"
 
-// Done returns the answer to a statement that needed no member.
+// Done returns the success answer to a statement that was completed without a member.
 func Done(state State) Answer { return Answer{State: state, Receipt: NoReceipt} }
