--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -18,17 +18,17 @@
 // NewKey returns the key with a secret. The empty secret stands for no key.
 func NewKey(secret string) Key { return Key{secret: secret} }
 
-// hidden is printed in place of any key.
-const hidden = "(key)"
+// redacted is printed in place of any key.
+const redacted = "(key)"
 
 // String implements fmt.Stringer.
-func (Key) String() string { return hidden }
+func (Key) String() string { return redacted }
 
 // GoString implements fmt.GoStringer.
-func (Key) GoString() string { return hidden }
+func (Key) GoString() string { return redacted }
 
 // MarshalText implements encoding.TextMarshaler.
-func (Key) MarshalText() ([]byte, error) { return []byte(hidden), nil }
+func (Key) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
 // Limit is the rate limit of an account over the whole fleet.
 type Limit struct {
@@ -49,19 +49,19 @@
 // served as anonymous.
 type Directory struct {
 	seed     maphash.Seed
-	byKey    map[uint64][]owner
+	byKey    map[uint64][]keyOwner
 	accounts map[string]Limit
 }
 
-// owner is a key and the name of its account.
-type owner struct {
+// keyOwner is a key and the name of its account.
+type keyOwner struct {
 	key  Key
 	name string
 }
 
 // NewDirectory returns a directory of the given accounts.
 func NewDirectory(accounts []Account) *Directory {
-	d := &Directory{seed: maphash.MakeSeed(), byKey: make(map[uint64][]owner), accounts: make(map[string]Limit, len(accounts))}
+	d := &Directory{seed: maphash.MakeSeed(), byKey: make(map[uint64][]keyOwner), accounts: make(map[string]Limit, len(accounts))}
 	for _, a := range accounts {
 		d.accounts[a.Name] = a.Limit
 		for _, k := range a.Keys {
@@ -69,7 +69,7 @@
 				continue // an empty key matches no client
 			}
 			h := maphash.String(d.seed, k.secret)
-			d.byKey[h] = append(d.byKey[h], owner{key: k, name: a.Name})
+			d.byKey[h] = append(d.byKey[h], keyOwner{key: k, name: a.Name})
 		}
 	}
 	return d
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -59,7 +59,7 @@
 }
 
 // No way of printing or encoding a value that contains a key may reveal the key.
-func TestKeysDoNotShow(t *testing.T) {
+func TestKeysAreRedacted(t *testing.T) {
 	a := Account{Name: "confirm", Keys: []Key{NewKey(confirmKey)}}
 	encoded, err := json.Marshal(a)
 	must.NoError(t, err)
--- a/internal/connpool/account_test.go
+++ b/internal/connpool/account_test.go
@@ -23,7 +23,7 @@
 
 // For any sequence of requests of several accounts: each gets a connection of its own
 // account, no more connections exist than the capacity, and none in use is closed.
-func TestConnectionsServeTheirAccountOnly(t *testing.T) {
+func TestConnectionsAreNotSharedBetweenAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 4
 		accounts := []string{"", "a", "b", "c", "d", "e", "f"}
@@ -73,7 +73,7 @@
 }
 
 // An idle connection of an account stays open until another account needs its slot.
-func TestAccountsKeepTheirConnections(t *testing.T) {
+func TestIdleConnectionsOfAccountsAreKept(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 3}, never)
 	for range 3 {
 		for _, account := range []string{"a", "b"} {
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -64,23 +64,23 @@
 	now   func() time.Duration
 	dials chan struct{} // semaphore: holds an item for each dial in progress
 
-	mu       sync.Mutex // guards the rest
-	queue    *pool.Queue
-	idle     []idle[C]                // most recently used last
-	all      map[any]owned[C]         // by connection
-	owned    map[string]int           // number of connections by account
-	waiters  map[uint64]chan struct{} // by request ID; closed on a grant
-	nextID   uint64
-	freed    chan struct{} // closed and replaced when a connection becomes idle
-	failures int           // consecutive failed dials
-	retryAt  time.Duration // end of the backoff
-	looking  bool          // a timer to poll the queue is running
-	closed   bool
-	done     chan struct{} // closed by Close
-}
-
-// owned is a connection and the account that it belongs to.
-type owned[C Conn] struct {
+	mu             sync.Mutex // guards the rest
+	queue          *pool.Queue
+	idle           []idleConn[C]            // most recently used last
+	conns          map[any]ownedConn[C]     // by connection
+	connsByAccount map[string]int           // number of connections by account
+	waiters        map[uint64]chan struct{} // by request ID; closed on a grant
+	nextID         uint64
+	freed          chan struct{} // closed and replaced when a connection becomes idle
+	failures       int           // consecutive failed dials
+	retryAt        time.Duration // end of the backoff
+	polling        bool          // a timer to poll the queue is running
+	closed         bool
+	done           chan struct{} // closed by Close
+}
+
+// ownedConn is a connection and the account that it belongs to.
+type ownedConn[C Conn] struct {
 	conn    C
 	account string
 }
@@ -89,30 +89,30 @@
 // now is a monotonic clock, on which the deadlines of requests are measured.
 func New[C Conn](cfg Config, open func(ctx context.Context, account string) (C, error), now func() time.Duration) *Pool[C] {
 	return &Pool[C]{
-		cfg:     cfg,
-		open:    open,
-		now:     now,
-		dials:   make(chan struct{}, cfg.Dials),
-		queue:   pool.New(cfg.Queue),
-		all:     make(map[any]owned[C]),
-		owned:   make(map[string]int),
-		waiters: make(map[uint64]chan struct{}),
-		freed:   make(chan struct{}),
-		done:    make(chan struct{}),
+		cfg:            cfg,
+		open:           open,
+		now:            now,
+		dials:          make(chan struct{}, cfg.Dials),
+		queue:          pool.New(cfg.Queue),
+		conns:          make(map[any]ownedConn[C]),
+		connsByAccount: make(map[string]int),
+		waiters:        make(map[uint64]chan struct{}),
+		freed:          make(chan struct{}),
+		done:           make(chan struct{}),
 	}
 }
 
 // Lease is the exclusive use of one connection, from Acquire to Release.
 type Lease[C Conn] struct {
-	Conn    C
-	pool    *Pool[C]
-	request pool.Request
-	since   time.Duration // time of the grant
+	Conn      C
+	pool      *Pool[C]
+	request   pool.Request
+	grantedAt time.Duration // time of the grant
 
 	// Guarded by the pool's mu.
-	parked bool
-	used   time.Duration // time from the grant to the first call of Park; 0: not parked yet
-	ended  bool
+	parked     bool
+	activeTime time.Duration // time from the grant to the first call of Park; 0: not parked yet
+	ended      bool
 }
 
 // Park records that the connection runs nothing for a while, as between the statements of
@@ -125,11 +125,11 @@
 	if !l.parked && !l.ended {
 		now := p.now()
 		l.parked = true
-		if l.used == 0 {
-			l.used = now - l.since
+		if l.activeTime == 0 {
+			l.activeTime = now - l.grantedAt
 		}
 		p.queue.Park(l.request)
-		p.pass(now)
+		p.wakeGranted(now)
 	}
 }
 
@@ -148,15 +148,15 @@
 // so that idle transactions do not raise the average. The caller holds the pool's mu.
 func (l *Lease[C]) end() {
 	l.ended = true
-	used := l.used
+	used := l.activeTime
 	if used == 0 {
-		used = l.pool.now() - l.since
+		used = l.pool.now() - l.grantedAt
 	}
 	if l.parked {
 		l.parked = false
 		l.pool.queue.Unpark(l.request)
 	}
-	l.pool.finish(l.request, used)
+	l.pool.returnGrant(l.request, used)
 }
 
 // SetCapacity changes how many connections may be used at once.
@@ -164,7 +164,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue.SetCapacity(n)
-	p.pass(p.now())
+	p.wakeGranted(p.now())
 }
 
 // SetMaxActive changes how many connections may be in use at once, not counting parked
@@ -173,7 +173,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue.SetMaxActive(n)
-	p.pass(p.now())
+	p.wakeGranted(p.now())
 }
 
 // Pause stops granting flexible requests of a priority and of lower ones for a time.
@@ -184,7 +184,7 @@
 	time.AfterFunc(d, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.pass(p.now())
+		p.wakeGranted(p.now())
 	})
 }
 
@@ -234,7 +234,7 @@
 func (p *Pool[C]) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.all)
+	return len(p.conns)
 }
 
 // RetryAfter estimates the delay after which a rejected request would find a free slot.
@@ -260,8 +260,8 @@
 	if outcome == pool.Queued {
 		granted = make(chan struct{})
 		p.waiters[r.ID] = granted
-		p.lookLater()
-		p.pass(p.now()) // the reserve for pinned requests may have decayed since the last grant
+		p.schedulePoll()
+		p.wakeGranted(p.now()) // the reserve for pinned requests may have decayed since the last grant
 	}
 	p.mu.Unlock()
 	switch outcome {
@@ -297,42 +297,42 @@
 	if !p.queue.Cancel(r) {
 		select {
 		case <-granted:
-			p.finish(r, 0) // granted concurrently: return the grant
+			p.returnGrant(r, 0) // granted concurrently: return the grant
 		default:
 		}
 	}
 	return cause
 }
 
-// finish returns a grant to the queue and wakes the requests that are granted next. The
+// returnGrant returns a grant to the queue and wakes the requests that are granted next. The
 // caller holds mu.
-func (p *Pool[C]) finish(r pool.Request, used time.Duration) {
+func (p *Pool[C]) returnGrant(r pool.Request, used time.Duration) {
 	p.queue.Done(r, used)
-	p.pass(p.now())
+	p.wakeGranted(p.now())
 }
 
-// lookPause is the interval at which a non-empty queue is polled for grants. Polling is
+// pollInterval is the interval at which a non-empty queue is polled for grants. Polling is
 // necessary because the reserve for pinned requests decays with time, without any event.
-const lookPause = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
-// lookLater starts a timer that polls the queue, if requests are queued and no timer is
+// schedulePoll starts a timer that polls the queue, if requests are queued and no timer is
 // running. The caller holds mu.
-func (p *Pool[C]) lookLater() {
-	if p.looking || p.closed || p.queue.Waiting() == 0 {
+func (p *Pool[C]) schedulePoll() {
+	if p.polling || p.closed || p.queue.Waiting() == 0 {
 		return
 	}
-	p.looking = true
-	time.AfterFunc(lookPause, func() {
+	p.polling = true
+	time.AfterFunc(pollInterval, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.looking = false
-		p.pass(p.now())
-		p.lookLater()
+		p.polling = false
+		p.wakeGranted(p.now())
+		p.schedulePoll()
 	})
 }
 
-// pass wakes the waiters of the requests that the queue grants now. The caller holds mu.
-func (p *Pool[C]) pass(now time.Duration) {
+// wakeGranted wakes the waiters of the requests that the queue grants now. The caller holds mu.
+func (p *Pool[C]) wakeGranted(now time.Duration) {
 	granted, _ := p.queue.Next(now)
 	for _, g := range granted {
 		if waiter := p.waiters[g.ID]; waiter != nil {
@@ -345,15 +345,15 @@
 // connect returns a lease with an idle connection or a new one. During the reuse wait and
 // the backoff after a failed dial it waits for an existing connection of the account.
 func (p *Pool[C]) connect(ctx context.Context, r pool.Request, prefer func(C) int) (*Lease[C], error) {
-	lease := &Lease[C]{pool: p, request: r, since: p.now()}
+	lease := &Lease[C]{pool: p, request: r, grantedAt: p.now()}
 	for {
 		conn, ok, freed, wait := p.takeIdle(r, prefer)
 		if ok {
 			lease.Conn = conn
 			return lease, nil
 		}
-		if p.openFor(r) > 0 {
-			wait = max(wait, lease.since+p.cfg.Patience-p.now())
+		if p.usableConns(r) > 0 {
+			wait = max(wait, lease.grantedAt+p.cfg.Patience-p.now())
 		}
 		if wait <= 0 {
 			break
@@ -376,7 +376,7 @@
 	}
 	p.makeRoom()
 	conn, err := p.dial(ctx, r.Account)
-	if err != nil && p.cfg.Full != nil && p.cfg.Full(err) && p.dropOldest() {
+	if err != nil && p.cfg.Full != nil && p.cfg.Full(err) && p.closeOldestIdle() {
 		conn, err = p.dial(ctx, r.Account)
 	}
 	if err != nil {
@@ -390,7 +390,7 @@
 // awaitFreed waits until a connection has become idle, or until a dial may be attempted
 // after wait. It fails at once if no connection exists that the request could use.
 func (p *Pool[C]) awaitFreed(ctx context.Context, r pool.Request, freed <-chan struct{}, wait time.Duration) error {
-	if p.openFor(r) == 0 {
+	if p.usableConns(r) == 0 {
 		return ErrBackoff
 	}
 	left := r.Deadline - p.now()
@@ -432,32 +432,32 @@
 		conn.Kill()
 		return conn, ErrClosed
 	}
-	p.all[conn] = owned[C]{conn: conn, account: account}
-	p.owned[account]++
+	p.conns[conn] = ownedConn[C]{conn: conn, account: account}
+	p.connsByAccount[account]++
 	return conn, nil
 }
 
-// forget closes a connection and removes it from the pool. The caller holds mu.
-func (p *Pool[C]) forget(conn C) {
+// closeConn closes a connection and removes it from the pool. The caller holds mu.
+func (p *Pool[C]) closeConn(conn C) {
 	conn.Kill()
-	known, ok := p.all[conn]
+	entry, ok := p.conns[conn]
 	if !ok {
 		return
 	}
-	delete(p.all, conn)
-	if p.owned[known.account]--; p.owned[known.account] == 0 {
-		delete(p.owned, known.account)
+	delete(p.conns, conn)
+	if p.connsByAccount[entry.account]--; p.connsByAccount[entry.account] == 0 {
+		delete(p.connsByAccount, entry.account)
 	}
 }
 
-// openFor returns how many existing connections a request could use, idle or not.
-func (p *Pool[C]) openFor(r pool.Request) int {
+// usableConns returns how many existing connections a request could use, idle or not.
+func (p *Pool[C]) usableConns(r pool.Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.Any {
-		return len(p.all)
+		return len(p.conns)
 	}
-	return p.owned[r.Account]
+	return p.connsByAccount[r.Account]
 }
 
 // GiveBack ends a lease that has no connection.
@@ -479,11 +479,11 @@
 	defer p.mu.Unlock()
 	switch {
 	case clean && !p.closed:
-		p.idle = append(p.idle, idle[C]{conn: l.Conn, account: p.all[l.Conn].account, since: p.now()})
+		p.idle = append(p.idle, idleConn[C]{conn: l.Conn, account: p.conns[l.Conn].account, since: p.now()})
 		close(p.freed)
 		p.freed = make(chan struct{})
 	default:
-		p.forget(l.Conn)
+		p.closeConn(l.Conn)
 	}
 	l.end()
 }
@@ -497,7 +497,7 @@
 	}
 	p.closed = true
 	close(p.done)
-	for _, o := range p.all {
+	for _, o := range p.conns {
 		o.conn.Kill()
 	}
 	p.idle = nil
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -57,7 +57,7 @@
 }
 
 // During the backoff after a failed dial a request waits for an existing connection.
-func TestBackoffWaitsForConnectionsThatExist(t *testing.T) {
+func TestBackoffWaitsForExistingConnections(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 1}, never)
 	first := acquire(t, p)
 	_, err := p.Acquire(t.Context(), pool.Request{Service: "s", Deadline: never}, nil)
@@ -129,7 +129,7 @@
 
 // Parking a lease that has ended has no effect. Otherwise its slot would stay parked for
 // ever.
-func TestParkAfterTheEndChangesNothing(t *testing.T) {
+func TestParkAfterReleaseHasNoEffect(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 2}, never)
 	p.SetMaxActive(1)
 	for range 3 {
@@ -145,7 +145,7 @@
 }
 
 // A request held by a pause is granted at its end without any other event.
-func TestPauseEndsByItself(t *testing.T) {
+func TestPauseEndsWithoutFurtherEvents(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 1}, never)
 	const pause = time.Millisecond
 	p.Pause(0, pause)
@@ -165,7 +165,7 @@
 
 // The time in use counts only until the lease is first parked, so that an idle transaction
 // does not make the member look slow.
-func TestHeldTimeLeavesRestsOut(t *testing.T) {
+func TestHoldTimeExcludesParkedTime(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 1}, never)
 	lease := acquire(t, p)
 	clock.Store(int64(20 * time.Millisecond))
@@ -182,7 +182,7 @@
 
 // Pinned requests have just ended, and a read waits for a slot that stays reserved for
 // more of them. The reserve decays, and the read is granted without any other event.
-func TestReserveThatIsNotUsedComesFree(t *testing.T) {
+func TestUnusedReserveDecays(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 4}, never)
 	p.SetCapacity(4)
 	read := pool.Request{Elsewhere: true, Deadline: time.Hour}
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -9,8 +9,8 @@
 	"github.com/stackspindle/stackspindle/internal/pool"
 )
 
-// idle is a connection that no lease holds.
-type idle[C Conn] struct {
+// idleConn is a connection that no lease holds.
+type idleConn[C Conn] struct {
 	conn    C
 	account string        // account that it belongs to
 	since   time.Duration // time at which it became idle
@@ -34,14 +34,14 @@
 		if conn.Alive() {
 			return conn, true, nil, 0
 		}
-		p.forget(conn)
+		p.closeConn(conn)
 	}
 }
 
 // bestIdle returns the index of the idle connection that takeIdle takes next, -1 if there
 // is none. The caller holds mu.
 func (p *Pool[C]) bestIdle(r pool.Request, prefer func(C) int) int {
-	best, rank := -1, 0
+	best, bestScore := -1, 0
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if !r.Any && p.idle[i].account != r.Account {
 			continue
@@ -49,8 +49,8 @@
 		if prefer == nil {
 			return i
 		}
-		if rated := prefer(p.idle[i].conn); best < 0 || rated > rank {
-			best, rank = i, rated
+		if score := prefer(p.idle[i].conn); best < 0 || score > bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
@@ -63,7 +63,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	surplus := p.queue.InUse() + len(p.idle) - p.queue.Capacity()
-	p.dropIdle(func(idle[C]) bool {
+	p.closeIdleWhere(func(idleConn[C]) bool {
 		surplus--
 		return surplus >= 0
 	})
@@ -73,17 +73,17 @@
 func (p *Pool[C]) DropIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropIdle(func(idle[C]) bool { return true })
+	p.closeIdleWhere(func(idleConn[C]) bool { return true })
 }
 
 // Shrink closes connections that have been idle for at least the time unused, as long as
 // more than keep connections exist.
-func (p *Pool[C]) Shrink(unused time.Duration, keep int) {
+func (p *Pool[C]) Shrink(minIdle time.Duration, keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, open := p.now(), len(p.all)
-	p.dropIdle(func(i idle[C]) bool {
-		if open <= keep || now-i.since < unused {
+	now, open := p.now(), len(p.conns)
+	p.closeIdleWhere(func(i idleConn[C]) bool {
+		if open <= keep || now-i.since < minIdle {
 			return false
 		}
 		open--
@@ -91,25 +91,25 @@
 	})
 }
 
-// dropIdle closes the idle connections for which drop returns true. It visits them from
+// closeIdleWhere closes the idle connections for which drop returns true. It visits them from
 // the least to the most recently used. The caller holds mu.
-func (p *Pool[C]) dropIdle(drop func(idle[C]) bool) {
-	p.idle = slices.DeleteFunc(p.idle, func(i idle[C]) bool {
+func (p *Pool[C]) closeIdleWhere(drop func(idleConn[C]) bool) {
+	p.idle = slices.DeleteFunc(p.idle, func(i idleConn[C]) bool {
 		if !drop(i) {
 			return false
 		}
-		p.forget(i.conn)
+		p.closeConn(i.conn)
 		return true
 	})
 }
 
-// dropOldest closes the connection that has been idle for longest. It reports whether
+// closeOldestIdle closes the connection that has been idle for longest. It reports whether
 // there was an idle connection.
-func (p *Pool[C]) dropOldest() bool {
+func (p *Pool[C]) closeOldestIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	dropped := false
-	p.dropIdle(func(idle[C]) bool {
+	p.closeIdleWhere(func(idleConn[C]) bool {
 		first := !dropped
 		dropped = true
 		return first
@@ -134,7 +134,7 @@
 			return
 		}
 		p.mu.Lock()
-		p.idle = append(p.idle, idle[C]{conn: conn, since: p.now()})
+		p.idle = append(p.idle, idleConn[C]{conn: conn, since: p.now()})
 		p.mu.Unlock()
 	}
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	// askTimeout is the timeout of a call for tokens. An instance that has used up its
+	// callTimeout is the timeout of a call for tokens. An instance that has used up its
 	// CPU quota stands still for as long.
-	askTimeout = 100 * time.Millisecond
-	// lateTimes is the multiple of the average response time after which a holder counts
+	callTimeout = 100 * time.Millisecond
+	// lateFactor is the multiple of the average response time after which a holder counts
 	// as late and the next holder is asked concurrently. The delay is at least minLate,
 	// which a busy instance may take to answer, and at most maxLate.
-	lateTimes = 3
-	minLate   = 8 * time.Millisecond
-	maxLate   = 25 * time.Millisecond
-	// unansweredPause is the retry delay advised for an operation that got no answer in
+	lateFactor = 3
+	minLate    = 8 * time.Millisecond
+	maxLate    = 25 * time.Millisecond
+	// unansweredRetryAfter is the retry delay advised for an operation that got no answer in
 	// time. A few more calls may have succeeded by then.
-	unansweredPause = 250 * time.Millisecond
-	// usualSpan is the number of calls over which the response time is averaged.
-	usualSpan = 16
-	// countedAccounts bounds the accounts with counters of their own. Further accounts
-	// are counted together as otherAccounts.
-	countedAccounts = 512
-	otherAccounts   = "others"
+	unansweredRetryAfter = 250 * time.Millisecond
+	// responseTimeSpan is the number of calls over which the response time is averaged.
+	responseTimeSpan = 16
+	// maxCountedAccounts bounds the accounts with counters of their own. Further accounts
+	// are counted together as otherAccountsLabel.
+	maxCountedAccounts = 512
+	otherAccountsLabel = "others"
 )
 
 // Limiter checks operations against account limits and serves this instance's shares of
@@ -56,17 +56,17 @@
 	counters counters
 	timeout  time.Duration // of a call for tokens
 
-	mu         sync.Mutex // guards the rest
-	meter      *quota.Meter
-	ledger     *quota.Ledger
-	confirmed  time.Duration // when the store snapshot was last known to be current
-	registered []string
-	holders    *quota.Holders           // derived from registered
-	addresses  map[string]string        // by name, of the instances that are alive
-	questions  map[string]chan struct{} // fetches in progress by account; each channel is closed at the end
-	waiting    map[string]int           // operations that wait for a token, by account
-	usual      time.Duration            // moving average of the response time of calls; 0: unknown
-	door       *quota.Door
+	mu               sync.Mutex // guards the rest
+	tokens           *quota.Meter
+	buckets          *quota.Ledger
+	snapshotTime     time.Duration // when the store snapshot was last known to be current
+	registered       []string
+	holders          *quota.Holders           // derived from registered
+	addresses        map[string]string        // by name, of the instances that are alive
+	fetches          map[string]chan struct{} // fetches in progress by account; each channel is closed at the end
+	waiting          map[string]int           // operations that wait for a token, by account
+	meanResponseTime time.Duration            // moving average of the response time of calls; 0: unknown
+	rejections       *quota.Door
 }
 
 // Config holds the settings and dependencies of a limiter.
@@ -86,15 +86,15 @@
 func New(cfg Config) *Limiter {
 	return &Limiter{
 		self: cfg.Self.Name, accounts: cfg.Accounts, conns: cfg.Conns, now: cfg.Now, spawn: cfg.Spawn, log: cfg.Log,
-		counters:  counters{set: cfg.Metrics, named: make(map[string]bool)},
-		timeout:   askTimeout,
-		meter:     quota.NewMeter(cfg.Self.Name, cfg.Self.DataCentre),
-		ledger:    quota.NewLedger(cfg.Self.Name, cfg.Rules),
-		confirmed: -quota.Validity,
-		holders:   quota.NewHolders(nil),
-		questions: make(map[string]chan struct{}),
-		waiting:   make(map[string]int),
-		door:      quota.NewDoor(),
+		counters:     counters{set: cfg.Metrics, counted: make(map[string]bool)},
+		timeout:      callTimeout,
+		tokens:       quota.NewMeter(cfg.Self.Name, cfg.Self.DataCentre),
+		buckets:      quota.NewLedger(cfg.Self.Name, cfg.Rules),
+		snapshotTime: -quota.Validity,
+		holders:      quota.NewHolders(nil),
+		fetches:      make(map[string]chan struct{}),
+		waiting:      make(map[string]int),
+		rejections:   quota.NewDoor(),
 	}
 }
 
@@ -110,9 +110,9 @@
 	l.addresses = addresses
 	if !slices.Equal(registered, l.registered) {
 		l.registered, l.holders = registered, quota.NewHolders(registered)
-		l.ledger.Register(l.now(), l.holders)
+		l.buckets.Register(l.now(), l.holders)
 	}
-	l.meter.Register(l.holders, centres)
+	l.tokens.Register(l.holders, centres)
 }
 
 // Confirm records the time at which the current snapshot, which lists this instance as
@@ -120,14 +120,14 @@
 func (l *Limiter) Confirm(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.confirmed = max(l.confirmed, at)
+	l.snapshotTime = max(l.snapshotTime, at)
 }
 
 // Settle sets the time from which this instance may hold shares.
 func (l *Limiter) Settle(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ledger.Settle(at)
+	l.buckets.Settle(at)
 }
 
 // Spend uses a token of an account for one operation. It usually takes a cached token at
@@ -138,14 +138,14 @@
 		return quota.Token{}, quota.Shortage{}, true
 	}
 	var deadline <-chan time.Time
-	for waits := false; ; waits = true {
-		decision, asked := l.take(name, waits)
+	for waited := false; ; waited = true {
+		decision, fetched := l.decide(name, waited)
 		switch decision.Verdict {
 		case quota.Run:
-			l.counters.note(name, "run")
+			l.counters.count(name, "run")
 			return decision.Token, quota.Shortage{}, true
 		case quota.Refuse:
-			l.counters.note(name, "refused")
+			l.counters.count(name, "refused")
 			return quota.Token{}, decision.Shortage, false
 		}
 		if deadline == nil {
@@ -154,13 +154,13 @@
 			deadline = timer.C
 		}
 		select {
-		case <-asked:
+		case <-fetched:
 		case <-deadline:
-			l.giveUp(name, "unanswered")
-			return quota.Token{}, quota.Shortage{ComeBack: unansweredPause}, false
+			l.stopWaiting(name, "unanswered")
+			return quota.Token{}, quota.Shortage{ComeBack: unansweredRetryAfter}, false
 		case <-ctx.Done():
-			l.giveUp(name, "caller_left")
-			return quota.Token{}, quota.Shortage{ComeBack: unansweredPause}, false
+			l.stopWaiting(name, "caller_left")
+			return quota.Token{}, quota.Shortage{ComeBack: unansweredRetryAfter}, false
 		}
 	}
 }
@@ -176,31 +176,31 @@
 func (l *Limiter) Return(name string, t quota.Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.meter.Return(name, t)
+	l.tokens.Return(name, t)
 }
 
-// take decides about an operation, which may have waited before. If tokens are needed it
+// decide decides about an operation, which may have waited before. If tokens are needed it
 // starts to fetch some, unless a fetch for the account is in progress already. The returned
 // channel is closed when that fetch has ended.
-func (l *Limiter) take(name string, waited bool) (quota.Decision, <-chan struct{}) {
+func (l *Limiter) decide(name string, waited bool) (quota.Decision, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if waited {
 		l.waiting[name]--
 	}
-	decision := l.meter.Take(l.now(), name)
+	decision := l.tokens.Take(l.now(), name)
 	for decision.Holder == l.self {
-		l.meter.Granted(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
+		l.tokens.Granted(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
 		if decision.Verdict == quota.Run {
-			decision.Holder, decision.Wanted = l.meter.Ahead(l.now(), name)
+			decision.Holder, decision.Wanted = l.tokens.Ahead(l.now(), name)
 			continue
 		}
-		decision = l.meter.Take(l.now(), name)
+		decision = l.tokens.Take(l.now(), name)
 	}
-	if under := l.questions[name]; under != nil && decision.Verdict == quota.Refuse && decision.Shortage.Without == 0 {
+	if inProgress := l.fetches[name]; inProgress != nil && decision.Verdict == quota.Refuse && decision.Shortage.Without == 0 {
 		decision.Verdict = quota.Ask // no holder has reported having no token: await the fetch in progress
 		l.waiting[name]++
-		return decision, under
+		return decision, inProgress
 	}
 	if decision.Holder == "" {
 		return decision, nil
@@ -208,122 +208,122 @@
 	if decision.Verdict == quota.Ask {
 		l.waiting[name]++
 	}
-	done := l.questions[name]
+	done := l.fetches[name]
 	if done == nil {
 		done = make(chan struct{})
-		l.questions[name] = done
+		l.fetches[name] = done
 		wanted := max(decision.Wanted, l.waiting[name])
-		l.spawn(func() { l.ask(name, decision.Holder, wanted, done) })
+		l.spawn(func() { l.runFetch(name, decision.Holder, wanted, done) })
 	}
 	return decision, done
 }
 
-// giveUp records that an operation has stopped waiting, and why.
-func (l *Limiter) giveUp(name, outcome string) {
+// stopWaiting records that an operation has stopped waiting, and why.
+func (l *Limiter) stopWaiting(name, outcome string) {
 	l.mu.Lock()
 	l.waiting[name]--
 	l.mu.Unlock()
-	l.counters.note(name, outcome)
+	l.counters.count(name, outcome)
 }
 
-// question is one fetch of tokens for an account, which asks one holder after another.
-type question struct {
+// fetch is one fetch of tokens for an account, which asks one holder after another.
+type fetch struct {
 	limiter *Limiter
 	account string
 	answers chan struct{} // receives an item for each call that has succeeded or failed
 	ended   chan struct{} // closed at the end of the fetch
-	awaited int           // calls without a result
+	pending int           // calls without a result
 	late    []string      // holders that were asked and did not answer before the next was asked
 }
 
-// ask requests tokens from a holder, and then from others until there are enough. A late
+// runFetch requests tokens from a holder, and then from others until there are enough. A late
 // holder is awaited concurrently with the next one.
-func (l *Limiter) ask(name, holder string, wanted int, done chan struct{}) {
-	q := &question{limiter: l, account: name, answers: make(chan struct{}), ended: make(chan struct{})}
-	defer close(q.ended)
-	for open := false; holder != "" || open && q.awaited > 0; {
+func (l *Limiter) runFetch(name, holder string, wanted int, done chan struct{}) {
+	f := &fetch{limiter: l, account: name, answers: make(chan struct{}), ended: make(chan struct{})}
+	defer close(f.ended)
+	for awaitLate := false; holder != "" || awaitLate && f.pending > 0; {
 		if holder != "" {
-			q.put(holder, wanted)
+			f.callHolder(holder, wanted)
 		}
-		q.await(holder)
-		holder, wanted, open = l.next(name, q.late)
+		f.await(holder)
+		holder, wanted, awaitLate = l.nextHolder(name, f.late)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.questions, name)
+	delete(l.fetches, name)
 	close(done)
 }
 
-// put calls one holder in the background. An answer that arrives after the end of the
+// callHolder calls one holder in the background. An answer that arrives after the end of the
 // fetch is still processed.
-func (q *question) put(holder string, wanted int) {
-	l := q.limiter
-	q.awaited++
+func (f *fetch) callHolder(holder string, wanted int) {
+	l := f.limiter
+	f.pending++
 	l.spawn(func() {
 		sent := l.now()
-		grant, err := l.call(q.account, holder, wanted)
-		l.answered(sent, q.account, holder, grant, err)
+		grant, err := l.call(f.account, holder, wanted)
+		l.processAnswer(sent, f.account, holder, grant, err)
 		select {
-		case q.answers <- struct{}{}:
-		case <-q.ended:
+		case f.answers <- struct{}{}:
+		case <-f.ended:
 		}
 	})
 }
 
 // await waits for the result of any call. If a holder was asked just now it waits no
 // longer than lateAfter, and then counts that holder as late.
-func (q *question) await(asked string) {
+func (f *fetch) await(asked string) {
 	if asked == "" {
-		<-q.answers
-		q.awaited--
+		<-f.answers
+		f.pending--
 		return
 	}
-	late := time.NewTimer(q.limiter.lateAfter())
+	late := time.NewTimer(f.limiter.lateAfter())
 	defer late.Stop()
 	select {
-	case <-q.answers:
-		q.awaited--
+	case <-f.answers:
+		f.pending--
 	case <-late.C:
-		q.late = append(q.late, asked)
+		f.late = append(f.late, asked)
 	}
 }
 
-// answered processes the result of a call to a holder.
-func (l *Limiter) answered(sent time.Duration, name, holder string, g quota.Grant, err error) {
+// processAnswer processes the result of a call to a holder.
+func (l *Limiter) processAnswer(sent time.Duration, name, holder string, g quota.Grant, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.meter.Failed(l.now(), holder)
+		l.tokens.Failed(l.now(), holder)
 		l.log.WithError(err).WithFields(logrus.Fields{"account": name, "holder": holder}).Debug("limits: a holder did not answer")
 		return
 	}
-	took := l.now() - sent
-	if l.usual == 0 {
-		l.usual = took
+	responseTime := l.now() - sent
+	if l.meanResponseTime == 0 {
+		l.meanResponseTime = responseTime
 	}
-	l.usual += (took - l.usual) / usualSpan
-	l.meter.Granted(sent, l.now(), name, holder, g)
+	l.meanResponseTime += (responseTime - l.meanResponseTime) / responseTimeSpan
+	l.tokens.Granted(sent, l.now(), name, holder, g)
 }
 
 // lateAfter returns the time without an answer after which a holder counts as late.
 func (l *Limiter) lateAfter() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return min(max(lateTimes*l.usual, minLate), maxLate)
+	return min(max(lateFactor*l.meanResponseTime, minLate), maxLate)
 }
 
-// next returns the holder to ask next and how many tokens to request. If there is none,
-// open reports whether to wait for the late holders. Tokens of this instance's own share
+// nextHolder returns the holder to ask next and how many tokens to request. If there is none,
+// awaitLate reports whether to wait for the late holders. Tokens of this instance's own share
 // are reserved directly.
-func (l *Limiter) next(name string, late []string) (holder string, wanted int, open bool) {
+func (l *Limiter) nextHolder(name string, late []string) (holder string, wanted int, awaitLate bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		holder, wanted, open = l.meter.Next(l.now(), name, l.waiting[name], late)
+		holder, wanted, awaitLate = l.tokens.Next(l.now(), name, l.waiting[name], late)
 		if holder != l.self {
-			return holder, wanted, open
+			return holder, wanted, awaitLate
 		}
-		l.meter.Granted(l.now(), l.now(), name, holder, l.reserve(name, wanted))
+		l.tokens.Granted(l.now(), l.now(), name, holder, l.reserve(name, wanted))
 	}
 }
 
@@ -353,7 +353,7 @@
 	if !known {
 		return quota.Grant{}
 	}
-	return l.ledger.Reserve(l.now(), l.confirmed, name, limit, wanted)
+	return l.buckets.Reserve(l.now(), l.snapshotTime, name, limit, wanted)
 }
 
 // Reserve implements limitspb.LimitsServer.
@@ -370,17 +370,17 @@
 type counters struct {
 	set *metrics.Set
 
-	mu    sync.Mutex // guards named
-	named map[string]bool
+	mu      sync.Mutex // guards named
+	counted map[string]bool
 }
 
-func (c *counters) note(name, outcome string) {
+func (c *counters) count(name, outcome string) {
 	c.mu.Lock()
-	if !c.named[name] {
-		if len(c.named) < countedAccounts {
-			c.named[name] = true
+	if !c.counted[name] {
+		if len(c.counted) < maxCountedAccounts {
+			c.counted[name] = true
 		} else {
-			name = otherAccounts
+			name = otherAccountsLabel
 		}
 	}
 	c.mu.Unlock()
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -107,7 +107,7 @@
 }
 
 // Operations of unlimited and anonymous accounts need no tokens and call no holder.
-func TestUnlimitedAccountsAskNobody(t *testing.T) {
+func TestUnlimitedAccountsCallNoHolder(t *testing.T) {
 	f := newFleet(t, 1, account.Limit{Rate: 1})
 	f.servers[0].Stop()
 	for _, name := range []string{"free", account.Anonymous} {
@@ -117,7 +117,7 @@
 }
 
 // Holders that do not answer are skipped in favour of those that do.
-func TestHoldersThatAreGoneArePassedOver(t *testing.T) {
+func TestStoppedHoldersAreSkipped(t *testing.T) {
 	f := newFleet(t, 8, account.Limit{Rate: 50, Burst: 50})
 	for _, server := range f.servers[1:4] {
 		server.Stop()
@@ -127,7 +127,7 @@
 }
 
 // The token of an operation that did not run can be used by another one.
-func TestReturnedTokenIsUsedAgain(t *testing.T) {
+func TestReturnedTokenIsReused(t *testing.T) {
 	f := newFleet(t, 2, account.Limit{Rate: 1})
 	l := f.limiters[0]
 	var last quota.Token
@@ -150,8 +150,8 @@
 	must.False(t, ok)
 }
 
-// holdersBut returns the indexes of the holders of an account except for one.
-func (f *fleet) holdersBut(name, not string) []int {
+// holdersExcept returns the indexes of the holders of an account except for one.
+func (f *fleet) holdersExcept(name, not string) []int {
 	var held []int
 	for i, l := range f.limiters {
 		if l.self != not && slices.Contains(l.holders.Of(name), l.self) {
@@ -161,8 +161,8 @@
 	return held
 }
 
-// mute makes a holder leave all calls unanswered.
-func (f *fleet) mute(t *testing.T, i int) {
+// makeUnresponsive makes a holder leave all calls unanswered.
+func (f *fleet) makeUnresponsive(t *testing.T, i int) {
 	f.servers[i].Stop()
 	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	must.NoError(t, err)
@@ -179,7 +179,7 @@
 
 // With five of six holders unresponsive, as after a failure of many instances, an operation
 // gets its token from the sixth while the calls to the others are still pending.
-func TestLateHoldersAreNotWaitedFor(t *testing.T) {
+func TestLateHoldersDoNotDelayOperations(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
 	var asker *Limiter
 	for _, l := range f.limiters {
@@ -188,8 +188,8 @@
 		}
 	}
 	asker.timeout = time.Hour
-	for _, i := range f.holdersBut("a", asker.holders.Of("a")[5]) {
-		f.mute(t, i)
+	for _, i := range f.holdersExcept("a", asker.holders.Of("a")[5]) {
+		f.makeUnresponsive(t, i)
 	}
 	for range 3 {
 		_, _, ok := asker.Spend(t.Context(), "a", generous)
@@ -198,12 +198,12 @@
 }
 
 // An operation whose client has disconnected does not wait for a token.
-func TestTokenIsNotAwaitedForNobody(t *testing.T) {
+func TestDisconnectedClientWaitsForNoToken(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
 	l := f.limiters[0]
 	l.timeout = time.Hour
-	for _, i := range f.holdersBut("a", "") {
-		f.mute(t, i)
+	for _, i := range f.holdersExcept("a", "") {
+		f.makeUnresponsive(t, i)
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
@@ -218,7 +218,7 @@
 // An account is at its limit and one of its holders does not answer. Once another holder
 // has reported having no token, operations are rejected rather than held until the late
 // one answers.
-func TestLateHolderHoldsNobodyAtTheLimit(t *testing.T) {
+func TestLateHolderDoesNotDelayRejections(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 10, Burst: 10})
 	var asker *Limiter
 	for _, l := range f.limiters {
@@ -227,7 +227,7 @@
 		}
 	}
 	asker.timeout = time.Hour
-	f.mute(t, f.holdersBut("a", "")[0])
+	f.makeUnresponsive(t, f.holdersExcept("a", "")[0])
 	var refused int
 	var work sync.WaitGroup
 	for range 20 {
--- a/internal/limits/door.go
+++ b/internal/limits/rejection.go
@@ -13,10 +13,10 @@
 		return 0, true
 	}
 	l.mu.Lock()
-	comeBack, ok := l.door.Admit(l.now(), l.withLimit(v))
+	comeBack, ok := l.rejections.Admit(l.now(), l.withLimit(v))
 	l.mu.Unlock()
 	if !ok {
-		l.counters.note(v.Account, "refused_at_door")
+		l.counters.count(v.Account, "refused_at_door")
 	}
 	return comeBack, ok
 }
@@ -27,7 +27,7 @@
 func (l *Limiter) Refused(v quota.Visit, ago, empty time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.door.Refused(l.now()-ago, l.now(), l.withLimit(v), empty)
+	return l.rejections.Refused(l.now()-ago, l.now(), l.withLimit(v), empty)
 }
 
 // Ran records that an operation, which was forwarded a time ago, got a token.
@@ -37,7 +37,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.door.Ran(l.now()-ago, l.withLimit(v))
+	l.rejections.Ran(l.now()-ago, l.withLimit(v))
 }
 
 func (l *Limiter) withLimit(v quota.Visit) quota.Visit {
--- a/internal/member/health.go
+++ b/internal/member/health.go
@@ -4,40 +4,40 @@
 
 // Bounds of the exponential backoff for which a member that did not answer is avoided.
 const (
-	minPassOver = 200 * time.Millisecond // covers a short pause of the member or a lost answer
-	maxPassOver = 2 * time.Second        // long enough that attempts at a dead member cost little
-	maxShift    = 4                      // keeps the shift of the backoff in range
+	minBackoff = 200 * time.Millisecond // covers a short pause of the member or a lost answer
+	maxBackoff = 2 * time.Second        // long enough that attempts at a dead member cost little
+	maxShift   = 4                      // keeps the shift of the backoff in range
 )
 
 // Health tracks whether a member answers this instance, as a circuit breaker does. The
 // zero Health is of a member that was not contacted yet. It has no clock and is not safe
 // for concurrent use.
 type Health struct {
-	lastAnswer time.Duration // time of the last complete answer
-	answered   bool          // an answer has arrived at some time
-	failures   int           // consecutive attempts without an answer
-	missedAt   time.Duration // time of the first of them
-	passUntil  time.Duration // end of the backoff
+	lastAnswer   time.Duration // time of the last complete answer
+	answered     bool          // an answer has arrived at some time
+	failures     int           // consecutive attempts without an answer
+	firstFailure time.Duration // time of the first of them
+	avoidUntil   time.Duration // end of the backoff
 }
 
 // Answered records a complete answer, whether it reports success or an error.
 func (h *Health) Answered(now time.Duration) {
 	h.lastAnswer, h.answered = now, true
-	h.failures, h.passUntil = 0, 0
+	h.failures, h.avoidUntil = 0, 0
 }
 
 // Missed records an attempt that got no answer.
 func (h *Health) Missed(now time.Duration) {
 	if h.failures == 0 {
-		h.missedAt = now
+		h.firstFailure = now
 	}
-	h.passUntil = now + min(minPassOver<<min(h.failures, maxShift), maxPassOver)
+	h.avoidUntil = now + min(minBackoff<<min(h.failures, maxShift), maxBackoff)
 	h.failures++
 }
 
 // Usable reports whether the member may be chosen for a statement that other members could
 // run as well.
-func (h *Health) Usable(now time.Duration) bool { return now >= h.passUntil }
+func (h *Health) Usable(now time.Duration) bool { return now >= h.avoidUntil }
 
 // SinceAnswer returns the time since the member's last answer, and whether there was one.
 func (h *Health) SinceAnswer(now time.Duration) (time.Duration, bool) {
@@ -50,7 +50,7 @@
 	if h.failures == 0 {
 		return 0
 	}
-	return now - h.missedAt
+	return now - h.firstFailure
 }
 
 // Doubtful reports whether an attempt since the last answer failed to get one.
--- a/internal/member/shared.go
+++ b/internal/member/pooled_conn.go
@@ -15,9 +15,9 @@
 // statement was not sent.
 var ErrNotReady = errors.New("the connection could not be prepared for the session")
 
-// ownTimeout is the timeout of the instance's own statements, which cause the member no
+// internalTimeout is the timeout of the instance's own statements, which cause the member no
 // work. It allows for several round trips and for a queue of statements at the member.
-const ownTimeout = 500 * time.Millisecond
+const internalTimeout = 500 * time.Millisecond
 
 // maxPrepared bounds the prepared statements on one connection. With more the session is
 // reset.
@@ -26,12 +26,12 @@
 // Shared is a connection whose session state is tracked, so that sessions can use it one
 // after another. It implements connpool.Conn. Only Kill may be called concurrently.
 type Shared struct {
-	conn     Conn
-	state    statement.State
-	values   map[string]string // session variables set at the member
-	prepared map[string]bool   // names of the statements prepared at the member
-	doubtful bool              // values and prepared may differ from the state at the member
-	broken   atomic.Bool
+	conn         Conn
+	state        statement.State
+	values       map[string]string // session variables set at the member
+	prepared     map[string]bool   // names of the statements prepared at the member
+	stateUnknown bool              // values and prepared may differ from the state at the member
+	broken       atomic.Bool
 }
 
 // NewShared wraps a newly opened connection.
@@ -55,40 +55,40 @@
 }
 
 // Alive implements connpool.Conn.
-func (s *Shared) Alive() bool { return !s.broken.Load() && s.conn.Silent() }
+func (c *Shared) Alive() bool { return !c.broken.Load() && c.conn.Silent() }
 
 // Kill implements connpool.Conn.
-func (s *Shared) Kill() {
-	s.broken.Store(true)
-	s.conn.Close()
+func (c *Shared) Kill() {
+	c.broken.Store(true)
+	c.conn.Close()
 }
 
 // Clean implements connpool.Conn: it rolls back an open transaction. Session variables and
 // prepared statements stay, since they are tracked and adapted to the next session.
-func (s *Shared) Clean() bool {
-	if s.broken.Load() {
+func (c *Shared) Clean() bool {
+	if c.broken.Load() {
 		return false
 	}
-	if s.state == statement.Idle {
+	if c.state == statement.Idle {
 		return true
 	}
-	if err := s.conn.Rollback(time.Now().Add(ownTimeout)); err != nil {
+	if err := c.conn.Rollback(time.Now().Add(internalTimeout)); err != nil {
 		return false
 	}
-	s.state = statement.Idle
+	c.state = statement.Idle
 	return true
 }
 
 // State returns the transaction state after the last answer.
-func (s *Shared) State() statement.State { return s.state }
+func (c *Shared) State() statement.State { return c.state }
 
 // Match ranks the connection for a session with the given variables by the work needed to
 // apply them: 2 for none, 1 if variables must be set, 0 if the session must be reset.
-func (s *Shared) Match(values map[string]string) int {
+func (c *Shared) Match(values map[string]string) int {
 	switch {
-	case s.doubtful || !subset(s.values, values):
+	case c.stateUnknown || !subset(c.values, values):
 		return 0
-	case len(s.values) != len(values) || !equal(s.values, values):
+	case len(c.values) != len(values) || !equal(c.values, values):
 		return 1
 	}
 	return 2
@@ -116,69 +116,69 @@
 // Prepare applies a session's variables to the connection and prepares the needed
 // statement, unless that is nil. It sends only differences from the tracked state, and
 // nothing if there are none. An error wraps ErrNotReady.
-func (s *Shared) Prepare(values map[string]string, needed *Prepared) error {
-	reset := s.doubtful || !subset(s.values, values) || len(s.prepared) > maxPrepared
+func (c *Shared) Prepare(values map[string]string, needed *Prepared) error {
+	reset := c.stateUnknown || !subset(c.values, values) || len(c.prepared) > maxPrepared
 	var set []Value
 	for name, value := range values {
-		if known, ok := s.values[name]; reset || !ok || known != value {
+		if current, ok := c.values[name]; reset || !ok || current != value {
 			set = append(set, Value{Name: name, Value: value})
 		}
 	}
 	var prepare []Prepared
-	if needed != nil && (reset || !s.prepared[needed.Name]) {
+	if needed != nil && (reset || !c.prepared[needed.Name]) {
 		prepare = append(prepare, *needed)
 	}
 	if !reset && len(set) == 0 && len(prepare) == 0 {
 		return nil
 	}
-	s.doubtful = true
-	if err := s.conn.Configure(time.Now().Add(ownTimeout), reset, set, prepare); err != nil {
-		s.Kill()
+	c.stateUnknown = true
+	if err := c.conn.Configure(time.Now().Add(internalTimeout), reset, set, prepare); err != nil {
+		c.Kill()
 		return fmt.Errorf("%w: %w", ErrNotReady, err)
 	}
-	s.doubtful = false
+	c.stateUnknown = false
 	if reset {
-		clear(s.values)
-		clear(s.prepared)
+		clear(c.values)
+		clear(c.prepared)
 	}
 	for _, v := range set {
-		s.values[v.Name] = v.Value
+		c.values[v.Name] = v.Value
 	}
 	for _, p := range prepare {
-		s.prepared[p.Name] = true
+		c.prepared[p.Name] = true
 	}
 	return nil
 }
 
 // Run runs a statement at the member. An error wraps ErrBroken and closes the connection.
-func (s *Shared) Run(req Request) (statement.Answer, error) {
-	answer, err := s.conn.Run(req)
+func (c *Shared) Run(req Request) (statement.Answer, error) {
+	answer, err := c.conn.Run(req)
 	if err != nil {
-		s.Kill()
+		c.Kill()
 		return answer, err
 	}
-	s.state = answer.State
+	c.state = answer.State
 	if answer.Err != nil && answer.Err.Code == statement.Unprepared {
-		s.doubtful = true
+		c.stateUnknown = true
 	}
 	return answer, nil
 }
 
 // Status queries the member's status.
-func (s *Shared) Status(deadline time.Time) (Status, error) {
-	return settle(s, func() (Status, error) { return s.conn.Status(deadline) })
+func (c *Shared) Status(deadline time.Time) (Status, error) {
+	return closeIfBroken(c, func() (Status, error) { return c.conn.Status(deadline) })
 }
 
 // StepDown demotes the member to a replica if it is a primary of a lower term.
-func (s *Shared) StepDown(deadline time.Time, term uint64) (Status, error) {
-	return settle(s, func() (Status, error) { return s.conn.StepDown(deadline, term) })
+func (c *Shared) StepDown(deadline time.Time, term uint64) (Status, error) {
+	return closeIfBroken(c, func() (Status, error) { return c.conn.StepDown(deadline, term) })
 }
 
-// settle makes a call and closes the connection if the call's outcome is unknown.
-func settle(s *Shared, call func() (Status, error)) (Status, error) {
+// closeIfBroken makes a call and closes the connection if the call's outcome is unknown.
+func closeIfBroken(c *Shared, call func() (Status, error)) (Status, error) {
 	status, err := call()
 	if errors.Is(err, ErrBroken) {
-		s.Kill()
+		c.Kill()
 	}
 	return status, err
 }
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -15,92 +15,92 @@
 	// baseline is averaged. Single statements of one kind differ by more than a factor
 	// of two; an average over 8 answers throttled members that were merely busy.
 	ratioSpan = 16
-	// fullRatio is the ratio of response time to baseline above which a member counts as
-	// overloaded, roomRatio the one below which it has spare capacity. A statement takes
-	// twice as long if one other is queued ahead of it for each that runs. Ratios of 2
-	// and 1.6 serve as many statements at a saturated member and fewer at a busy one.
-	fullRatio = 2.5
-	roomRatio = 2.0
-	// shrink and grow are the factors applied to the share with each answer: from 1 down
-	// to an eighth takes 29 answers, and back up 43.
-	shrink = 0.93
-	grow   = 1.05
-	// leastShare is the minimum share. Each instance keeps sending some statements, so
+	// overloadRatio is the ratio of response time to baseline above which a member counts
+	// as overloaded, saturationRatio the one below which it has spare capacity. A statement
+	// takes twice as long if one other is queued ahead of it for each that runs. Ratios of
+	// 2 and 1.6 serve as many statements at a saturated member and fewer at a busy one.
+	overloadRatio   = 2.5
+	saturationRatio = 2.0
+	// shareDecrease and shareIncrease are the factors applied to the share with each
+	// answer: from 1 down to an eighth takes 29 answers, and back up 43.
+	shareDecrease = 0.93
+	shareIncrease = 1.05
+	// minShare is the minimum share. Each instance keeps sending some statements, so
 	// that it notices when the member has spare capacity again.
-	leastShare = 0.125
+	minShare = 0.125
 )
 
 // Window adapts the share of the time in which an instance has a statement running at a
 // member. The zero Window has share 1. It is not safe for concurrent use.
 type Window struct {
-	less  float64 // 1 - share, so that the zero value has share 1
-	ratio float64 // moving average of response time divided by baseline
+	reduction float64 // 1 - share, so that the zero value has share 1
+	ratio     float64 // moving average of response time divided by baseline
 }
 
-// Share returns the share, from leastShare to 1.
-func (w *Window) Share() float64 { return 1 - w.less }
+// Share returns the share, from minShare to 1.
+func (t *Window) Share() float64 { return 1 - t.reduction }
 
 // Slowdown returns the average ratio of response time to baseline, 0 while unknown.
-func (w *Window) Slowdown() float64 { return w.ratio }
+func (t *Window) Slowdown() float64 { return t.ratio }
 
 // Full reports whether the member is saturated: it has about as much work as it can run,
 // or more.
-func (w *Window) Full() bool { return w.ratio >= roomRatio }
+func (t *Window) Full() bool { return t.ratio >= saturationRatio }
 
 // Answered records the response time of a statement and its baseline, and returns for how
 // long no statement of the same importance should be sent. If the baseline is unknown (0)
 // there is no pause.
-func (w *Window) Answered(took, usual time.Duration) time.Duration {
-	if usual <= 0 {
+func (t *Window) Answered(took, baseline time.Duration) time.Duration {
+	if baseline <= 0 {
 		return 0
 	}
-	w.ratio += (float64(took)/float64(usual) - w.ratio) / ratioSpan
-	share := w.Share()
+	t.ratio += (float64(took)/float64(baseline) - t.ratio) / ratioSpan
+	share := t.Share()
 	switch {
-	case w.ratio > fullRatio:
-		share = max(leastShare, share*shrink)
-	case w.ratio < roomRatio:
-		share = min(1, share*grow)
+	case t.ratio > overloadRatio:
+		share = max(minShare, share*shareDecrease)
+	case t.ratio < saturationRatio:
+		share = min(1, share*shareIncrease)
 	}
-	w.less = 1 - share
+	t.reduction = 1 - share
 	return time.Duration(float64(took) * (1/share - 1))
 }
 
 // Settings of the baseline.
 const (
-	// usualSpan is the number of answers per average.
-	usualSpan = 16
-	// relax is the divisor by which the baseline rises with each average above it: by
+	// averageSpan is the number of answers per average.
+	averageSpan = 16
+	// riseDivisor is the divisor by which the baseline rises with each average above it: by
 	// 1/100. If statements have become heavier, the baseline adapts after some hundred
 	// averages, whereas it barely changes while a member is saturated for a minute.
-	relax = 100
+	riseDivisor = 100
 )
 
 // Work estimates the baseline latency of one kind of statement, which is its response time
-// without contention: the minimum of averages over usualSpan answers, which rises slowly.
+// without contention: the minimum of averages over averageSpan answers, which rises slowly.
 // It is not safe for concurrent use.
 type Work struct {
-	usual time.Duration // baseline; 0: unknown
-	sum   time.Duration // sum of the answers in the average in progress
-	count int           // number of answers in the average in progress
+	latency time.Duration // baseline; 0: unknown
+	sum     time.Duration // sum of the answers in the average in progress
+	count   int           // number of answers in the average in progress
 }
 
 // Usual returns the baseline latency, 0 while unknown.
-func (w *Work) Usual() time.Duration { return w.usual }
+func (b *Work) Usual() time.Duration { return b.latency }
 
 // Took records the response time of one answer.
-func (w *Work) Took(d time.Duration) {
-	w.sum += d
-	if w.count++; w.count < usualSpan {
+func (b *Work) Took(d time.Duration) {
+	b.sum += d
+	if b.count++; b.count < averageSpan {
 		return
 	}
-	average := w.sum / usualSpan
-	w.sum, w.count = 0, 0
-	if w.usual == 0 || average < w.usual {
-		w.usual = average
+	average := b.sum / averageSpan
+	b.sum, b.count = 0, 0
+	if b.latency == 0 || average < b.latency {
+		b.latency = average
 		return
 	}
-	w.usual += w.usual / relax
+	b.latency += b.latency / riseDivisor
 }
 
 // Level returns the priority from which on a pause applies after an answer to a statement
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -17,26 +17,26 @@
 	}
 }
 
-const usual = 10 * time.Millisecond
+const baseline = 10 * time.Millisecond
 
-func answered(w *Window, n int, took time.Duration) (pause time.Duration) {
+func recordAnswers(w *Window, n int, took time.Duration) (pause time.Duration) {
 	for range n {
-		pause = w.Answered(took, usual)
+		pause = w.Answered(took, baseline)
 	}
 	return pause
 }
 
-func TestWindowFollowsTheMember(t *testing.T) {
+func TestThrottleFollowsResponseTimes(t *testing.T) {
 	var w Window
-	must.Eq(t, 0, answered(&w, 100, usual))
+	must.Eq(t, 0, recordAnswers(&w, 100, baseline))
 	must.Eq(t, 1, w.Share())
-	must.Positive(t, answered(&w, 100, 5*usual), must.Sprint("the member is overloaded"))
+	must.Positive(t, recordAnswers(&w, 100, 5*baseline), must.Sprint("the member is overloaded"))
 	must.Less(t, 0.2, w.Share())
-	must.Eq(t, 0, answered(&w, 200, usual))
+	must.Eq(t, 0, recordAnswers(&w, 200, baseline))
 	must.Eq(t, 1, w.Share())
 }
 
-func TestWindowWithoutAnythingUsual(t *testing.T) {
+func TestThrottleWithoutBaseline(t *testing.T) {
 	var w Window
 	must.Eq(t, 0, w.Answered(time.Hour, 0))
 	must.Eq(t, 1, w.Share())
@@ -44,42 +44,42 @@
 
 // For any response times the share stays within its bounds, and no pause is longer than
 // the minimum share implies.
-func TestWindowKeepsItsBounds(t *testing.T) {
+func TestThrottleBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Window
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			took := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took"))
 			pause := w.Answered(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
-			if w.Share() < leastShare || w.Share() > 1 {
+			if w.Share() < minShare || w.Share() > 1 {
 				t.Fatalf("share %f", w.Share())
 			}
-			if pause < 0 || pause > time.Duration(float64(took)*(1/leastShare-1))+1 {
+			if pause < 0 || pause > time.Duration(float64(took)*(1/minShare-1))+1 {
 				t.Fatalf("a pause of %s after %s", pause, took)
 			}
 		}
 	})
 }
 
-func TestUsualIsWhatItTakesUndisturbed(t *testing.T) {
+func TestBaselineIsUncontendedLatency(t *testing.T) {
 	var w Work
 	took := func(n int, d time.Duration) {
 		for range n {
 			w.Took(d)
 		}
 	}
-	took(usualSpan-1, usual)
+	took(averageSpan-1, baseline)
 	must.Eq(t, 0, w.Usual(), must.Sprint("too few answers"))
-	took(1, usual)
-	must.Eq(t, usual, w.Usual())
-	took(10*usualSpan, 5*usual)
-	must.Less(t, usual+usual/8, w.Usual(), must.Sprint("saturation does not raise the baseline at once"))
-	took(usualSpan, usual/2)
-	must.Eq(t, usual/2, w.Usual())
-	took(1000*usualSpan, 3*usual)
-	must.Eq(t, 3*usual, w.Usual().Round(usual), must.Sprint("the baseline adapts to heavier statements"))
+	took(1, baseline)
+	must.Eq(t, baseline, w.Usual())
+	took(10*averageSpan, 5*baseline)
+	must.Less(t, baseline+baseline/8, w.Usual(), must.Sprint("saturation does not raise the baseline at once"))
+	took(averageSpan, baseline/2)
+	must.Eq(t, baseline/2, w.Usual())
+	took(1000*averageSpan, 3*baseline)
+	must.Eq(t, 3*baseline, w.Usual().Round(baseline), must.Sprint("the baseline adapts to heavier statements"))
 }
 
-func TestLevel(t *testing.T) {
+func TestPauseLevel(t *testing.T) {
 	must.Eq(t, 2, Level(1, 1, 2), must.Sprint("the highest priority is not paused"))
 	must.Eq(t, 2, Level(2, 1, 2))
 	must.Eq(t, 3, Level(3, 1, 4), must.Sprint("a lower priority does not pause higher ones"))
--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -19,7 +19,7 @@
 // Backlog returns the backlog for a new request of a priority. A queued request of
 // unknown expected work counts with the average time a connection is in use.
 func (q *Queue) Backlog(priority int) Backlog {
-	b := Backlog{Active: q.inUse - q.parked, Slots: max(0, q.cfg.Capacity-q.parked), Held: q.average}
+	b := Backlog{Active: q.inUse - q.parked, Slots: max(0, q.cfg.Capacity-q.parked), Held: q.meanHoldTime}
 	if q.cfg.MaxActive > 0 {
 		b.Slots = min(b.Slots, q.cfg.MaxActive)
 	}
@@ -34,8 +34,8 @@
 			break
 		}
 		b.Ahead += c.waiting[timely]
-		b.Work += c.work[timely]
-		b.Work += time.Duration(c.unknown[timely]) * q.average
+		b.Work += c.expectedWork[timely]
+		b.Work += time.Duration(c.unknownCount[timely]) * q.meanHoldTime
 	}
 	return b
 }
--- a/internal/pool/fairness_test.go
+++ b/internal/pool/fairness_test.go
@@ -17,8 +17,8 @@
 	for work > 1e-12 {
 		least, waiting := math.Inf(1), 0
 		for i := range f.demand {
-			if left := f.demand[i] - f.got[i]; left > 1e-12 {
-				least, waiting = min(least, left), waiting+1
+			if unmet := f.demand[i] - f.got[i]; unmet > 1e-12 {
+				least, waiting = min(least, unmet), waiting+1
 			}
 		}
 		if waiting == 0 {
@@ -37,7 +37,7 @@
 // Accounts send random requests at random times, so that some demand much more than their
 // share. At no time has an account been granted less than its max-min fair share of the
 // granted work minus one request of the largest size.
-func TestAccountsGetTheirFairShare(t *testing.T) {
+func TestAccountsGetMaxMinFairShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 50
 		accounts := rapid.IntRange(2, 6).Draw(t, "accounts")
@@ -71,7 +71,7 @@
 				grant(r)
 			}
 			for i := range accounts {
-				if lacks := fair.got[i] - granted[i]; lacks > (largest*time.Millisecond).Seconds()+1e-9 {
+				if deficit := fair.got[i] - granted[i]; deficit > (largest*time.Millisecond).Seconds()+1e-9 {
 					t.Fatalf("account %d has %.3f s of work granted, its share is %.3f s", i, granted[i], fair.got[i])
 				}
 			}
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// busy returns a queue without a free slot and the requests that hold the slots.
-func busy(cfg Config) (*Queue, []Request) {
+// saturatedQueue returns a queue without a free slot and the requests that hold the slots.
+func saturatedQueue(cfg Config) (*Queue, []Request) {
 	q := New(cfg)
 	var running []Request
 	for id := uint64(1000); ; id++ {
@@ -41,7 +41,7 @@
 	return ids
 }
 
-func TestOrderOfWhatWaits(t *testing.T) {
+func TestGrantOrder(t *testing.T) {
 	for name, c := range map[string]struct {
 		now      time.Duration
 		requests []Request // numbered from 1
@@ -56,7 +56,7 @@
 		"late ones by priority": {100 * ms, []Request{{Priority: 1, Objective: 50 * ms}, {Objective: 60 * ms}}, []uint64{2, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q, running := busy(Config{Capacity: 1, MaxQueue: 9, Patient: true})
+			q, running := saturatedQueue(Config{Capacity: 1, MaxQueue: 9, Patient: true})
 			for i, r := range c.requests {
 				r.ID, r.Deadline = uint64(i+1), time.Hour
 				must.Eq(t, Queued, q.Offer(0, r))
@@ -71,9 +71,9 @@
 // gets a grant once per latency objective.
 func TestPrioritiesUnderOverload(t *testing.T) {
 	const work, objective, length = 10 * ms, 200 * ms, 4 * time.Second
-	q, running := busy(Config{Capacity: 1, MaxQueue: 1000, Patient: true})
+	q, running := saturatedQueue(Config{Capacity: 1, MaxQueue: 1000, Patient: true})
 	arrived, waited := make(map[uint64]time.Duration), make([]time.Duration, 3)
-	grants, asked := make([]int, 3), make([]int, 3)
+	grants, requested := make([]int, 3), make([]int, 3)
 	lastOfLowest, longestGap := time.Duration(0), time.Duration(0)
 	id := uint64(0)
 	for now := time.Duration(0); now < length; now += work {
@@ -82,7 +82,7 @@
 				continue
 			}
 			id++
-			asked[priority]++
+			requested[priority]++
 			arrived[id] = now
 			q.Offer(now, Request{
 				ID: id + 100, Priority: priority, Account: fmt.Sprint(id % 5), Work: work, Objective: now + objective, Deadline: now + 4*objective,
@@ -99,8 +99,8 @@
 			}
 		}
 	}
-	t.Logf("granted %v of %v, longest waits %v, longest time without a grant for the lowest priority %v", grants, asked, waited, longestGap)
-	must.Eq(t, asked[0], grants[0])
+	t.Logf("granted %v of %v, longest waits %v, longest time without a grant for the lowest priority %v", grants, requested, waited, longestGap)
+	must.Eq(t, requested[0], grants[0])
 	must.LessEq(t, 2*work, waited[0])
 	must.LessEq(t, objective+2*work, longestGap)
 	must.GreaterEq(t, int(length/(objective+2*work)), grants[2])
@@ -112,7 +112,7 @@
 // For any sequence of arrivals, cancellations and returned connections, also when none are
 // returned, the counters match the queued and running requests, and once all requests are
 // gone the queue holds no state of them.
-func TestNothingStaysBehind(t *testing.T) {
+func TestCountersMatchAndStateIsDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 20, Patient: true})
 		waiting, running := map[uint64]Request{}, []Request(nil)
@@ -162,10 +162,10 @@
 		for _, c := range q.classes {
 			must.MapEmpty(t, c.flows)
 			must.Eq(t, [stages]int{}, c.waiting)
-			must.Eq(t, [stages]time.Duration{}, c.work)
+			must.Eq(t, [stages]time.Duration{}, c.expectedWork)
 		}
-		must.Eq(t, use{}, q.fixed)
-		must.Zero(t, q.ends.len()+q.arrivals.Len()+q.reads)
+		must.Eq(t, requestCounts{}, q.pinned)
+		must.Zero(t, q.byDeadline.len()+q.arrivals.Len()+q.reads)
 	})
 }
 
@@ -178,7 +178,7 @@
 }
 
 func TestBacklog(t *testing.T) {
-	q, running := busy(Config{Capacity: 3, MaxQueue: 9, MaxActive: 2, Patient: true})
+	q, running := saturatedQueue(Config{Capacity: 3, MaxQueue: 9, MaxActive: 2, Patient: true})
 	must.Len(t, 2, running)
 	q.Done(running[0], 20*ms)
 	must.Eq(t, Granted, q.Offer(0, running[0]))
@@ -225,7 +225,7 @@
 // A transaction is open at a primary that is saturated with reads. Its next statement runs
 // at once, even beyond MaxActive, counts as active while it runs, and afterwards keeps a
 // slot reserved for the one that follows.
-func TestFurtherStatementsComeFirst(t *testing.T) {
+func TestOpenTransactionRunsFurtherStatementsAtOnce(t *testing.T) {
 	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 2, Patient: true})
 	tx := Request{ID: 1, Write: true, Deadline: time.Hour}
 	read := func(id uint64) Request { return Request{ID: id, Elsewhere: true, Deadline: time.Hour} }
@@ -250,7 +250,7 @@
 
 // Of two pinned requests one is active and one parked. The backlog for a new flexible
 // request shows the slots that remain for it and the pause that holds it.
-func TestBacklogTellsWhatIsLeft(t *testing.T) {
+func TestBacklogShowsFlexibleSlotsAndPause(t *testing.T) {
 	q := New(Config{Capacity: 4, MaxActive: 3, MaxQueue: 10})
 	must.Eq(t, Granted, q.Offer(0, Request{ID: 1, Work: ms, Deadline: time.Second}))
 	must.Eq(t, Granted, q.Offer(0, Request{ID: 2, Work: ms, Deadline: time.Second}))
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -58,8 +58,8 @@
 	Deadline  time.Duration // time from which the request must not be granted
 }
 
-// fixed reports whether the request is pinned to this member: no other member can run it.
-func (r *Request) fixed() bool { return !r.Elsewhere && !r.Any }
+// pinned reports whether the request is pinned to this member: no other member can run it.
+func (r *Request) pinned() bool { return !r.Elsewhere && !r.Any }
 
 // Outcome is the result of offering a request to the queue.
 type Outcome int
@@ -74,35 +74,35 @@
 
 // Queue schedules the connections of one member. It is not safe for concurrent use.
 type Queue struct {
-	cfg      Config
-	classes  []*class          // by priority, highest first; never removed
-	entries  map[uint64]*entry // queued requests by ID
-	arrivals list.List         // queued requests as *entry, oldest first
-	ends     indexed[*entry]   // queued requests by deadline
-	order    uint64            // arrivals so far
-
-	inUse  int // connections granted
-	parked int // of those, connections whose holder runs nothing at present
-	reads  int // of those in use, connections granted for reads
-	fixed  use // counts of pinned requests
+	cfg          Config
+	classes      []*class            // by priority, highest first; never removed
+	entries      map[uint64]*entry   // queued requests by ID
+	arrivals     list.List           // queued requests as *entry, oldest first
+	byDeadline   indexedHeap[*entry] // queued requests by deadline
+	arrivalCount uint64              // arrivals so far
+
+	inUse  int           // connections granted
+	parked int           // of those, connections whose holder runs nothing at present
+	reads  int           // of those in use, connections granted for reads
+	pinned requestCounts // counts of pinned requests
 	demand demand
 
-	pauses  map[int]time.Duration // by priority: end of the pause of flexible requests of it and lower ones
-	now     time.Duration         // as passed in the last call
-	average time.Duration         // moving average of the time a connection is in use
+	pauses       map[int]time.Duration // by priority: end of the pause of flexible requests of it and lower ones
+	now          time.Duration         // as passed in the last call
+	meanHoldTime time.Duration         // moving average of the time a connection is in use
 }
 
-// use counts requests that hold a connection, those of them that are parked, and queued
+// requestCounts counts requests that hold a connection, those of them that are parked, and queued
 // requests.
-type use struct{ inUse, parked, waiting int }
+type requestCounts struct{ inUse, parked, waiting int }
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
 	return &Queue{
 		cfg: cfg, entries: make(map[uint64]*entry), pauses: make(map[int]time.Duration),
-		ends: indexed[*entry]{
-			less:  func(a, b *entry) bool { return a.Deadline < b.Deadline },
-			place: func(e *entry) *int { return &e.inEnds },
+		byDeadline: indexedHeap[*entry]{
+			less:    func(a, b *entry) bool { return a.Deadline < b.Deadline },
+			indexOf: func(e *entry) *int { return &e.deadlineIndex },
 		},
 	}
 }
@@ -120,8 +120,8 @@
 	q.pauses[priority] = max(q.pauses[priority], until)
 }
 
-// held reports whether a pause is in effect for a lane and a priority.
-func (q *Queue) held(l lane, priority int) bool {
+// paused reports whether a pause is in effect for a lane and a priority.
+func (q *Queue) paused(l lane, priority int) bool {
 	if l != flexible {
 		return false
 	}
@@ -138,8 +138,8 @@
 // still counts towards the capacity.
 func (q *Queue) Park(r Request) {
 	q.parked++
-	if r.fixed() {
-		q.fixed.parked++
+	if r.pinned() {
+		q.pinned.parked++
 	}
 }
 
@@ -147,8 +147,8 @@
 // other requests may wait for locks until it ends.
 func (q *Queue) Unpark(r Request) {
 	q.parked--
-	if r.fixed() {
-		q.fixed.parked--
+	if r.pinned() {
+		q.pinned.parked--
 	}
 }
 
@@ -157,8 +157,8 @@
 func (q *Queue) Resume(now time.Duration, r Request) {
 	q.now = now
 	q.Unpark(r)
-	if r.fixed() {
-		q.noteDemand(0)
+	if r.pinned() {
+		q.recordDemand(0)
 	}
 }
 
@@ -191,21 +191,21 @@
 	q.now = now
 	c := q.class(r.Priority)
 	f := c.flow(flowKey{r.Service, r.Account})
-	defer c.forget(f)
+	defer c.dropUnused(f)
 	f.limit = r.Limit
-	c.noteAsked(now, &r)
-	if r.fixed() {
-		q.noteDemand(1)
+	c.recordArrival(now, &r)
+	if r.pinned() {
+		q.recordDemand(1)
 	}
 	if q.admissible(f, &r) {
-		f.ask(&r)
-		q.grant(f, &r, f.cost(&r), c.fluid.virtual)
+		f.addDemand(&r)
+		q.grant(f, &r, f.cost(&r), c.fluid.virtualTime)
 		return Granted
 	}
 	if f.waiting >= q.cfg.MaxQueue {
 		return QueueFull
 	}
-	if r.Deadline <= now || !q.cfg.Patient && now+q.expectedWait(q.aheadOf(f, &r)) > r.Deadline {
+	if r.Deadline <= now || !q.cfg.Patient && now+q.expectedWait(q.grantsAhead(f, &r)) > r.Deadline {
 		return TooLate
 	}
 	q.enqueue(f, r)
@@ -213,44 +213,44 @@
 }
 
 func (q *Queue) enqueue(f *flow, r Request) {
-	q.order++
-	f.ask(&r)
+	q.arrivalCount++
+	f.addDemand(&r)
 	e := &entry{
-		Request: r, order: q.order, cost: f.cost(&r), arrived: f.class.fluid.virtual, start: latestStart(&r),
-		inLine: absent, inEnds: absent,
+		Request: r, arrivalNumber: q.arrivalCount, cost: f.cost(&r), arrivalVirtual: f.class.fluid.virtualTime, latestStart: latestStart(&r),
+		subqueueIndex: notInHeap, deadlineIndex: notInHeap,
 	}
-	e.arrival = q.arrivals.PushBack(e)
+	e.arrivalElement = q.arrivals.PushBack(e)
 	q.entries[r.ID] = e
-	q.ends.push(e)
-	if r.fixed() {
-		q.fixed.waiting++
+	q.byDeadline.push(e)
+	if r.pinned() {
+		q.pinned.waiting++
 	}
-	f.add(e, timely)
+	f.enqueue(e, timely)
 }
 
-// giveUp removes a queued request that will not be granted, and its demand.
-func (q *Queue) giveUp(e *entry) {
-	f := e.line.flow
+// discard removes a queued request that will not be granted, and its demand.
+func (q *Queue) discard(e *entry) {
+	f := e.subqueue.flow
 	q.remove(e)
 	f.class.fluid.withdraw(f, e.cost)
-	f.class.forget(f)
+	f.class.dropUnused(f)
 }
 
 // remove takes a request out of the queue.
 func (q *Queue) remove(e *entry) {
-	e.line.flow.drop(e)
-	q.ends.remove(e)
-	q.arrivals.Remove(e.arrival)
+	e.subqueue.flow.dequeue(e)
+	q.byDeadline.remove(e)
+	q.arrivals.Remove(e.arrivalElement)
 	delete(q.entries, e.ID)
-	if e.fixed() {
-		q.fixed.waiting--
+	if e.pinned() {
+		q.pinned.waiting--
 	}
 }
 
-// aheadOf estimates how many grants it takes until a new request of a flow is granted:
+// grantsAhead estimates how many grants it takes until a new request of a flow is granted:
 // those to the flow's own queue, and at most as many to each other flow of the same or a
 // higher priority, since flows take turns. A connection limit of the flow scales it up.
-func (q *Queue) aheadOf(f *flow, r *Request) int {
+func (q *Queue) grantsAhead(f *flow, r *Request) int {
 	own := f.waiting + 1
 	ahead := own
 	for _, c := range q.classes {
@@ -267,62 +267,62 @@
 }
 
 func (q *Queue) expectedWait(ahead int) time.Duration {
-	return q.average * time.Duration(ahead) / time.Duration(max(q.cfg.Capacity, 1))
+	return q.meanHoldTime * time.Duration(ahead) / time.Duration(max(q.cfg.Capacity, 1))
 }
 
 // admissible reports whether a new request can be granted at once.
 func (q *Queue) admissible(f *flow, r *Request) bool {
 	l := laneOf(r)
-	if r.Limit > 0 && f.inUse >= r.Limit || q.held(l, r.Priority) {
+	if r.Limit > 0 && f.inUse >= r.Limit || q.paused(l, r.Priority) {
 		return false
 	}
-	return q.room()[l] && !q.waitsAhead(l, r.Priority)
+	return q.freeLanes()[l] && !q.hasQueuedAhead(l, r.Priority)
 }
 
-// waitsAhead reports whether requests of the same or a higher priority are queued for a
+// hasQueuedAhead reports whether requests of the same or a higher priority are queued for a
 // lane and are held back neither by a pause nor by a connection limit.
-func (q *Queue) waitsAhead(l lane, priority int) bool {
+func (q *Queue) hasQueuedAhead(l lane, priority int) bool {
 	for _, c := range q.classes {
-		if c.priority <= priority && !q.held(l, c.priority) && c.lines[timely][l].len()+c.lines[late][l].len() > 0 {
+		if c.priority <= priority && !q.paused(l, c.priority) && c.subqueues[timely][l].len()+c.subqueues[late][l].len() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// room returns the lanes in which a request may be granted now.
-func (q *Queue) room() (room [lanes]bool) {
+// freeLanes returns the lanes in which a request may be granted now.
+func (q *Queue) freeLanes() (free [lanes]bool) {
 	active := q.inUse - q.parked
 	if q.inUse >= q.cfg.Capacity || q.cfg.MaxActive > 0 && active >= q.cfg.MaxActive {
-		return room
+		return free
 	}
-	room[write] = true
-	room[fixedRead] = q.reads < q.cfg.Capacity-q.cfg.WriteReserve
-	room[flexible] = room[fixedRead] && q.leavesReserve(active)
-	return room
+	free[write] = true
+	free[pinnedRead] = q.reads < q.cfg.Capacity-q.cfg.WriteReserve
+	free[flexible] = free[pinnedRead] && q.keepsReserve(active)
+	return free
 }
 
-// open returns those of the lanes that no pause of the priority blocks.
-func (q *Queue) open(room [lanes]bool, priority int) [lanes]bool {
-	for l := range room {
-		room[l] = room[l] && !q.held(lane(l), priority)
+// unpausedLanes returns those of the lanes that no pause of the priority blocks.
+func (q *Queue) unpausedLanes(free [lanes]bool, priority int) [lanes]bool {
+	for l := range free {
+		free[l] = free[l] && !q.paused(lane(l), priority)
 	}
-	return room
+	return free
 }
 
 func (q *Queue) grant(f *flow, r *Request, cost, arrived float64) {
 	q.inUse++
 	f.inUse++
 	f.class.inUse++
-	f.class.noteGranted(q.now)
+	f.class.recordGrant(q.now)
 	if !r.Write {
 		q.reads++
 	}
-	if r.fixed() {
-		q.fixed.inUse++
+	if r.pinned() {
+		q.pinned.inUse++
 	}
 	f.charge(cost, arrived)
-	f.refresh()
+	f.updateHeaps()
 }
 
 // Done returns the connection granted for a request. held is the time for which it was in
@@ -336,21 +336,21 @@
 	if !r.Write {
 		q.reads--
 	}
-	if r.fixed() {
-		q.fixed.inUse--
+	if r.pinned() {
+		q.pinned.inUse--
 	}
 	if held > 0 {
-		q.noteHeld(held)
+		q.recordHoldTime(held)
 	}
-	f.refresh()
-	c.forget(f)
+	f.updateHeaps()
+	c.dropUnused(f)
 }
 
-func (q *Queue) noteHeld(held time.Duration) {
-	if q.average == 0 {
-		q.average = held
+func (q *Queue) recordHoldTime(held time.Duration) {
+	if q.meanHoldTime == 0 {
+		q.meanHoldTime = held
 	}
-	q.average += (held - q.average) / averageSpan
+	q.meanHoldTime += (held - q.meanHoldTime) / averageSpan
 }
 
 // averageSpan is the number of grants over which the time in use is averaged.
@@ -362,49 +362,49 @@
 	q.now = now
 	expired = q.expire(now)
 	for {
-		e := q.due()
+		e := q.pickNext()
 		if e == nil {
 			return granted, expired
 		}
-		f := e.line.flow
-		if e.arrival != q.arrivals.Front() {
+		f := e.subqueue.flow
+		if e.arrivalElement != q.arrivals.Front() {
 			f.class.overtook++
 		}
 		q.remove(e)
-		q.grant(f, &e.Request, e.cost, e.arrived)
+		q.grant(f, &e.Request, e.cost, e.arrivalVirtual)
 		granted = append(granted, e.Request)
 	}
 }
 
 func (q *Queue) expire(now time.Duration) []Request {
 	var expired []Request
-	for q.ends.len() > 0 && q.ends.first().Deadline <= now {
-		e := q.ends.first()
-		q.giveUp(e)
+	for q.byDeadline.len() > 0 && q.byDeadline.first().Deadline <= now {
+		e := q.byDeadline.first()
+		q.discard(e)
 		expired = append(expired, e.Request)
 	}
 	return expired
 }
 
-// due returns the request to grant next, nil if none can be granted.
-func (q *Queue) due() *entry {
-	room := q.room()
-	if !room[write] || len(q.entries) == 0 {
+// pickNext returns the request to grant next, nil if none can be granted.
+func (q *Queue) pickNext() *entry {
+	free := q.freeLanes()
+	if !free[write] || len(q.entries) == 0 {
 		return nil
 	}
-	next := q.inOrder(room)
-	if e := q.overdue(room); e != nil && e != next {
-		e.line.flow.class.overdueGrants++
+	next := q.pickInOrder(free)
+	if e := q.pickStarved(free); e != nil && e != next {
+		e.subqueue.flow.class.overdueGrants++
 		return e
 	}
 	return next
 }
 
-// inOrder returns the next request by stage and priority, starvation aside.
-func (q *Queue) inOrder(room [lanes]bool) *entry {
+// pickInOrder returns the next request by stage and priority, starvation aside.
+func (q *Queue) pickInOrder(free [lanes]bool) *entry {
 	for s := range stages {
 		for _, c := range q.classes {
-			if e := c.first(s, q.open(room, c.priority), q.now); e != nil {
+			if e := c.next(s, q.unpausedLanes(free, c.priority), q.now); e != nil {
 				return e
 			}
 		}
@@ -412,16 +412,16 @@
 	return nil
 }
 
-// overdue returns a request of the highest priority that is starved, nil if none is. Such
+// pickStarved returns a request of the highest priority that is starved, nil if none is. Such
 // a request may take the slots reserved for pinned requests.
-func (q *Queue) overdue(room [lanes]bool) *entry {
-	room[flexible] = room[fixedRead]
+func (q *Queue) pickStarved(free [lanes]bool) *entry {
+	free[flexible] = free[pinnedRead]
 	for _, c := range q.classes {
-		if !c.overdue(q.now) {
+		if !c.starved(q.now) {
 			continue
 		}
 		for s := range stages {
-			if e := c.first(s, q.open(room, c.priority), q.now); e != nil {
+			if e := c.next(s, q.unpausedLanes(free, c.priority), q.now); e != nil {
 				return e
 			}
 		}
@@ -435,6 +435,6 @@
 	if e == nil {
 		return false
 	}
-	q.giveUp(e)
+	q.discard(e)
 	return true
 }
--- a/internal/pool/queue_test.go
+++ b/internal/pool/queue_test.go
@@ -18,13 +18,13 @@
 	}
 }
 
-// services is the number of services in TestQueueKeepsItsBounds.
+// services is the number of services in TestQueueBoundsHold.
 const services = 4
 
 // For any sequence of requests and returned connections over time: no bound is exceeded, no
 // request is granted after its deadline or twice, and no connection stays idle while a
 // request that may use it is queued.
-func TestQueueKeepsItsBounds(t *testing.T) {
+func TestQueueBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
 			Capacity: rapid.IntRange(1, 6).Draw(t, "capacity"),
@@ -156,14 +156,14 @@
 }
 
 // In a saturated queue each service is granted connections in proportion to its weight.
-func TestFairShares(t *testing.T) {
+func TestServicesShareByWeight(t *testing.T) {
 	got := shares(map[string]int{"a": 1, "b": 1, "c": 2}, 4000)
 	must.Between(t, 900, got["a"], 1100)
 	must.Between(t, 900, got["b"], 1100)
 	must.Between(t, 1800, got["c"], 2200)
 }
 
-func TestRefusedOnArrivalWhenTooLate(t *testing.T) {
+func TestRejectsOnArrivalWhenDeadlineWouldPass(t *testing.T) {
 	q := New(Config{Capacity: 1, MaxQueue: 100})
 	r := Request{ID: 1, Service: "a", Deadline: time.Second}
 	must.Eq(t, Granted, q.Offer(0, r))
@@ -199,7 +199,7 @@
 
 // A patient queue keeps a request that it would otherwise reject on arrival because it is
 // not expected to be granted in time.
-func TestPatientQueue(t *testing.T) {
+func TestKeepUntilDeadline(t *testing.T) {
 	for _, patient := range []bool{false, true} {
 		q := New(Config{Capacity: 1, MaxQueue: 4, Patient: patient})
 		must.Eq(t, Granted, q.Offer(0, Request{ID: 1, Service: "s", Deadline: time.Second}))
@@ -216,7 +216,7 @@
 
 // A pause holds flexible requests of its priority and lower ones until its end. It holds
 // neither higher priorities nor requests that only this member can run.
-func TestPauseHoldsItsLevel(t *testing.T) {
+func TestPauseHoldsFlexibleRequestsOfLowerPriority(t *testing.T) {
 	q := New(Config{Capacity: 6, MaxQueue: 4, Patient: true})
 	request := func(id uint64, level int) Request {
 		return Request{ID: id, Service: fmt.Sprint(level), Priority: level, Elsewhere: true, Deadline: time.Hour}
--- a/internal/quota/ledger.go
+++ b/internal/quota/buckets.go
@@ -10,46 +10,46 @@
 // Ledger holds the token buckets of the shares that one instance holds. It is not safe for
 // concurrent use.
 type Ledger struct {
-	self    string
-	rules   Rules
-	holders *Holders
-	changed time.Duration // when the list of registered instances last changed
-	settled time.Duration // time from which this instance may hold shares; negative: not yet known
-	buckets map[string]*bucket
+	self             string
+	rules            Rules
+	holders          *Holders
+	holdersChangedAt time.Duration // when the list of registered instances last changed
+	settledAt        time.Duration // time from which this instance may hold shares; negative: not yet known
+	buckets          map[string]*bucket
 }
 
 // bucket is the token bucket for this instance's share of one account's limit.
 type bucket struct {
-	tokens float64
-	at     time.Duration // when tokens was last updated
+	tokens    float64
+	updatedAt time.Duration // when tokens was last updated
 }
 
 // NewLedger returns the buckets of an instance whose process has just started. They are
 // empty: the previous process may have granted all of its tokens.
 func NewLedger(self string, rules Rules) *Ledger {
-	return &Ledger{self: self, rules: rules, holders: NewHolders(nil), settled: -1, buckets: make(map[string]*bucket)}
+	return &Ledger{self: self, rules: rules, holders: NewHolders(nil), settledAt: -1, buckets: make(map[string]*bucket)}
 }
 
 // Settle sets the time from which this instance may hold shares: 0 if its registration is
 // marked as settled, else SettleAfter after it was registered. A later time than before
 // means that the registration had ended and the instance has registered again: all buckets
 // are dropped. Renewing a registration keeps the time, and so the state of the buckets.
-func (l *Ledger) Settle(at time.Duration) {
-	if l.settled >= 0 && at <= l.settled {
+func (bs *Ledger) Settle(at time.Duration) {
+	if bs.settledAt >= 0 && at <= bs.settledAt {
 		return
 	}
-	l.settled = at
-	clear(l.buckets)
+	bs.settledAt = at
+	clear(bs.buckets)
 }
 
 // Register sets the limit holders after the list of registered instances has changed. The
 // bucket of an account that has moved to other holders is dropped, so that it starts empty
 // if the account comes back.
-func (l *Ledger) Register(now time.Duration, h *Holders) {
-	l.holders, l.changed = h, now
-	for name := range l.buckets {
-		if !slices.Contains(h.Of(name), l.self) {
-			delete(l.buckets, name)
+func (bs *Ledger) Register(now time.Duration, h *Holders) {
+	bs.holders, bs.holdersChangedAt = h, now
+	for name := range bs.buckets {
+		if !slices.Contains(h.Of(name), bs.self) {
+			delete(bs.buckets, name)
 		}
 	}
 }
@@ -67,48 +67,48 @@
 // Reserve grants up to wanted tokens of an account. confirmed is the time at which the
 // store snapshot, which determines the limit holders and lists this instance as alive, was
 // last known to be current.
-func (l *Ledger) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
+func (bs *Ledger) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
 	if limit.Unlimited {
-		return Grant{Tokens: wanted, Life: maxLife, Holder: true}
+		return Grant{Tokens: wanted, Life: maxLifetime, Holder: true}
 	}
-	holders := l.holders.Of(name)
+	holders := bs.holders.Of(name)
 	switch {
-	case l.settled < 0 || now-confirmed > Validity:
-		return Grant{ComeBack: firstPause} // no recent snapshot of the store
-	case !slices.Contains(holders, l.self):
+	case bs.settledAt < 0 || now-confirmed > Validity:
+		return Grant{ComeBack: minBackoff} // no recent snapshot of the store
+	case !slices.Contains(holders, bs.self):
 		return Grant{}
-	case now < l.settled:
-		return Grant{ComeBack: l.settled - now}
+	case now < bs.settledAt:
+		return Grant{ComeBack: bs.settledAt - now}
 	}
-	budget := l.rules.Budget(limit).share(len(holders))
-	b := l.fill(now, name, budget)
+	budget := bs.rules.Budget(limit).share(len(holders))
+	b := bs.refill(now, name, budget)
 	n := min(wanted, int(b.tokens))
 	if n > 0 {
 		b.tokens -= float64(n)
 		return Grant{Tokens: n, Life: budget.Life, Holder: true}
 	}
-	return Grant{ComeBack: budget.after(1 - b.tokens), Holder: true}
+	return Grant{ComeBack: budget.refillTime(1 - b.tokens), Holder: true}
 }
 
-// after returns how long it takes to refill some tokens, rounded up.
-func (b Budget) after(tokens float64) time.Duration {
+// refillTime returns how long it takes to refill some tokens, rounded up.
+func (b Budget) refillTime(tokens float64) time.Duration {
 	if b.Refill <= 0 {
-		return maxLife
+		return maxLifetime
 	}
 	return seconds(max(0, tokens)/b.Refill) + time.Millisecond
 }
 
-// fill returns the bucket of an account after adding the tokens refilled since the last
+// refill returns the bucket of an account after adding the tokens refilled since the last
 // call. A new bucket counts as empty at the time at which this instance came to hold the
 // share: the latest of when it settled, when its process started, and when the previous
 // holder granted its last token.
-func (l *Ledger) fill(now time.Duration, name string, budget Budget) *bucket {
-	b := l.buckets[name]
+func (bs *Ledger) refill(now time.Duration, name string, budget Budget) *bucket {
+	b := bs.buckets[name]
 	if b == nil {
-		b = &bucket{at: max(0, l.settled, l.changed-silentBefore)}
-		l.buckets[name] = b
+		b = &bucket{updatedAt: max(0, bs.settledAt, bs.holdersChangedAt-removalMargin)}
+		bs.buckets[name] = b
 	}
-	b.tokens = min(budget.Depth, b.tokens+budget.Refill*(now-b.at).Seconds())
-	b.at = now
+	b.tokens = min(budget.Depth, b.tokens+budget.Refill*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 	return b
 }
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -26,45 +26,45 @@
 
 // world simulates a fleet with one account. Its times are true time unless stated otherwise.
 type world struct {
-	t     *rapid.T
-	rules Rules
-	limit account.Limit
-	now   time.Duration
-	nodes []*node
-	used  []time.Duration // times of the operations, in order
+	t          *rapid.T
+	rules      Rules
+	limit      account.Limit
+	now        time.Duration
+	instances  []*instance
+	operations []time.Duration // times of the operations, in order
 }
 
-// node is one instance. Each of its processes has a clock that starts at 0.
-type node struct {
-	name       string
-	registered bool // in the store
-	settled    bool // in the store
-	alive      bool // in the store: its lease is valid
-	lastAlive  time.Duration
-	up, cut    bool // the process runs; it cannot reach the store
-
-	rate      float64 // speed of the process's clock relative to true time
-	started   time.Duration
-	ledger    *Ledger
-	confirmed time.Duration // time of the store snapshot, on the process's clock
-	joined    time.Duration // time of the first registration, on the process's clock; -1: none yet
-	seen      []string      // the registered instances in the snapshot
-	tokens    []heldTokens
+// instance is one instance. Each of its processes has a clock that starts at 0.
+type instance struct {
+	name            string
+	registered      bool // in the store
+	settled         bool // in the store
+	alive           bool // in the store: its lease is valid
+	lastAlive       time.Duration
+	up, partitioned bool // the process runs; it cannot reach the store
+
+	rate         float64 // speed of the process's clock relative to true time
+	started      time.Duration
+	buckets      *Ledger
+	confirmed    time.Duration // time of the store snapshot, on the process's clock
+	registeredAt time.Duration // time of the first registration, on the process's clock; -1: none yet
+	snapshot     []string      // the registered instances in the snapshot
+	tokens       []heldTokens
 }
 
 // heldTokens are tokens held by an instance, with their expiry on its clock.
 type heldTokens struct {
-	n     int
-	until time.Duration
+	n       int
+	expires time.Duration
 }
 
-func (n *node) clock(now time.Duration) time.Duration {
+func (n *instance) clock(now time.Duration) time.Duration {
 	return time.Duration(float64(now-n.started) * n.rate)
 }
 
 func (w *world) registered() []string {
 	var names []string
-	for _, n := range w.nodes {
+	for _, n := range w.instances {
 		if n.registered {
 			names = append(names, n.name)
 		}
@@ -72,46 +72,46 @@
 	return names
 }
 
-func (w *world) start(n *node) {
+func (w *world) start(n *instance) {
 	n.up, n.started = true, w.now
 	n.rate = rapid.SampledFrom([]float64{0.995, 1, 1.005}).Draw(w.t, "clock")
-	n.ledger, n.tokens, n.seen = NewLedger(n.name, w.rules), nil, nil
+	n.buckets, n.tokens, n.snapshot = NewLedger(n.name, w.rules), nil, nil
 	n.confirmed = -time.Hour
 	if n.settled {
-		n.ledger.Settle(0)
+		n.buckets.Settle(0)
 	}
-	n.joined = -1
+	n.registeredAt = -1
 }
 
 // sync lets an instance write its registration and heartbeat to the store and read a
 // snapshot.
-func (w *world) sync(n *node) {
-	if !n.up || n.cut {
+func (w *world) sync(n *instance) {
+	if !n.up || n.partitioned {
 		return
 	}
 	local := n.clock(w.now)
-	if !n.registered || n.joined < 0 {
-		n.joined = local
+	if !n.registered || n.registeredAt < 0 {
+		n.registeredAt = local
 		if !n.settled {
-			n.ledger.Settle(local + SettleAfter)
+			n.buckets.Settle(local + SettleAfter)
 		}
 	}
 	n.registered, n.alive, n.lastAlive = true, true, w.now
-	if !n.settled && local >= n.joined+SettleAfter {
+	if !n.settled && local >= n.registeredAt+SettleAfter {
 		n.settled = true
 	}
-	if names := w.registered(); !slices.Equal(names, n.seen) {
-		n.seen = names
-		n.ledger.Register(local, NewHolders(names))
+	if names := w.registered(); !slices.Equal(names, n.snapshot) {
+		n.snapshot = names
+		n.buckets.Register(local, NewHolders(names))
 	}
 	n.confirmed = local
 }
 
-// pass advances the time. Leases expire 3 s after the last heartbeat, and registrations
+// advance advances the time. Leases expire 3 s after the last heartbeat, and registrations
 // are removed after removedAfter.
-func (w *world) pass(d time.Duration) {
+func (w *world) advance(d time.Duration) {
 	w.now += d
-	for _, n := range w.nodes {
+	for _, n := range w.instances {
 		if n.alive && w.now-n.lastAlive > 3*time.Second {
 			n.alive = false
 		}
@@ -122,16 +122,16 @@
 }
 
 // reserve lets one instance request tokens from another, with a random latency each way.
-func (w *world) reserve(from, holder *node) {
+func (w *world) reserve(from, holder *instance) {
 	if !from.up || !holder.up {
 		return
 	}
 	sent := from.clock(w.now)
-	w.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way"))
-	g := holder.ledger.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, rapid.SampledFrom([]int{1, 5, 1000}).Draw(w.t, "wanted"))
-	w.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way back"))
+	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way"))
+	g := holder.buckets.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, rapid.SampledFrom([]int{1, 5, 1000}).Draw(w.t, "wanted"))
+	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way back"))
 	if g.Tokens > 0 {
-		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, until: sent + time.Duration(float64(g.Life)*(1-drift))})
+		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, expires: sent + time.Duration(float64(g.Life)*(1-drift))})
 	}
 }
 
@@ -139,31 +139,31 @@
 const surgeLength = 9 * time.Second
 
 // surge lets an instance repeatedly fetch and use all tokens that all instances grant.
-func (w *world) surge(n *node) {
+func (w *world) surge(n *instance) {
 	const pause = 250 * time.Millisecond
 	for range surgeLength / pause {
-		for _, holder := range w.nodes {
+		for _, holder := range w.instances {
 			if !n.up || !holder.up {
 				continue
 			}
-			g := holder.ledger.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, 1000)
+			g := holder.buckets.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, 1000)
 			for range g.Tokens {
-				w.used = append(w.used, w.now)
+				w.operations = append(w.operations, w.now)
 			}
 		}
-		w.pass(pause)
+		w.advance(pause)
 	}
 }
 
 // spend lets an instance use all of its unexpired tokens.
-func (w *world) spend(n *node) {
+func (w *world) spend(n *instance) {
 	if !n.up {
 		return
 	}
 	for _, h := range n.tokens {
-		if n.clock(w.now) < h.until {
+		if n.clock(w.now) < h.expires {
 			for range h.n {
-				w.used = append(w.used, w.now)
+				w.operations = append(w.operations, w.now)
 			}
 		}
 	}
@@ -173,12 +173,12 @@
 func (w *world) check() {
 	allowed := (w.limit.Rate*w.rules.Window.Seconds()+w.limit.Burst)*(1+w.rules.Tolerance) + w.rules.Slack
 	first := 0
-	for last := range w.used {
-		for w.used[last]-w.used[first] > w.rules.Window {
+	for last := range w.operations {
+		for w.operations[last]-w.operations[first] > w.rules.Window {
 			first++
 		}
 		if n := float64(last - first + 1); n > allowed {
-			w.t.Fatalf("%v operations in the window that ends at %s, %v are allowed", n, w.used[last], allowed)
+			w.t.Fatalf("%v operations in the window that ends at %s, %v are allowed", n, w.operations[last], allowed)
 		}
 	}
 }
@@ -192,12 +192,12 @@
 		rate := rapid.SampledFrom([]float64{0.5, 3, 20, 112}).Draw(t, "rate")
 		w.limit = account.Limit{Rate: rate, Burst: rate * rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "burst")}
 		for n := range rapid.SampledFrom([]int{1, 4, 9}).Draw(t, "first") {
-			w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", n), settled: true, registered: true})
+			w.instances = append(w.instances, &instance{name: fmt.Sprint("n", n), settled: true, registered: true})
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.instances {
 			w.start(n)
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.instances {
 			w.sync(n)
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -208,41 +208,41 @@
 }
 
 func (w *world) step() {
-	n := rapid.SampledFrom(w.nodes).Draw(w.t, "node")
+	n := rapid.SampledFrom(w.instances).Draw(w.t, "node")
 	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "what") {
 	case "greed": // an instance fetches tokens from all, and uses them at once or later
-		for _, holder := range w.nodes {
+		for _, holder := range w.instances {
 			w.reserve(n, holder)
 		}
 		if rapid.Bool().Draw(w.t, "late") {
-			w.pass(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second}).Draw(w.t, "for"))
+			w.advance(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second}).Draw(w.t, "for"))
 		}
 		w.spend(n)
 	case "surge": // an instance uses all tokens of all instances for longer than a window
 		w.surge(n)
 	case "pass":
-		w.pass(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}).Draw(w.t, "for"))
+		w.advance(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}).Draw(w.t, "for"))
 	case "leap": // longer than snapshots stay valid and registrations last, while the instances that reach the store sync
 		for range 8 {
-			w.pass(4 * time.Second)
-			for _, other := range w.nodes {
+			w.advance(4 * time.Second)
+			for _, other := range w.instances {
 				w.sync(other)
 			}
 		}
 	case "sync":
 		w.sync(n)
 	case "cut":
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case "kill":
 		n.up = false
 	case "restart":
 		w.start(n)
-		n.cut = false
+		n.partitioned = false
 		w.sync(n)
 	case "join":
-		if len(w.nodes) < 14 {
-			fresh := &node{name: fmt.Sprint("n", len(w.nodes))}
-			w.nodes = append(w.nodes, fresh)
+		if len(w.instances) < 14 {
+			fresh := &instance{name: fmt.Sprint("n", len(w.instances))}
+			w.instances = append(w.instances, fresh)
 			w.start(fresh)
 			w.sync(fresh)
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -44,26 +44,26 @@
 	// SettleAfter is how long an instance must have been registered, by its own clock,
 	// before it holds shares. The 2% over Validity cover clock drift.
 	SettleAfter = Validity + Validity/50
-	// silentBefore is how long a holder has granted no tokens when its registration is
+	// removalMargin is how long a holder has granted no tokens when its registration is
 	// removed, upon which another instance takes over its share: the 32 s less Validity,
 	// allowing for the drift of both clocks. Because of it a restarted process refills
 	// its buckets from its start rather than from its first read of the store: these are
 	// the seconds in which all clients reconnect.
-	silentBefore = 3 * time.Second
+	removalMargin = 3 * time.Second
 	// drift is the maximum relative difference in speed between the clocks of two
 	// instances.
 	drift = 0.01
-	// minLife and maxLife bound the lifetime of a token. It must be longer than the
+	// minLifetime and maxLifetime bound the lifetime of a token. It must be longer than the
 	// network latency to the instance that uses it; on the other hand a cached token is
 	// unavailable to all other instances.
-	minLife = 200 * time.Millisecond
-	maxLife = 3 * time.Second
-	// lifeOfTolerance and lifeOfSlack are the fractions of the tolerance and of the slack
+	minLifetime = 200 * time.Millisecond
+	maxLifetime = 3 * time.Second
+	// lifetimeTolerance and lifetimeSlack are the fractions of the tolerance and of the slack
 	// that are spent on a longer token lifetime, so that an account with few operations
 	// finds a cached token at each of its carriers. The rest makes the buckets deep
 	// enough for many instances that prefetch tokens.
-	lifeOfTolerance = 0.4
-	lifeOfSlack     = 0.5
+	lifetimeTolerance = 0.4
+	lifetimeSlack     = 0.5
 )
 
 // Rules define how operations are counted against a limit.
@@ -92,8 +92,8 @@
 	inWindow := l.Rate*r.Window.Seconds() + l.Burst
 	allowed := inWindow*(1+r.Tolerance) + r.Slack
 	sustained := inWindow / r.Window.Seconds()
-	life := seconds(lifeOfTolerance*r.Tolerance*r.Window.Seconds()) + seconds(lifeOfSlack*r.Slack/sustained)
-	life = min(max(life, minLife), maxLife)
+	life := seconds(lifetimeTolerance*r.Tolerance*r.Window.Seconds()) + seconds(lifetimeSlack*r.Slack/sustained)
+	life = min(max(life, minLifetime), maxLifetime)
 	span := (r.Window + life).Seconds()
 	depth := max(allowed-sustained*span, min(allowed/2, holdersPerAccount))
 	return Budget{Refill: (allowed - depth) / span * (1 - drift), Depth: depth, Life: life}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -25,9 +25,9 @@
 		"large":                {rules, account.Limit{Rate: 112, Burst: 112}, 274 * time.Millisecond},
 		"small":                {rules, account.Limit{Rate: 3, Burst: 3}, 2978 * time.Millisecond},
 		"no burst":             {rules, account.Limit{Rate: 50}, 400 * time.Millisecond},
-		"no rate":              {rules, account.Limit{Burst: 10}, maxLife},
-		"no tolerance":         {Rules{Window: 5 * time.Second}, account.Limit{Rate: 20, Burst: 5}, minLife},
-		"neither, nor a burst": {Rules{Window: time.Second}, account.Limit{Rate: 20}, minLife},
+		"no rate":              {rules, account.Limit{Burst: 10}, maxLifetime},
+		"no tolerance":         {Rules{Window: 5 * time.Second}, account.Limit{Rate: 20, Burst: 5}, minLifetime},
+		"neither, nor a burst": {Rules{Window: time.Second}, account.Limit{Rate: 20}, minLifetime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := c.rules.Budget(c.limit)
@@ -52,7 +52,7 @@
 
 // The holders of all accounts are a small part of the instances, and adding or removing an
 // instance changes the holders of few accounts.
-func TestHoldersAreFewAndStay(t *testing.T) {
+func TestHoldersAreFewAndStable(t *testing.T) {
 	all, fewer := NewHolders(names(550)), NewHolders(names(549))
 	holding := make(map[string]bool)
 	changed := 0
@@ -89,10 +89,10 @@
 // operate simulates operations of one account at regular intervals, with a latency of one
 // millisecond to the holders. It returns how many ran at once, how many had to fetch a
 // token first, and how many were rejected.
-func operate(m *Meter, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (atOnce, asked, refused int) {
-	const way = time.Millisecond
+func operate(m *Meter, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
+	const latency = time.Millisecond
 	ask := func(now time.Duration, d Decision) {
-		m.Granted(now, now+way, "a", d.Holder, ledgers[d.Holder].Reserve(now+way, now, "a", limit, d.Wanted))
+		m.Granted(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
 	}
 	for now := time.Minute; now < time.Minute+length; now += pause {
 		waited := false
@@ -107,9 +107,9 @@
 			case d.Verdict == Refuse:
 				refused++
 			case waited:
-				asked++
+				fetched++
 			default:
-				atOnce++
+				immediate++
 			}
 			for d.Verdict == Run && d.Holder != "" {
 				ask(now, d)
@@ -118,7 +118,7 @@
 			break
 		}
 	}
-	return atOnce, asked, refused
+	return immediate, fetched, refused
 }
 
 // The operations of an account at 0.62 of its limit's rate, the usual load, through one
@@ -126,10 +126,10 @@
 func TestOperationsWithinTheLimitDoNotWait(t *testing.T) {
 	for _, rate := range []float64{2, 20, 200} {
 		m, ledgers := fleetOf(71)
-		atOnce, asked, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
+		immediate, fetched, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
 		must.Zero(t, refused)
-		must.LessEq(t, 3, asked)
-		must.Positive(t, atOnce)
+		must.LessEq(t, 3, fetched)
+		must.Positive(t, immediate)
 	}
 }
 
@@ -138,18 +138,18 @@
 	m, ledgers := fleetOf(71)
 	limit := account.Limit{Rate: 50, Burst: 50}
 	const length = time.Minute
-	atOnce, asked, _ := operate(m, ledgers, limit, time.Millisecond*2, length)
-	ran := float64(atOnce + asked)
+	immediate, fetched, _ := operate(m, ledgers, limit, time.Millisecond*2, length)
+	ran := float64(immediate + fetched)
 	allowed := limit.Rate + limit.Burst/rules.Window.Seconds() // operations per second, sustained
 	must.GreaterEq(t, 0.95*allowed*length.Seconds(), ran)
 	must.LessEq(t, 1.05*allowed*length.Seconds()+rules.Budget(limit).Depth, ran)
 }
 
 // Under the usual load no operation is rejected while two of the six holders are down.
-func TestTwoHoldersMayBeAway(t *testing.T) {
+func TestTwoHoldersMayBeDown(t *testing.T) {
 	m, ledgers := fleetOf(71)
 	for _, holder := range m.holders.Of("a")[:2] {
-		delete(m.centres, holder)
+		delete(m.dataCentres, holder)
 	}
 	const rate = 50
 	_, _, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
@@ -158,7 +158,7 @@
 
 // A rejection advises a retry delay, after which a token is available if no other instance
 // has fetched it.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalAdvisesRetryDelay(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 0}
 	now := time.Minute
@@ -178,7 +178,7 @@
 // An instance whose registration was removed while it was partitioned, and that registers
 // again, holds no share until it has settled, and then starts with an empty bucket: other
 // instances may have held its shares meanwhile.
-func TestShareBeginsEmptyAfterARegistrationThatEnded(t *testing.T) {
+func TestBucketStartsEmptyAfterNewRegistration(t *testing.T) {
 	l := NewLedger("front-000", rules)
 	l.Settle(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
@@ -194,7 +194,7 @@
 }
 
 // Renewing a registration, as after the loss of a lease, does not refill any bucket.
-func TestSettlingAgainGivesNothing(t *testing.T) {
+func TestRenewedRegistrationRefillsNothing(t *testing.T) {
 	l := NewLedger("front-000", rules)
 	l.Settle(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
@@ -206,9 +206,9 @@
 
 // A holder that does not answer is asked again with exponential backoff, which starts short
 // since the holder may have just started. It does not count as having no token.
-func TestSilentHolderIsAskedAgain(t *testing.T) {
+func TestUnresponsiveHolderIsAskedAgainWithBackoff(t *testing.T) {
 	m, _ := fleetOf(1)
-	now, pause := time.Minute, firstPause
+	now, pause := time.Minute, minBackoff
 	for range 5 {
 		m.Failed(now, "front-000")
 		d := m.Take(now, "a")
@@ -217,7 +217,7 @@
 		must.Eq(t, pause, d.Shortage.ComeBack)
 		now += pause
 		must.Eq(t, Ask, m.Take(now, "a").Verdict)
-		pause = min(2*pause, awayPause)
+		pause = min(2*pause, maxBackoff)
 	}
 	m.Granted(now, now, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
 	m.Failed(now, "front-000")
@@ -226,14 +226,14 @@
 
 // After a restart of all instances, holders without a store snapshot cannot serve accounts
 // yet. They are asked again soon, and the account does not count as being at its limit.
-func TestHolderThatHasJustStartedIsNotEmpty(t *testing.T) {
+func TestRestartedHolderDoesNotCountAsOutOfTokens(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 10}
 	m.Granted(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-Validity-1, "a", limit, 1))
-	d := m.Take(firstPause-1, "a")
+	d := m.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.Empty())
-	must.Eq(t, Ask, m.Take(firstPause, "a").Verdict)
+	must.Eq(t, Ask, m.Take(minBackoff, "a").Verdict)
 	m.Granted(0, 0, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
 	must.True(t, m.Take(0, "a").Shortage.Empty())
 }
--- /dev/null
+++ b/internal/quota/rejection_cache_test.go
@@ -0,0 +1,211 @@
+package quota
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+	"pgregory.net/rapid"
+
+	"github.com/stackspindle/stackspindle/internal/account"
+)
+
+func operationOf(name string) Visit {
+	return Visit{Account: name, Limit: account.Limit{Rate: 10, Burst: 10}, Horizon: time.Minute}
+}
+
+func admitted(c *Door, now time.Duration, op Visit) bool {
+	_, ok := c.Admit(now, op)
+	return ok
+}
+
+// rejectingCache returns a cache in which an account was recorded as rejected at one second.
+func rejectingCache(op Visit, empty time.Duration) *Door {
+	c := NewDoor()
+	c.Refused(0, time.Second, op, empty)
+	return c
+}
+
+// While an account has no tokens its operations are rejected. Then a single operation is
+// admitted, and all others once it got a token.
+func TestRejectionCacheAdmitsOneOperationAfterRejection(t *testing.T) {
+	op, other := operationOf("a"), operationOf("b")
+	const empty = 100 * time.Millisecond
+	c := rejectingCache(op, empty)
+	must.False(t, admitted(c, time.Second+empty-1, op))
+	must.True(t, admitted(c, time.Second, other))
+	end := time.Second + empty
+	c = rejectingCache(op, empty)
+	must.False(t, admitted(c, end, op), must.Sprint("reserved for the retry of the rejected client"))
+	end += empty / 2
+	must.True(t, admitted(c, end, op))
+	must.False(t, admitted(c, end, op))
+	must.False(t, admitted(c, end+1, op))
+	c.Ran(end, op)
+	must.True(t, admitted(c, end+2, op))
+	must.True(t, admitted(c, end+2, op))
+}
+
+// The operations of an account that stays above its limit are admitted at growing intervals.
+func TestRejectionCacheBacksOff(t *testing.T) {
+	op := operationOf("a")
+	c := NewDoor()
+	passed := 0
+	const pause, length = 10 * time.Millisecond, 20 * time.Second
+	for now := time.Second; now < time.Second+length; now += pause {
+		if admitted(c, now, op) {
+			passed++
+			c.Refused(now, now, op, time.Millisecond)
+		}
+	}
+	must.LessEq(t, int(length/maxRejection)+10, passed)
+	must.GreaterEq(t, int(float64(length/maxRejection)/(1+retryPrecedence)), passed)
+}
+
+// A rejection with an implausible time without tokens is ignored, as is one of an account
+// without a limit: operations stay admitted.
+func TestRejectionCacheIgnoresImplausibleRejections(t *testing.T) {
+	op := operationOf("a")
+	for _, empty := range []time.Duration{0, -1, -1 << 63, maxLifetime + 1, 1<<63 - 1} {
+		c := NewDoor()
+		must.Zero(t, c.Refused(0, time.Second, op, empty))
+		must.True(t, admitted(c, time.Second, op))
+	}
+	op.Limit.Unlimited = true
+	must.True(t, admitted(rejectingCache(operationOf("a"), time.Second), time.Second, op))
+}
+
+// The cache holds a bounded number of accounts, and drops those that were not rejected
+// recently to make room for others.
+func TestRejectionCacheIsBounded(t *testing.T) {
+	c := NewDoor()
+	for n := range 2 * maxCachedAccounts {
+		c.Refused(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
+	}
+	must.MapLen(t, maxCachedAccounts, c.accounts)
+	later := time.Second + rejectionMemory + 1
+	c.Refused(later, later, operationOf("late"), time.Second)
+	must.False(t, admitted(c, later, operationOf("late")))
+}
+
+// Rejected clients are advised successive retry times, and a client that retries as advised
+// has precedence over a new one.
+func TestRejectionCacheAdvisesSuccessiveRetries(t *testing.T) {
+	op := operationOf("a")
+	const empty = 100 * time.Millisecond
+	c := NewDoor()
+	now := time.Second
+	last := c.Refused(0, now, op, empty)
+	must.Eq(t, empty, last)
+	for range 5 {
+		delay, ok := c.Admit(now, op)
+		must.False(t, ok)
+		must.Eq(t, last+empty, delay)
+		last = delay
+	}
+	now += empty
+	must.False(t, admitted(c, now, op))
+	returning := op
+	returning.Returning = true
+	must.True(t, admitted(c, now, returning))
+	op.Horizon = empty
+	delay, ok := c.Admit(now, op)
+	must.False(t, ok)
+	must.Eq(t, empty, delay)
+}
+
+// For any sequence of operations and carrier rejections: after the last carrier rejection
+// an account is rejected for no longer than twice maxRejection, even if the only operation
+// admitted since is lost, and each rejection advises a retry delay.
+func TestRejectionCacheStopsRejecting(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c := NewDoor()
+		op := operationOf("a")
+		op.Limit.Rate = rapid.SampledFrom([]float64{0, 0.1, 3, 1000}).Draw(t, "rate")
+		op.Horizon = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Minute}).Draw(t, "horizon")
+		now, lastRejection := time.Second, time.Second
+		for range rapid.IntRange(0, 50).Draw(t, "steps") {
+			now += time.Duration(rapid.Int64Range(0, int64(2*maxRejection)).Draw(t, "pause"))
+			sent := now - time.Duration(rapid.Int64Range(0, int64(maxRejection)).Draw(t, "ago"))
+			op.Returning = rapid.Bool().Draw(t, "returning")
+			switch rapid.SampledFrom([]string{"ask", "refused", "ran"}).Draw(t, "what") {
+			case "ask":
+				if delay, ok := c.Admit(now, op); !ok {
+					must.Positive(t, delay)
+				}
+			case "refused":
+				c.Refused(sent, now, op, time.Duration(rapid.Int64().Draw(t, "empty")))
+				lastRejection = now
+			case "ran":
+				c.Ran(sent, op)
+			}
+		}
+		op.Returning = false
+		must.True(t, admitted(c, lastRejection+2*maxRejection, op))
+		must.True(t, admitted(c, lastRejection+2*maxRejection, op))
+	})
+}
+
+// simulateIngress simulates clients of one account at many ingress instances, each with its own
+// cache, in front of a single token bucket. It returns how many operations ran and how many
+// were admitted.
+func simulateIngress(ingress int, rate float64, pause, length time.Duration) (ran, passed int) {
+	caches := make([]*Door, ingress)
+	for i := range caches {
+		caches[i] = NewDoor()
+	}
+	op := Visit{Account: "a", Limit: account.Limit{Rate: rate, Burst: rate}, Horizon: time.Second}
+	tokens, step := 0.0, pause/time.Duration(ingress)
+	for now, n := time.Second, 0; now < time.Second+length; now, n = now+step, n+1 {
+		tokens = min(tokens+rate*step.Seconds(), holdersPerAccount)
+		cache := caches[n%ingress]
+		if !admitted(cache, now, op) {
+			continue
+		}
+		passed++
+		if tokens >= 1 {
+			tokens--
+			ran++
+			cache.Ran(now, op)
+		} else {
+			cache.Refused(now, now, op, max(minEmptyPause, seconds((1-tokens)/rate)))
+		}
+	}
+	return ran, passed
+}
+
+// An account that demands slightly more than its limit, or ten times as much, through many
+// ingress instances gets its limit. The operations that are forwarded in vain are bounded
+// by the number of ingress instances, not by the demand.
+func TestIngressInstancesTogetherGrantTheLimit(t *testing.T) {
+	const length = 20 * time.Second
+	for _, ingress := range []int{1, 8, 80} {
+		for _, rate := range []float64{3, 20, 100} {
+			for _, demand := range []float64{1.1, 1.5, 10} {
+				pause := seconds(float64(ingress) / (demand * rate))
+				ran, passed := simulateIngress(ingress, rate, pause, length)
+				at := must.Sprintf("%d ingress instances, rate %v, demand %v: %d ran, %d admitted", ingress, rate, demand, ran, passed)
+				must.GreaterEq(t, 0.95*rate*length.Seconds(), float64(ran), at)
+				maxAdmitted := 4*rate*length.Seconds() + 2*float64(ingress)*length.Seconds()
+				must.LessEq(t, maxAdmitted, float64(passed), at)
+			}
+		}
+	}
+}
+
+func BenchmarkRejectionCache(b *testing.B) {
+	for _, accounts := range []int{1, maxCachedAccounts} {
+		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
+			c := NewDoor()
+			for n := range accounts {
+				c.Refused(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
+			}
+			op := operationOf("account-0")
+			b.ReportAllocs()
+			for b.Loop() {
+				c.Admit(time.Second, op)
+			}
+		})
+	}
+}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -41,7 +41,7 @@
 // but only after the longest delay, so that requests survive a failover without causing a
 // retry storm.
 func Next(o Outcome, b *Budget) Decision {
-	if !repeatable(o) {
+	if !retryable(o) {
 		return Decision{}
 	}
 	if o.Hint && o.Attempt <= freeRedirects {
@@ -63,8 +63,8 @@
 	maxShift      = 6 // keeps the shift of the backoff in range
 )
 
-// repeatable reports whether the request may be retried at all.
-func repeatable(o Outcome) bool {
+// retryable reports whether the request may be retried at all.
+func retryable(o Outcome) bool {
 	if o.Delivered || o.Left <= 0 {
 		return false
 	}
@@ -88,15 +88,15 @@
 
 // Settings of the budget.
 const (
-	earned    = 0.2 // retries earned by each first attempt
-	maxTokens = 50  // retries that the budget holds at most
+	earnedPerAttempt = 0.2 // retries earned by each first attempt
+	maxTokens        = 50  // retries that the budget holds at most
 )
 
 // NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{tokens: maxTokens} }
 
 // Earn records a first attempt.
-func (b *Budget) Earn() { b.tokens = min(b.tokens+earned, maxTokens) }
+func (b *Budget) Earn() { b.tokens = min(b.tokens+earnedPerAttempt, maxTokens) }
 
 // Take uses one retry of the budget, and reports whether one was available.
 func (b *Budget) Take() bool {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,7 +9,7 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-func TestOnlyWhatDidNotRunIsRepeated(t *testing.T) {
+func TestOnlyIdempotentOrUnsentRequestsAreRetried(t *testing.T) {
 	second := time.Second
 	cases := []struct {
 		name string
@@ -40,7 +40,7 @@
 
 // The number of retries with a short delay is at most a fifth of the requests plus the
 // initial budget. All further retries wait for the longest delay.
-func TestBudgetBoundsTheRate(t *testing.T) {
+func TestBudgetBoundsFastRetries(t *testing.T) {
 	b := NewBudget()
 	short := 0
 	for range 1000 {
@@ -51,5 +51,5 @@
 			short++
 		}
 	}
-	must.LessEq(t, 1000*earned+maxTokens, float64(short))
+	must.LessEq(t, 1000*earnedPerAttempt+maxTokens, float64(short))
 }
