--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -66,7 +66,7 @@
 	fetches          map[string]chan struct{} // fetches in progress by account; each channel is closed at the end
 	waiting          map[string]int           // operations that wait for a token, by account
 	meanResponseTime time.Duration            // moving average of the response time of calls; 0: unknown
-	rejections       *quota.Door
+	rejections       *quota.RejectionCache
 }
 
 // Config holds the settings and dependencies of a limiter.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -15,7 +15,7 @@
 // and an instance that fails takes only its share of the limit with it: under the usual
 // load of 0.62 of the limit, two of six holders may be down before operations are rejected.
 // Ingress instances reject operations of accounts at their limit without forwarding them
-// (Door).
+// (RejectionCache).
 //
 // Three invariants ensure that at most one limit's worth of shares is held at any time:
 //   - The holders of an account are the highest ranked among the registered instances,
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -23,14 +23,14 @@
 	retryPrecedence = 0.25
 )
 
-// Door is the rejection cache of an ingress instance, to which clients are connected. It
+// RejectionCache is the rejection cache of an ingress instance, to which clients are connected. It
 // rejects operations of accounts that are at their limit, based on recent rejections by the
 // carriers that would have run them, which saves forwarding them. While an account is at
 // its limit, one operation per interval is admitted. The interval doubles with each carrier
 // rejection and halves with each operation that got a token, so that an instance gets part
 // of the remaining limit without knowing how many other instances compete for it. It is
 // not safe for concurrent use.
-type Door struct {
+type RejectionCache struct {
 	accounts map[string]*rejectedAccount
 }
 
@@ -45,7 +45,7 @@
 }
 
 // NewDoor returns an empty cache, which admits all operations.
-func NewDoor() *Door { return &Door{accounts: make(map[string]*rejectedAccount)} }
+func NewDoor() *RejectionCache { return &RejectionCache{accounts: make(map[string]*rejectedAccount)} }
 
 // Visit is one operation to be checked against the rejection cache.
 type Visit struct {
@@ -59,7 +59,7 @@
 // which the client should retry. When the rejection time of an account ends, a single
 // operation is admitted first; clients are advised distinct retry times in the order in
 // which they were rejected.
-func (c *Door) Admit(now time.Duration, op Visit) (time.Duration, bool) {
+func (c *RejectionCache) Admit(now time.Duration, op Visit) (time.Duration, bool) {
 	a := c.accounts[op.Account]
 	switch {
 	case a == nil || a.admitAll || op.Limit.Unlimited || now >= a.rejectedAt+2*a.interval:
@@ -100,7 +100,7 @@
 // that the value is unused: the rejection time follows from the account's limit, because
 // other instances wait for the same time and an account slightly above its limit gets
 // tokens sooner.
-func (c *Door) Refused(sent, now time.Duration, op Visit, empty time.Duration) time.Duration {
+func (c *RejectionCache) Refused(sent, now time.Duration, op Visit, empty time.Duration) time.Duration {
 	if empty <= 0 || empty > maxLifetime || op.Limit.Unlimited {
 		return 0
 	}
@@ -125,7 +125,7 @@
 }
 
 // Ran records that an operation forwarded at time sent got a token.
-func (c *Door) Ran(sent time.Duration, op Visit) {
+func (c *RejectionCache) Ran(sent time.Duration, op Visit) {
 	a := c.accounts[op.Account]
 	if a == nil || sent < a.rejectedAt {
 		return
@@ -136,7 +136,7 @@
 
 // makeSpace reports whether another account fits into the cache. A full cache first drops
 // the accounts that were last rejected more than rejectionMemory ago.
-func (c *Door) makeSpace(now time.Duration) bool {
+func (c *RejectionCache) makeSpace(now time.Duration) bool {
 	if len(c.accounts) < maxCachedAccounts {
 		return true
 	}
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -15,13 +15,13 @@
 	return Visit{Account: name, Limit: account.Limit{Rate: 10, Burst: 10}, Horizon: time.Minute}
 }
 
-func admitted(c *Door, now time.Duration, op Visit) bool {
+func admitted(c *RejectionCache, now time.Duration, op Visit) bool {
 	_, ok := c.Admit(now, op)
 	return ok
 }
 
 // rejectingCache returns a cache in which an account was recorded as rejected at one second.
-func rejectingCache(op Visit, empty time.Duration) *Door {
+func rejectingCache(op Visit, empty time.Duration) *RejectionCache {
 	c := NewDoor()
 	c.Refused(0, time.Second, op, empty)
 	return c
@@ -151,7 +151,7 @@
 // cache, in front of a single token bucket. It returns how many operations ran and how many
 // were admitted.
 func simulateIngress(ingress int, rate float64, pause, length time.Duration) (ran, passed int) {
-	caches := make([]*Door, ingress)
+	caches := make([]*RejectionCache, ingress)
 	for i := range caches {
 		caches[i] = NewDoor()
 	}
