--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -94,7 +94,7 @@
 		holders:      quota.NewHolders(nil),
 		fetches:      make(map[string]chan struct{}),
 		waiting:      make(map[string]int),
-		rejections:   quota.NewDoor(),
+		rejections:   quota.NewRejectionCache(),
 	}
 }
 
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -44,8 +44,10 @@
 	lastRetry     time.Duration // latest retry time advised to a client
 }
 
-// NewDoor returns an empty cache, which admits all operations.
-func NewDoor() *RejectionCache { return &RejectionCache{accounts: make(map[string]*rejectedAccount)} }
+// NewRejectionCache returns an empty cache, which admits all operations.
+func NewRejectionCache() *RejectionCache {
+	return &RejectionCache{accounts: make(map[string]*rejectedAccount)}
+}
 
 // Visit is one operation to be checked against the rejection cache.
 type Visit struct {
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -22,7 +22,7 @@
 
 // rejectingCache returns a cache in which an account was recorded as rejected at one second.
 func rejectingCache(op Visit, empty time.Duration) *RejectionCache {
-	c := NewDoor()
+	c := NewRejectionCache()
 	c.Refused(0, time.Second, op, empty)
 	return c
 }
@@ -50,7 +50,7 @@
 // The operations of an account that stays above its limit are admitted at growing intervals.
 func TestRejectionCacheBacksOff(t *testing.T) {
 	op := operationOf("a")
-	c := NewDoor()
+	c := NewRejectionCache()
 	passed := 0
 	const pause, length = 10 * time.Millisecond, 20 * time.Second
 	for now := time.Second; now < time.Second+length; now += pause {
@@ -68,7 +68,7 @@
 func TestRejectionCacheIgnoresImplausibleRejections(t *testing.T) {
 	op := operationOf("a")
 	for _, empty := range []time.Duration{0, -1, -1 << 63, maxLifetime + 1, 1<<63 - 1} {
-		c := NewDoor()
+		c := NewRejectionCache()
 		must.Zero(t, c.Refused(0, time.Second, op, empty))
 		must.True(t, admitted(c, time.Second, op))
 	}
@@ -79,7 +79,7 @@
 // The cache holds a bounded number of accounts, and drops those that were not rejected
 // recently to make room for others.
 func TestRejectionCacheIsBounded(t *testing.T) {
-	c := NewDoor()
+	c := NewRejectionCache()
 	for n := range 2 * maxCachedAccounts {
 		c.Refused(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
 	}
@@ -94,7 +94,7 @@
 func TestRejectionCacheAdvisesSuccessiveRetries(t *testing.T) {
 	op := operationOf("a")
 	const empty = 100 * time.Millisecond
-	c := NewDoor()
+	c := NewRejectionCache()
 	now := time.Second
 	last := c.Refused(0, now, op, empty)
 	must.Eq(t, empty, last)
@@ -120,7 +120,7 @@
 // admitted since is lost, and each rejection advises a retry delay.
 func TestRejectionCacheStopsRejecting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := NewDoor()
+		c := NewRejectionCache()
 		op := operationOf("a")
 		op.Limit.Rate = rapid.SampledFrom([]float64{0, 0.1, 3, 1000}).Draw(t, "rate")
 		op.Horizon = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Minute}).Draw(t, "horizon")
@@ -153,7 +153,7 @@
 func simulateIngress(ingress int, rate float64, pause, length time.Duration) (ran, passed int) {
 	caches := make([]*RejectionCache, ingress)
 	for i := range caches {
-		caches[i] = NewDoor()
+		caches[i] = NewRejectionCache()
 	}
 	op := Visit{Account: "a", Limit: account.Limit{Rate: rate, Burst: rate}, Horizon: time.Second}
 	tokens, step := 0.0, pause/time.Duration(ingress)
@@ -197,7 +197,7 @@
 func BenchmarkRejectionCache(b *testing.B) {
 	for _, accounts := range []int{1, maxCachedAccounts} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
-			c := NewDoor()
+			c := NewRejectionCache()
 			for n := range accounts {
 				c.Refused(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
 			}
