--- a/internal/limits/rejection.go
+++ b/internal/limits/rejection.go
@@ -8,7 +8,7 @@
 
 // Admit reports whether an operation may be forwarded to a carrier. If not, it returns the
 // delay after which the client should retry.
-func (l *Limiter) Admit(v quota.Visit) (time.Duration, bool) {
+func (l *Limiter) Admit(v quota.Operation) (time.Duration, bool) {
 	if !l.isLimited(v.Account) {
 		return 0, true
 	}
@@ -24,14 +24,14 @@
 // Refused records that a carrier rejected an operation, which was forwarded a time ago,
 // because the account has no tokens for the time empty. It returns the delay after which
 // the client should retry, 0 if unknown.
-func (l *Limiter) Refused(v quota.Visit, ago, empty time.Duration) time.Duration {
+func (l *Limiter) Refused(v quota.Operation, ago, empty time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rejections.Refused(l.now()-ago, l.now(), l.withLimit(v), empty)
 }
 
 // Ran records that an operation, which was forwarded a time ago, got a token.
-func (l *Limiter) Ran(v quota.Visit, ago time.Duration) {
+func (l *Limiter) Ran(v quota.Operation, ago time.Duration) {
 	if !l.isLimited(v.Account) {
 		return
 	}
@@ -40,7 +40,7 @@
 	l.rejections.Ran(l.now()-ago, l.withLimit(v))
 }
 
-func (l *Limiter) withLimit(v quota.Visit) quota.Visit {
+func (l *Limiter) withLimit(v quota.Operation) quota.Operation {
 	v.Limit, _ = l.accounts().Limit(v.Account)
 	return v
 }
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -49,8 +49,8 @@
 	return &RejectionCache{accounts: make(map[string]*rejectedAccount)}
 }
 
-// Visit is one operation to be checked against the rejection cache.
-type Visit struct {
+// Operation is one operation to be checked against the rejection cache.
+type Operation struct {
 	Account   string
 	Limit     account.Limit // of the account; set by the limiter
 	Returning bool          // the client was rejected before and its advised delay has passed
@@ -61,7 +61,7 @@
 // which the client should retry. When the rejection time of an account ends, a single
 // operation is admitted first; clients are advised distinct retry times in the order in
 // which they were rejected.
-func (c *RejectionCache) Admit(now time.Duration, op Visit) (time.Duration, bool) {
+func (c *RejectionCache) Admit(now time.Duration, op Operation) (time.Duration, bool) {
 	a := c.accounts[op.Account]
 	switch {
 	case a == nil || a.admitAll || op.Limit.Unlimited || now >= a.rejectedAt+2*a.interval:
@@ -87,7 +87,7 @@
 
 // adviseRetry returns the retry delay for a rejected client. Successive clients are advised
 // times that are one interval apart, as operations are admitted.
-func (a *rejectedAccount) adviseRetry(now time.Duration, op Visit) time.Duration {
+func (a *rejectedAccount) adviseRetry(now time.Duration, op Operation) time.Duration {
 	retryAt := max(a.nextAdmission, a.lastRetry+a.interval, now+time.Millisecond)
 	if op.Horizon > 0 && retryAt > now+op.Horizon {
 		return op.Horizon
@@ -102,7 +102,7 @@
 // that the value is unused: the rejection time follows from the account's limit, because
 // other instances wait for the same time and an account slightly above its limit gets
 // tokens sooner.
-func (c *RejectionCache) Refused(sent, now time.Duration, op Visit, empty time.Duration) time.Duration {
+func (c *RejectionCache) Refused(sent, now time.Duration, op Operation, empty time.Duration) time.Duration {
 	if empty <= 0 || empty > maxLifetime || op.Limit.Unlimited {
 		return 0
 	}
@@ -127,7 +127,7 @@
 }
 
 // Ran records that an operation forwarded at time sent got a token.
-func (c *RejectionCache) Ran(sent time.Duration, op Visit) {
+func (c *RejectionCache) Ran(sent time.Duration, op Operation) {
 	a := c.accounts[op.Account]
 	if a == nil || sent < a.rejectedAt {
 		return
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -11,17 +11,17 @@
 	"github.com/stackspindle/stackspindle/internal/account"
 )
 
-func operationOf(name string) Visit {
-	return Visit{Account: name, Limit: account.Limit{Rate: 10, Burst: 10}, Horizon: time.Minute}
+func operationOf(name string) Operation {
+	return Operation{Account: name, Limit: account.Limit{Rate: 10, Burst: 10}, Horizon: time.Minute}
 }
 
-func admitted(c *RejectionCache, now time.Duration, op Visit) bool {
+func admitted(c *RejectionCache, now time.Duration, op Operation) bool {
 	_, ok := c.Admit(now, op)
 	return ok
 }
 
 // rejectingCache returns a cache in which an account was recorded as rejected at one second.
-func rejectingCache(op Visit, empty time.Duration) *RejectionCache {
+func rejectingCache(op Operation, empty time.Duration) *RejectionCache {
 	c := NewRejectionCache()
 	c.Refused(0, time.Second, op, empty)
 	return c
@@ -155,7 +155,7 @@
 	for i := range caches {
 		caches[i] = NewRejectionCache()
 	}
-	op := Visit{Account: "a", Limit: account.Limit{Rate: rate, Burst: rate}, Horizon: time.Second}
+	op := Operation{Account: "a", Limit: account.Limit{Rate: rate, Burst: rate}, Horizon: time.Second}
 	tokens, step := 0.0, pause/time.Duration(ingress)
 	for now, n := time.Second, 0; now < time.Second+length; now, n = now+step, n+1 {
 		tokens = min(tokens+rate*step.Seconds(), holdersPerAccount)
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -54,12 +54,12 @@
 	Return(account string, t quota.Token)
 	// Admit reports whether an operation may be passed to a carrier, or after what time its
 	// caller is to come back.
-	Admit(v quota.Visit) (time.Duration, bool)
+	Admit(v quota.Operation) (time.Duration, bool)
 	// Refused takes in that an operation, passed on some time ago, was refused since its
 	// account has no rights for a while. It returns when its caller is to come back; 0: not known.
-	Refused(v quota.Visit, ago, empty time.Duration) time.Duration
+	Refused(v quota.Operation, ago, empty time.Duration) time.Duration
 	// Ran takes in that an operation, passed on some time ago, was not refused for that.
-	Ran(v quota.Visit, ago time.Duration)
+	Ran(v quota.Operation, ago time.Duration)
 }
 
 // tokenShare is the part of its objective for which a statement may wait for the right to
@@ -122,8 +122,8 @@
 	}
 }
 
-func (s *session) visit(account string, route topology.Route) quota.Visit {
-	return quota.Visit{Account: account, Returning: s.dueBack > 0 && s.relay.now() >= s.dueBack, Horizon: route.Timeout}
+func (s *session) visit(account string, route topology.Route) quota.Operation {
+	return quota.Operation{Account: account, Returning: s.dueBack > 0 && s.relay.now() >= s.dueBack, Horizon: route.Timeout}
 }
 
 // promise remembers when the caller was told to come back.
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -149,11 +149,11 @@
 
 func (unlimited) Return(string, quota.Token) {}
 
-func (unlimited) Admit(quota.Visit) (time.Duration, bool) { return 0, true }
+func (unlimited) Admit(quota.Operation) (time.Duration, bool) { return 0, true }
 
-func (unlimited) Refused(quota.Visit, time.Duration, time.Duration) time.Duration { return 0 }
+func (unlimited) Refused(quota.Operation, time.Duration, time.Duration) time.Duration { return 0 }
 
-func (unlimited) Ran(quota.Visit, time.Duration) {}
+func (unlimited) Ran(quota.Operation, time.Duration) {}
 
 // fixedRights is a Limiter that gives a number of rights.
 type fixedRights struct {
