--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -51,10 +51,10 @@
 
 // Operation is one operation to be checked against the rejection cache.
 type Operation struct {
-	Account   string
-	Limit     account.Limit // of the account; set by the limiter
-	Returning bool          // the client was rejected before and its advised delay has passed
-	Horizon   time.Duration // longest delay that the client can accept; 0: unbounded
+	Account string
+	Limit   account.Limit // of the account; set by the limiter
+	IsRetry bool          // the client was rejected before and its advised delay has passed
+	Horizon time.Duration // longest delay that the client can accept; 0: unbounded
 }
 
 // Admit reports whether an operation may be forwarded. If not, it returns the delay after
@@ -66,7 +66,7 @@
 	switch {
 	case a == nil || a.admitAll || op.Limit.Unlimited || now >= a.rejectedAt+2*a.interval:
 		return 0, true
-	case now >= a.nextAdmission && a.admitsNext(now, op.Returning):
+	case now >= a.nextAdmission && a.admitsNext(now, op.IsRetry):
 		a.lastAdmission = now
 		return 0, true
 	}
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -107,7 +107,7 @@
 	now += empty
 	must.False(t, admitted(c, now, op))
 	returning := op
-	returning.Returning = true
+	returning.IsRetry = true
 	must.True(t, admitted(c, now, returning))
 	op.Horizon = empty
 	delay, ok := c.Admit(now, op)
@@ -128,7 +128,7 @@
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(2*maxRejection)).Draw(t, "pause"))
 			sent := now - time.Duration(rapid.Int64Range(0, int64(maxRejection)).Draw(t, "ago"))
-			op.Returning = rapid.Bool().Draw(t, "returning")
+			op.IsRetry = rapid.Bool().Draw(t, "returning")
 			switch rapid.SampledFrom([]string{"ask", "refused", "ran"}).Draw(t, "what") {
 			case "ask":
 				if delay, ok := c.Admit(now, op); !ok {
@@ -141,7 +141,7 @@
 				c.Ran(sent, op)
 			}
 		}
-		op.Returning = false
+		op.IsRetry = false
 		must.True(t, admitted(c, lastRejection+2*maxRejection, op))
 		must.True(t, admitted(c, lastRejection+2*maxRejection, op))
 	})
