--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -51,10 +51,10 @@
 
 // Operation is one operation to be checked against the rejection cache.
 type Operation struct {
-	Account string
-	Limit   account.Limit // of the account; set by the limiter
-	IsRetry bool          // the client was rejected before and its advised delay has passed
-	Horizon time.Duration // longest delay that the client can accept; 0: unbounded
+	Account  string
+	Limit    account.Limit // of the account; set by the limiter
+	IsRetry  bool          // the client was rejected before and its advised delay has passed
+	MaxDelay time.Duration // longest delay that the client can accept; 0: unbounded
 }
 
 // Admit reports whether an operation may be forwarded. If not, it returns the delay after
@@ -89,8 +89,8 @@
 // times that are one interval apart, as operations are admitted.
 func (a *rejectedAccount) adviseRetry(now time.Duration, op Operation) time.Duration {
 	retryAt := max(a.nextAdmission, a.lastRetry+a.interval, now+time.Millisecond)
-	if op.Horizon > 0 && retryAt > now+op.Horizon {
-		return op.Horizon
+	if op.MaxDelay > 0 && retryAt > now+op.MaxDelay {
+		return op.MaxDelay
 	}
 	a.lastRetry = retryAt
 	return retryAt - now
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -12,7 +12,7 @@
 )
 
 func operationOf(name string) Operation {
-	return Operation{Account: name, Limit: account.Limit{Rate: 10, Burst: 10}, Horizon: time.Minute}
+	return Operation{Account: name, Limit: account.Limit{Rate: 10, Burst: 10}, MaxDelay: time.Minute}
 }
 
 func admitted(c *RejectionCache, now time.Duration, op Operation) bool {
@@ -109,7 +109,7 @@
 	returning := op
 	returning.IsRetry = true
 	must.True(t, admitted(c, now, returning))
-	op.Horizon = empty
+	op.MaxDelay = empty
 	delay, ok := c.Admit(now, op)
 	must.False(t, ok)
 	must.Eq(t, empty, delay)
@@ -123,7 +123,7 @@
 		c := NewRejectionCache()
 		op := operationOf("a")
 		op.Limit.Rate = rapid.SampledFrom([]float64{0, 0.1, 3, 1000}).Draw(t, "rate")
-		op.Horizon = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Minute}).Draw(t, "horizon")
+		op.MaxDelay = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Minute}).Draw(t, "horizon")
 		now, lastRejection := time.Second, time.Second
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(2*maxRejection)).Draw(t, "pause"))
@@ -155,7 +155,7 @@
 	for i := range caches {
 		caches[i] = NewRejectionCache()
 	}
-	op := Operation{Account: "a", Limit: account.Limit{Rate: rate, Burst: rate}, Horizon: time.Second}
+	op := Operation{Account: "a", Limit: account.Limit{Rate: rate, Burst: rate}, MaxDelay: time.Second}
 	tokens, step := 0.0, pause/time.Duration(ingress)
 	for now, n := time.Second, 0; now < time.Second+length; now, n = now+step, n+1 {
 		tokens = min(tokens+rate*step.Seconds(), holdersPerAccount)
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -123,7 +123,7 @@
 }
 
 func (s *session) visit(account string, route topology.Route) quota.Operation {
-	return quota.Operation{Account: account, IsRetry: s.dueBack > 0 && s.relay.now() >= s.dueBack, Horizon: route.Timeout}
+	return quota.Operation{Account: account, IsRetry: s.dueBack > 0 && s.relay.now() >= s.dueBack, MaxDelay: route.Timeout}
 }
 
 // promise remembers when the caller was told to come back.
