--- a/internal/limits/rejection.go
+++ b/internal/limits/rejection.go
@@ -27,7 +27,7 @@
 func (l *Limiter) Refused(v quota.Operation, ago, empty time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rejections.Refused(l.now()-ago, l.now(), l.withLimit(v), empty)
+	return l.rejections.RecordRejection(l.now()-ago, l.now(), l.withLimit(v), empty)
 }
 
 // Ran records that an operation, which was forwarded a time ago, got a token.
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -96,13 +96,13 @@
 	return retryAt - now
 }
 
-// Refused records that a carrier rejected an operation that was forwarded at time sent,
+// RecordRejection records that a carrier rejected an operation that was forwarded at time sent,
 // because the account has no tokens for the time empty. It returns the delay after which
 // the client should retry. Implausible values of empty are ignored and yield 0. Apart from
 // that the value is unused: the rejection time follows from the account's limit, because
 // other instances wait for the same time and an account slightly above its limit gets
 // tokens sooner.
-func (c *RejectionCache) Refused(sent, now time.Duration, op Operation, empty time.Duration) time.Duration {
+func (c *RejectionCache) RecordRejection(sent, now time.Duration, op Operation, empty time.Duration) time.Duration {
 	if empty <= 0 || empty > maxLifetime || op.Limit.Unlimited {
 		return 0
 	}
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -23,7 +23,7 @@
 // rejectingCache returns a cache in which an account was recorded as rejected at one second.
 func rejectingCache(op Operation, empty time.Duration) *RejectionCache {
 	c := NewRejectionCache()
-	c.Refused(0, time.Second, op, empty)
+	c.RecordRejection(0, time.Second, op, empty)
 	return c
 }
 
@@ -56,7 +56,7 @@
 	for now := time.Second; now < time.Second+length; now += pause {
 		if admitted(c, now, op) {
 			passed++
-			c.Refused(now, now, op, time.Millisecond)
+			c.RecordRejection(now, now, op, time.Millisecond)
 		}
 	}
 	must.LessEq(t, int(length/maxRejection)+10, passed)
@@ -69,7 +69,7 @@
 	op := operationOf("a")
 	for _, empty := range []time.Duration{0, -1, -1 << 63, maxLifetime + 1, 1<<63 - 1} {
 		c := NewRejectionCache()
-		must.Zero(t, c.Refused(0, time.Second, op, empty))
+		must.Zero(t, c.RecordRejection(0, time.Second, op, empty))
 		must.True(t, admitted(c, time.Second, op))
 	}
 	op.Limit.Unlimited = true
@@ -81,11 +81,11 @@
 func TestRejectionCacheIsBounded(t *testing.T) {
 	c := NewRejectionCache()
 	for n := range 2 * maxCachedAccounts {
-		c.Refused(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
+		c.RecordRejection(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
 	}
 	must.MapLen(t, maxCachedAccounts, c.accounts)
 	later := time.Second + rejectionMemory + 1
-	c.Refused(later, later, operationOf("late"), time.Second)
+	c.RecordRejection(later, later, operationOf("late"), time.Second)
 	must.False(t, admitted(c, later, operationOf("late")))
 }
 
@@ -96,7 +96,7 @@
 	const empty = 100 * time.Millisecond
 	c := NewRejectionCache()
 	now := time.Second
-	last := c.Refused(0, now, op, empty)
+	last := c.RecordRejection(0, now, op, empty)
 	must.Eq(t, empty, last)
 	for range 5 {
 		delay, ok := c.Admit(now, op)
@@ -135,7 +135,7 @@
 					must.Positive(t, delay)
 				}
 			case "refused":
-				c.Refused(sent, now, op, time.Duration(rapid.Int64().Draw(t, "empty")))
+				c.RecordRejection(sent, now, op, time.Duration(rapid.Int64().Draw(t, "empty")))
 				lastRejection = now
 			case "ran":
 				c.Ran(sent, op)
@@ -169,7 +169,7 @@
 			ran++
 			cache.Ran(now, op)
 		} else {
-			cache.Refused(now, now, op, max(minEmptyPause, seconds((1-tokens)/rate)))
+			cache.RecordRejection(now, now, op, max(minEmptyPause, seconds((1-tokens)/rate)))
 		}
 	}
 	return ran, passed
@@ -199,7 +199,7 @@
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			c := NewRejectionCache()
 			for n := range accounts {
-				c.Refused(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
+				c.RecordRejection(0, time.Second, operationOf(fmt.Sprint("account-", n)), time.Second)
 			}
 			op := operationOf("account-0")
 			b.ReportAllocs()
