--- a/internal/limits/rejection.go
+++ b/internal/limits/rejection.go
@@ -37,7 +37,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rejections.Ran(l.now()-ago, l.withLimit(v))
+	l.rejections.RecordSuccess(l.now()-ago, l.withLimit(v))
 }
 
 func (l *Limiter) withLimit(v quota.Operation) quota.Operation {
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -126,8 +126,8 @@
 	return a.adviseRetry(now, op)
 }
 
-// Ran records that an operation forwarded at time sent got a token.
-func (c *RejectionCache) Ran(sent time.Duration, op Operation) {
+// RecordSuccess records that an operation forwarded at time sent got a token.
+func (c *RejectionCache) RecordSuccess(sent time.Duration, op Operation) {
 	a := c.accounts[op.Account]
 	if a == nil || sent < a.rejectedAt {
 		return
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -42,7 +42,7 @@
 	must.True(t, admitted(c, end, op))
 	must.False(t, admitted(c, end, op))
 	must.False(t, admitted(c, end+1, op))
-	c.Ran(end, op)
+	c.RecordSuccess(end, op)
 	must.True(t, admitted(c, end+2, op))
 	must.True(t, admitted(c, end+2, op))
 }
@@ -138,7 +138,7 @@
 				c.RecordRejection(sent, now, op, time.Duration(rapid.Int64().Draw(t, "empty")))
 				lastRejection = now
 			case "ran":
-				c.Ran(sent, op)
+				c.RecordSuccess(sent, op)
 			}
 		}
 		op.IsRetry = false
@@ -167,7 +167,7 @@
 		if tokens >= 1 {
 			tokens--
 			ran++
-			cache.Ran(now, op)
+			cache.RecordSuccess(now, op)
 		} else {
 			cache.RecordRejection(now, now, op, max(minEmptyPause, seconds((1-tokens)/rate)))
 		}
