--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -57,7 +57,7 @@
 	timeout  time.Duration // of a call for tokens
 
 	mu               sync.Mutex // guards the rest
-	tokens           *quota.Meter
+	tokens           *quota.TokenCache
 	buckets          *quota.Ledger
 	snapshotTime     time.Duration // when the store snapshot was last known to be current
 	registered       []string
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -72,7 +72,7 @@
 }
 
 // fleetOf returns a token cache and the buckets of n holders, all of which are alive.
-func fleetOf(n int) (*Meter, map[string]*Ledger) {
+func fleetOf(n int) (*TokenCache, map[string]*Ledger) {
 	m := NewMeter("front-000", "dc")
 	holders := NewHolders(names(n))
 	centres, ledgers := make(map[string]string), make(map[string]*Ledger)
@@ -89,7 +89,7 @@
 // operate simulates operations of one account at regular intervals, with a latency of one
 // millisecond to the holders. It returns how many ran at once, how many had to fetch a
 // token first, and how many were rejected.
-func operate(m *Meter, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
+func operate(m *TokenCache, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
 	const latency = time.Millisecond
 	ask := func(now time.Duration, d Decision) {
 		m.Granted(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -29,9 +29,9 @@
 	minEmptyPause = 100 * time.Millisecond
 )
 
-// Meter caches the tokens that one instance has fetched from limit holders and decides
+// TokenCache caches the tokens that one instance has fetched from limit holders and decides
 // when to fetch more and from which holder. It is not safe for concurrent use.
-type Meter struct {
+type TokenCache struct {
 	self        string
 	dataCentre  string // this instance's data centre
 	holders     *Holders
@@ -63,12 +63,12 @@
 }
 
 // NewMeter returns a cache without tokens.
-func NewMeter(self, dataCentre string) *Meter {
-	return &Meter{self: self, dataCentre: dataCentre, holders: NewHolders(nil), backoffs: make(map[string]holderBackoff), accounts: make(map[string]*accountTokens)}
+func NewMeter(self, dataCentre string) *TokenCache {
+	return &TokenCache{self: self, dataCentre: dataCentre, holders: NewHolders(nil), backoffs: make(map[string]holderBackoff), accounts: make(map[string]*accountTokens)}
 }
 
 // Register sets the limit holders and the data centres of the instances that are alive.
-func (c *Meter) Register(h *Holders, alive map[string]string) {
+func (c *TokenCache) Register(h *Holders, alive map[string]string) {
 	c.holders, c.dataCentres = h, alive
 }
 
@@ -84,7 +84,7 @@
 func (t Token) Expired(now time.Duration) bool { return t != (Token{}) && t.expires <= now }
 
 // Return puts the token of an operation that did not run back into the cache.
-func (c *Meter) Return(name string, t Token) {
+func (c *TokenCache) Return(name string, t Token) {
 	if t != (Token{}) {
 		c.tokensOf(name).add(batch{tokens: 1, expires: t.expires})
 	}
@@ -124,7 +124,7 @@
 
 // Take uses a cached token for an operation of an account, or returns from which holder to
 // fetch some, or why none is available.
-func (c *Meter) Take(now time.Duration, name string) Decision {
+func (c *TokenCache) Take(now time.Duration, name string) Decision {
 	acc := c.tokensOf(name)
 	acc.expire(now)
 	if len(acc.batches) == 0 {
@@ -142,7 +142,7 @@
 // Ahead returns the holder from which to prefetch tokens and their number, or no holder if
 // enough tokens are cached or no holder may have any. It prefetches once fewer than half of
 // the target are left.
-func (c *Meter) Ahead(now time.Duration, name string) (string, int) {
+func (c *TokenCache) Ahead(now time.Duration, name string) (string, int) {
 	acc := c.tokensOf(name)
 	acc.expire(now)
 	target, left := acc.prefetchTarget(), acc.count()
@@ -157,7 +157,7 @@
 // for one. It skips the holders in late, which were asked and have not answered yet. If
 // there is no other holder, awaitLate reports whether to wait for the late ones: if
 // operations wait and no holder has reported having no token.
-func (c *Meter) Next(now time.Duration, name string, waiting int, late []string) (holder string, wanted int, awaitLate bool) {
+func (c *TokenCache) Next(now time.Duration, name string, waiting int, late []string) (holder string, wanted int, awaitLate bool) {
 	acc := c.tokensOf(name)
 	acc.expire(now)
 	switch {
@@ -173,7 +173,7 @@
 
 // Granted processes the answer of a holder to a request that was sent at time sent. The
 // lifetime of tokens counts from then, shortened by the clock drift.
-func (c *Meter) Granted(sent, now time.Duration, name, holder string, g Grant) {
+func (c *TokenCache) Granted(sent, now time.Duration, name, holder string, g Grant) {
 	acc := c.tokensOf(name)
 	delete(c.backoffs, holder)
 	if g.Holder {
@@ -199,7 +199,7 @@
 }
 
 // Failed records that a holder did not answer and starts its backoff.
-func (c *Meter) Failed(now time.Duration, holder string) {
+func (c *TokenCache) Failed(now time.Duration, holder string) {
 	previous := c.backoffs[holder]
 	c.backoffs[holder] = holderBackoff{until: now + min(minBackoff<<previous.failures, maxBackoff), failures: min(previous.failures+1, maxDoublings)}
 }
@@ -207,7 +207,7 @@
 // maxDoublings keeps the shift of the backoff in range.
 const maxDoublings = 10
 
-func (c *Meter) tokensOf(name string) *accountTokens {
+func (c *TokenCache) tokensOf(name string) *accountTokens {
 	acc := c.accounts[name]
 	if acc == nil {
 		acc = &accountTokens{emptyUntil: make(map[string]time.Duration), unreadyUntil: make(map[string]time.Duration)}
@@ -220,7 +220,7 @@
 // itself if it is one, else a holder in the same data centre, else any. Ties are broken by
 // a hash of this instance and the holder, which spreads instances over holders. If no
 // holder may have tokens, the shortage says why and after what delay one may.
-func (c *Meter) pickHolder(now time.Duration, name string, acc *accountTokens, late ...string) (string, Shortage) {
+func (c *TokenCache) pickHolder(now time.Duration, name string, acc *accountTokens, late ...string) (string, Shortage) {
 	best, rank, shortage := "", 0, Shortage{ComeBack: maxBackoff}
 	var score uint64
 	for _, holder := range c.holders.Of(name) {
@@ -249,7 +249,7 @@
 	return best, shortage
 }
 
-func (c *Meter) distance(holder, centre string) int {
+func (c *TokenCache) distance(holder, centre string) int {
 	switch {
 	case holder == c.self:
 		return 0
