--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -88,7 +88,7 @@
 		self: cfg.Self.Name, accounts: cfg.Accounts, conns: cfg.Conns, now: cfg.Now, spawn: cfg.Spawn, log: cfg.Log,
 		counters:     counters{set: cfg.Metrics, counted: make(map[string]bool)},
 		timeout:      callTimeout,
-		tokens:       quota.NewMeter(cfg.Self.Name, cfg.Self.DataCentre),
+		tokens:       quota.NewTokenCache(cfg.Self.Name, cfg.Self.DataCentre),
 		buckets:      quota.NewLedger(cfg.Self.Name, cfg.Rules),
 		snapshotTime: -quota.Validity,
 		holders:      quota.NewHolders(nil),
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -73,7 +73,7 @@
 
 // fleetOf returns a token cache and the buckets of n holders, all of which are alive.
 func fleetOf(n int) (*TokenCache, map[string]*Ledger) {
-	m := NewMeter("front-000", "dc")
+	m := NewTokenCache("front-000", "dc")
 	holders := NewHolders(names(n))
 	centres, ledgers := make(map[string]string), make(map[string]*Ledger)
 	for _, name := range names(n) {
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -62,8 +62,8 @@
 	expires time.Duration
 }
 
-// NewMeter returns a cache without tokens.
-func NewMeter(self, dataCentre string) *TokenCache {
+// NewTokenCache returns a cache without tokens.
+func NewTokenCache(self, dataCentre string) *TokenCache {
 	return &TokenCache{self: self, dataCentre: dataCentre, holders: NewHolders(nil), backoffs: make(map[string]holderBackoff), accounts: make(map[string]*accountTokens)}
 }
 
