--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -192,7 +192,7 @@
 	for decision.Holder == l.self {
 		l.tokens.Granted(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
 		if decision.Verdict == quota.Run {
-			decision.Holder, decision.Wanted = l.tokens.Ahead(l.now(), name)
+			decision.Holder, decision.Wanted = l.tokens.Prefetch(l.now(), name)
 			continue
 		}
 		decision = l.tokens.Take(l.now(), name)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -113,7 +113,7 @@
 			}
 			for d.Verdict == Run && d.Holder != "" {
 				ask(now, d)
-				d.Holder, d.Wanted = m.Ahead(now, "a")
+				d.Holder, d.Wanted = m.Prefetch(now, "a")
 			}
 			break
 		}
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -135,14 +135,14 @@
 		return Decision{Verdict: Ask, Holder: holder, Wanted: 1 + acc.prefetchTarget()}
 	}
 	d := Decision{Verdict: Run, Token: acc.useFirst(now)}
-	d.Holder, d.Wanted = c.Ahead(now, name)
+	d.Holder, d.Wanted = c.Prefetch(now, name)
 	return d
 }
 
-// Ahead returns the holder from which to prefetch tokens and their number, or no holder if
+// Prefetch returns the holder from which to prefetch tokens and their number, or no holder if
 // enough tokens are cached or no holder may have any. It prefetches once fewer than half of
 // the target are left.
-func (c *TokenCache) Ahead(now time.Duration, name string) (string, int) {
+func (c *TokenCache) Prefetch(now time.Duration, name string) (string, int) {
 	acc := c.tokensOf(name)
 	acc.expire(now)
 	target, left := acc.prefetchTarget(), acc.count()
@@ -162,7 +162,7 @@
 	acc.expire(now)
 	switch {
 	case waiting == 0 && len(late) == 0:
-		holder, wanted = c.Ahead(now, name)
+		holder, wanted = c.Prefetch(now, name)
 		return holder, wanted, false
 	case waiting == 0 || acc.count() > 0:
 		return "", 0, false
