--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -190,7 +190,7 @@
 	}
 	decision := l.tokens.Take(l.now(), name)
 	for decision.Holder == l.self {
-		l.tokens.Granted(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
+		l.tokens.ApplyGrant(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
 		if decision.Verdict == quota.Run {
 			decision.Holder, decision.Wanted = l.tokens.Prefetch(l.now(), name)
 			continue
@@ -302,7 +302,7 @@
 		l.meanResponseTime = responseTime
 	}
 	l.meanResponseTime += (responseTime - l.meanResponseTime) / responseTimeSpan
-	l.tokens.Granted(sent, l.now(), name, holder, g)
+	l.tokens.ApplyGrant(sent, l.now(), name, holder, g)
 }
 
 // lateAfter returns the time without an answer after which a holder counts as late.
@@ -323,7 +323,7 @@
 		if holder != l.self {
 			return holder, wanted, awaitLate
 		}
-		l.tokens.Granted(l.now(), l.now(), name, holder, l.reserve(name, wanted))
+		l.tokens.ApplyGrant(l.now(), l.now(), name, holder, l.reserve(name, wanted))
 	}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -92,7 +92,7 @@
 func operate(m *TokenCache, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
 	const latency = time.Millisecond
 	ask := func(now time.Duration, d Decision) {
-		m.Granted(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
+		m.ApplyGrant(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
 	}
 	for now := time.Minute; now < time.Minute+length; now += pause {
 		waited := false
@@ -166,7 +166,7 @@
 	for refusal.Verdict != Refuse {
 		refusal = m.Take(now, "a")
 		if refusal.Verdict == Ask {
-			m.Granted(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
+			m.ApplyGrant(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
 		}
 	}
 	must.Positive(t, refusal.Shortage.ComeBack)
@@ -219,7 +219,7 @@
 		must.Eq(t, Ask, m.Take(now, "a").Verdict)
 		pause = min(2*pause, maxBackoff)
 	}
-	m.Granted(now, now, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
+	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
 	m.Failed(now, "front-000")
 	must.Eq(t, Ask, m.Take(now+time.Second, "a").Verdict)
 }
@@ -229,11 +229,11 @@
 func TestRestartedHolderDoesNotCountAsOutOfTokens(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	m.Granted(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-Validity-1, "a", limit, 1))
+	m.ApplyGrant(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-Validity-1, "a", limit, 1))
 	d := m.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.Empty())
 	must.Eq(t, Ask, m.Take(minBackoff, "a").Verdict)
-	m.Granted(0, 0, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
+	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
 	must.True(t, m.Take(0, "a").Shortage.Empty())
 }
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -171,9 +171,9 @@
 	return holder, waiting + acc.prefetchTarget(), shortage.Without == 0
 }
 
-// Granted processes the answer of a holder to a request that was sent at time sent. The
+// ApplyGrant processes the answer of a holder to a request that was sent at time sent. The
 // lifetime of tokens counts from then, shortened by the clock drift.
-func (c *TokenCache) Granted(sent, now time.Duration, name, holder string, g Grant) {
+func (c *TokenCache) ApplyGrant(sent, now time.Duration, name, holder string, g Grant) {
 	acc := c.tokensOf(name)
 	delete(c.backoffs, holder)
 	if g.Holder {
