--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -58,7 +58,7 @@
 
 	mu               sync.Mutex // guards the rest
 	tokens           *quota.TokenCache
-	buckets          *quota.Ledger
+	buckets          *quota.Buckets
 	snapshotTime     time.Duration // when the store snapshot was last known to be current
 	registered       []string
 	holders          *quota.Holders           // derived from registered
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -7,9 +7,9 @@
 	"github.com/stackspindle/stackspindle/internal/account"
 )
 
-// Ledger holds the token buckets of the shares that one instance holds. It is not safe for
+// Buckets holds the token buckets of the shares that one instance holds. It is not safe for
 // concurrent use.
-type Ledger struct {
+type Buckets struct {
 	self             string
 	rules            Rules
 	holders          *Holders
@@ -26,15 +26,15 @@
 
 // NewLedger returns the buckets of an instance whose process has just started. They are
 // empty: the previous process may have granted all of its tokens.
-func NewLedger(self string, rules Rules) *Ledger {
-	return &Ledger{self: self, rules: rules, holders: NewHolders(nil), settledAt: -1, buckets: make(map[string]*bucket)}
+func NewLedger(self string, rules Rules) *Buckets {
+	return &Buckets{self: self, rules: rules, holders: NewHolders(nil), settledAt: -1, buckets: make(map[string]*bucket)}
 }
 
 // Settle sets the time from which this instance may hold shares: 0 if its registration is
 // marked as settled, else SettleAfter after it was registered. A later time than before
 // means that the registration had ended and the instance has registered again: all buckets
 // are dropped. Renewing a registration keeps the time, and so the state of the buckets.
-func (bs *Ledger) Settle(at time.Duration) {
+func (bs *Buckets) Settle(at time.Duration) {
 	if bs.settledAt >= 0 && at <= bs.settledAt {
 		return
 	}
@@ -45,7 +45,7 @@
 // Register sets the limit holders after the list of registered instances has changed. The
 // bucket of an account that has moved to other holders is dropped, so that it starts empty
 // if the account comes back.
-func (bs *Ledger) Register(now time.Duration, h *Holders) {
+func (bs *Buckets) Register(now time.Duration, h *Holders) {
 	bs.holders, bs.holdersChangedAt = h, now
 	for name := range bs.buckets {
 		if !slices.Contains(h.Of(name), bs.self) {
@@ -67,7 +67,7 @@
 // Reserve grants up to wanted tokens of an account. confirmed is the time at which the
 // store snapshot, which determines the limit holders and lists this instance as alive, was
 // last known to be current.
-func (bs *Ledger) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
+func (bs *Buckets) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
 	if limit.Unlimited {
 		return Grant{Tokens: wanted, Life: maxLifetime, Holder: true}
 	}
@@ -102,7 +102,7 @@
 // call. A new bucket counts as empty at the time at which this instance came to hold the
 // share: the latest of when it settled, when its process started, and when the previous
 // holder granted its last token.
-func (bs *Ledger) refill(now time.Duration, name string, budget Budget) *bucket {
+func (bs *Buckets) refill(now time.Duration, name string, budget Budget) *bucket {
 	b := bs.buckets[name]
 	if b == nil {
 		b = &bucket{updatedAt: max(0, bs.settledAt, bs.holdersChangedAt-removalMargin)}
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -45,7 +45,7 @@
 
 	rate         float64 // speed of the process's clock relative to true time
 	started      time.Duration
-	buckets      *Ledger
+	buckets      *Buckets
 	confirmed    time.Duration // time of the store snapshot, on the process's clock
 	registeredAt time.Duration // time of the first registration, on the process's clock; -1: none yet
 	snapshot     []string      // the registered instances in the snapshot
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -9,7 +9,7 @@
 //
 // A limit is divided equally among a few of the registered instances, the limit holders of
 // the account (Holders). Each has a token bucket for its share, which is empty when its
-// process starts (Ledger). Instances that run statements fetch tokens from the holders, a
+// process starts (Buckets). Instances that run statements fetch tokens from the holders, a
 // few ahead of need; tokens expire after a short lifetime (TokenCache). So a statement usually
 // waits for no round trip, a partitioned instance goes on with the holders that it reaches,
 // and an instance that fails takes only its share of the limit with it: under the usual
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -72,10 +72,10 @@
 }
 
 // fleetOf returns a token cache and the buckets of n holders, all of which are alive.
-func fleetOf(n int) (*TokenCache, map[string]*Ledger) {
+func fleetOf(n int) (*TokenCache, map[string]*Buckets) {
 	m := NewTokenCache("front-000", "dc")
 	holders := NewHolders(names(n))
-	centres, ledgers := make(map[string]string), make(map[string]*Ledger)
+	centres, ledgers := make(map[string]string), make(map[string]*Buckets)
 	for _, name := range names(n) {
 		centres[name] = "dc"
 		ledgers[name] = NewLedger(name, rules)
@@ -89,7 +89,7 @@
 // operate simulates operations of one account at regular intervals, with a latency of one
 // millisecond to the holders. It returns how many ran at once, how many had to fetch a
 // token first, and how many were rejected.
-func operate(m *TokenCache, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
+func operate(m *TokenCache, ledgers map[string]*Buckets, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
 	const latency = time.Millisecond
 	ask := func(now time.Duration, d Decision) {
 		m.ApplyGrant(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
