--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -89,7 +89,7 @@
 		counters:     counters{set: cfg.Metrics, counted: make(map[string]bool)},
 		timeout:      callTimeout,
 		tokens:       quota.NewTokenCache(cfg.Self.Name, cfg.Self.DataCentre),
-		buckets:      quota.NewLedger(cfg.Self.Name, cfg.Rules),
+		buckets:      quota.NewBuckets(cfg.Self.Name, cfg.Rules),
 		snapshotTime: -quota.Validity,
 		holders:      quota.NewHolders(nil),
 		fetches:      make(map[string]chan struct{}),
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -24,9 +24,9 @@
 	updatedAt time.Duration // when tokens was last updated
 }
 
-// NewLedger returns the buckets of an instance whose process has just started. They are
+// NewBuckets returns the buckets of an instance whose process has just started. They are
 // empty: the previous process may have granted all of its tokens.
-func NewLedger(self string, rules Rules) *Buckets {
+func NewBuckets(self string, rules Rules) *Buckets {
 	return &Buckets{self: self, rules: rules, holders: NewHolders(nil), settledAt: -1, buckets: make(map[string]*bucket)}
 }
 
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -75,7 +75,7 @@
 func (w *world) start(n *instance) {
 	n.up, n.started = true, w.now
 	n.rate = rapid.SampledFrom([]float64{0.995, 1, 1.005}).Draw(w.t, "clock")
-	n.buckets, n.tokens, n.snapshot = NewLedger(n.name, w.rules), nil, nil
+	n.buckets, n.tokens, n.snapshot = NewBuckets(n.name, w.rules), nil, nil
 	n.confirmed = -time.Hour
 	if n.settled {
 		n.buckets.Settle(0)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -78,7 +78,7 @@
 	centres, ledgers := make(map[string]string), make(map[string]*Buckets)
 	for _, name := range names(n) {
 		centres[name] = "dc"
-		ledgers[name] = NewLedger(name, rules)
+		ledgers[name] = NewBuckets(name, rules)
 		ledgers[name].Settle(0)
 		ledgers[name].Register(0, holders)
 	}
@@ -179,7 +179,7 @@
 // again, holds no share until it has settled, and then starts with an empty bucket: other
 // instances may have held its shares meanwhile.
 func TestBucketStartsEmptyAfterNewRegistration(t *testing.T) {
-	l := NewLedger("front-000", rules)
+	l := NewBuckets("front-000", rules)
 	l.Settle(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
 	l.Register(0, NewHolders(names(1)))
@@ -195,7 +195,7 @@
 
 // Renewing a registration, as after the loss of a lease, does not refill any bucket.
 func TestRenewedRegistrationRefillsNothing(t *testing.T) {
-	l := NewLedger("front-000", rules)
+	l := NewBuckets("front-000", rules)
 	l.Settle(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
 	l.Register(0, NewHolders(names(1)))
