--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -127,7 +127,7 @@
 func (l *Limiter) Settle(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.buckets.Settle(at)
+	l.buckets.SetSettledAt(at)
 }
 
 // Spend uses a token of an account for one operation. It usually takes a cached token at
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -78,7 +78,7 @@
 	n.buckets, n.tokens, n.snapshot = NewBuckets(n.name, w.rules), nil, nil
 	n.confirmed = -time.Hour
 	if n.settled {
-		n.buckets.Settle(0)
+		n.buckets.SetSettledAt(0)
 	}
 	n.registeredAt = -1
 }
@@ -93,7 +93,7 @@
 	if !n.registered || n.registeredAt < 0 {
 		n.registeredAt = local
 		if !n.settled {
-			n.buckets.Settle(local + SettleAfter)
+			n.buckets.SetSettledAt(local + SettleAfter)
 		}
 	}
 	n.registered, n.alive, n.lastAlive = true, true, w.now
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -79,7 +79,7 @@
 	for _, name := range names(n) {
 		centres[name] = "dc"
 		ledgers[name] = NewBuckets(name, rules)
-		ledgers[name].Settle(0)
+		ledgers[name].SetSettledAt(0)
 		ledgers[name].Register(0, holders)
 	}
 	m.Register(holders, centres)
@@ -180,13 +180,13 @@
 // instances may have held its shares meanwhile.
 func TestBucketStartsEmptyAfterNewRegistration(t *testing.T) {
 	l := NewBuckets("front-000", rules)
-	l.Settle(0)
+	l.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
 	l.Register(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Tokens)
 	l.Register(time.Minute, NewHolders([]string{"front-001"}))
 	must.False(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Holder)
-	l.Settle(2 * time.Minute)
+	l.SetSettledAt(2 * time.Minute)
 	l.Register(time.Minute, NewHolders(names(1)))
 	must.False(t, l.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).Holder)
 	must.Zero(t, l.Reserve(2*time.Minute, 2*time.Minute, "a", limit, 1).Tokens)
@@ -196,11 +196,11 @@
 // Renewing a registration, as after the loss of a lease, does not refill any bucket.
 func TestRenewedRegistrationRefillsNothing(t *testing.T) {
 	l := NewBuckets("front-000", rules)
-	l.Settle(0)
+	l.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
 	l.Register(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
-	l.Settle(0)
+	l.SetSettledAt(0)
 	must.Zero(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
 }
 
