--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -28,7 +28,7 @@
 // the instance joins a fleet whose shares others hold, and waits.
 func (s *settlement) begin(now time.Duration, view *lead.View, name string, firstStart bool) time.Duration {
 	known, revision := view.Instance(name)
-	first := firstStart && !s.registered && now < quota.Validity
+	first := firstStart && !s.registered && now < quota.MaxSnapshotAge
 	s.settled = revision > 0 && known.Settled || revision == 0 && first
 	switch {
 	case s.settled && first:
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -90,7 +90,7 @@
 		timeout:      callTimeout,
 		tokens:       quota.NewTokenCache(cfg.Self.Name, cfg.Self.DataCentre),
 		buckets:      quota.NewBuckets(cfg.Self.Name, cfg.Rules),
-		snapshotTime: -quota.Validity,
+		snapshotTime: -quota.MaxSnapshotAge,
 		holders:      quota.NewHolders(nil),
 		fetches:      make(map[string]chan struct{}),
 		waiting:      make(map[string]int),
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -73,7 +73,7 @@
 	}
 	holders := bs.holders.Of(name)
 	switch {
-	case bs.settledAt < 0 || now-confirmed > Validity:
+	case bs.settledAt < 0 || now-confirmed > MaxSnapshotAge:
 		return Grant{ComeBack: minBackoff} // no recent snapshot of the store
 	case !slices.Contains(holders, bs.self):
 		return Grant{}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -19,10 +19,10 @@
 //
 // Three invariants ensure that at most one limit's worth of shares is held at any time:
 //   - The holders of an account are the highest ranked among the registered instances,
-//     according to a snapshot of the store that is no older than Validity.
+//     according to a snapshot of the store that is no older than MaxSnapshotAge.
 //   - An instance holds no share until it has been registered for that long (SettleAfter).
 //   - A registration is removed only after the instance has not been alive for longer than
-//     Validity.
+//     MaxSnapshotAge.
 //
 // TestNoWindowExceedsTheLimit checks the result under partitions, restarts, delayed
 // messages and clock drift.
@@ -37,15 +37,15 @@
 )
 
 const (
-	// Validity is the maximum age of the store snapshot by which an instance holds
+	// MaxSnapshotAge is the maximum age of the store snapshot by which an instance holds
 	// shares. It is less than the time after which the registration of a failed instance
 	// is removed (32 s).
-	Validity = 28 * time.Second
+	MaxSnapshotAge = 28 * time.Second
 	// SettleAfter is how long an instance must have been registered, by its own clock,
-	// before it holds shares. The 2% over Validity cover clock drift.
-	SettleAfter = Validity + Validity/50
+	// before it holds shares. The 2% over MaxSnapshotAge cover clock drift.
+	SettleAfter = MaxSnapshotAge + MaxSnapshotAge/50
 	// removalMargin is how long a holder has granted no tokens when its registration is
-	// removed, upon which another instance takes over its share: the 32 s less Validity,
+	// removed, upon which another instance takes over its share: the 32 s less MaxSnapshotAge,
 	// allowing for the drift of both clocks. Because of it a restarted process refills
 	// its buckets from its start rather than from its first read of the store: these are
 	// the seconds in which all clients reconnect.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -229,7 +229,7 @@
 func TestRestartedHolderDoesNotCountAsOutOfTokens(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	m.ApplyGrant(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-Validity-1, "a", limit, 1))
+	m.ApplyGrant(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-MaxSnapshotAge-1, "a", limit, 1))
 	d := m.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.Empty())
