--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -157,10 +157,10 @@
 		case <-fetched:
 		case <-deadline:
 			l.stopWaiting(name, "unanswered")
-			return quota.Token{}, quota.Shortage{ComeBack: unansweredRetryAfter}, false
+			return quota.Token{}, quota.Shortage{RetryAfter: unansweredRetryAfter}, false
 		case <-ctx.Done():
 			l.stopWaiting(name, "caller_left")
-			return quota.Token{}, quota.Shortage{ComeBack: unansweredRetryAfter}, false
+			return quota.Token{}, quota.Shortage{RetryAfter: unansweredRetryAfter}, false
 		}
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -93,7 +93,7 @@
 					ran.Add(1)
 				} else {
 					refused.Add(1)
-					if shortage.ComeBack <= 0 {
+					if shortage.RetryAfter <= 0 {
 						t.Error("a rejection without a retry delay")
 					}
 				}
@@ -212,7 +212,7 @@
 	}
 	_, shortage, ok := l.Spend(ctx, "a", generous)
 	must.False(t, ok)
-	must.Positive(t, shortage.ComeBack)
+	must.Positive(t, shortage.RetryAfter)
 }
 
 // An account is at its limit and one of its holders does not answer. Once another holder
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -169,10 +169,10 @@
 			m.ApplyGrant(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
 		}
 	}
-	must.Positive(t, refusal.Shortage.ComeBack)
-	d := m.Take(now+refusal.Shortage.ComeBack, "a")
+	must.Positive(t, refusal.Shortage.RetryAfter)
+	d := m.Take(now+refusal.Shortage.RetryAfter, "a")
 	must.Eq(t, Ask, d.Verdict)
-	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.ComeBack, now, "a", limit, 1).Tokens)
+	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.RetryAfter, now, "a", limit, 1).Tokens)
 }
 
 // An instance whose registration was removed while it was partitioned, and that registers
@@ -214,7 +214,7 @@
 		d := m.Take(now, "a")
 		must.Eq(t, Refuse, d.Verdict)
 		must.False(t, d.Shortage.Empty())
-		must.Eq(t, pause, d.Shortage.ComeBack)
+		must.Eq(t, pause, d.Shortage.RetryAfter)
 		now += pause
 		must.Eq(t, Ask, m.Take(now, "a").Verdict)
 		pause = min(2*pause, maxBackoff)
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -111,10 +111,10 @@
 
 // Shortage describes why no token is available for an account.
 type Shortage struct {
-	ComeBack time.Duration // delay after which one may be available
-	Without  int           // holders that reported having no token
-	Silent   int           // holders that recently did not answer or could not serve the account
-	Gone     int           // holders that are not alive
+	RetryAfter time.Duration // delay after which one may be available
+	Without    int           // holders that reported having no token
+	Silent     int           // holders that recently did not answer or could not serve the account
+	Gone       int           // holders that are not alive
 }
 
 // Empty reports whether the account is at its limit: all holders reported having no token.
@@ -221,7 +221,7 @@
 // a hash of this instance and the holder, which spreads instances over holders. If no
 // holder may have tokens, the shortage says why and after what delay one may.
 func (c *TokenCache) pickHolder(now time.Duration, name string, acc *accountTokens, late ...string) (string, Shortage) {
-	best, rank, shortage := "", 0, Shortage{ComeBack: maxBackoff}
+	best, rank, shortage := "", 0, Shortage{RetryAfter: maxBackoff}
 	var score uint64
 	for _, holder := range c.holders.Of(name) {
 		centre, alive := c.dataCentres[holder]
@@ -231,11 +231,11 @@
 			continue
 		case backoff > 0:
 			shortage.Silent++
-			shortage.ComeBack = min(shortage.ComeBack, max(backoff, empty))
+			shortage.RetryAfter = min(shortage.RetryAfter, max(backoff, empty))
 			continue
 		case empty > 0:
 			shortage.Without++
-			shortage.ComeBack = min(shortage.ComeBack, empty)
+			shortage.RetryAfter = min(shortage.RetryAfter, empty)
 			continue
 		case slices.Contains(late, holder):
 			shortage.Silent++
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -83,13 +83,13 @@
 		return token, nil
 	}
 	if shortage.Empty() {
-		s.accountEmpty = shortage.ComeBack
+		s.accountEmpty = shortage.RetryAfter
 	}
 	if !s.carried {
-		s.promise(shortage.ComeBack)
+		s.promise(shortage.RetryAfter)
 	}
 	r.logAtLimit(account, route.Database, shortage)
-	return token, atLimit(shortage.ComeBack)
+	return token, atLimit(shortage.RetryAfter)
 }
 
 func atLimit(comeBack time.Duration) *statement.Error {
@@ -137,7 +137,7 @@
 func (r *Relay) logAtLimit(account, database string, shortage quota.Shortage) {
 	if leftOut, ok := r.sampler.Allow("limit" + account); ok {
 		r.log.WithFields(logrus.Fields{
-			"account": account, "database": database, "come_back_ms": shortage.ComeBack.Milliseconds(), "left_out": leftOut,
+			"account": account, "database": database, "come_back_ms": shortage.RetryAfter.Milliseconds(), "left_out": leftOut,
 			"holders_without": shortage.Without, "holders_silent": shortage.Silent, "holders_gone": shortage.Gone,
 		}).Info("relay: an account is at its limit, or those that hold it could not be asked")
 	}
