--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -197,7 +197,7 @@
 		}
 		decision = l.tokens.Take(l.now(), name)
 	}
-	if inProgress := l.fetches[name]; inProgress != nil && decision.Verdict == quota.Refuse && decision.Shortage.Without == 0 {
+	if inProgress := l.fetches[name]; inProgress != nil && decision.Verdict == quota.Refuse && decision.Shortage.OutOfTokens == 0 {
 		decision.Verdict = quota.Ask // no holder has reported having no token: await the fetch in progress
 		l.waiting[name]++
 		return decision, inProgress
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -165,7 +165,7 @@
 
 func (r *fixedRights) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	r.left--
-	return quota.Token{}, quota.Shortage{RetryAfter: comeBackLater, Without: 1}, r.left >= 0
+	return quota.Token{}, quota.Shortage{RetryAfter: comeBackLater, OutOfTokens: 1}, r.left >= 0
 }
 
 func (r *fixedRights) Return(string, quota.Token) { r.left++ }
--- a/internal/relay/entry_test.go
+++ b/internal/relay/entry_test.go
@@ -88,7 +88,7 @@
 		{Name: "hot", Keys: []account.Key{account.NewKey("key-hot")}, Limit: limit},
 		{Name: "cold", Keys: []account.Key{account.NewKey("key-cold")}, Limit: limit},
 	}))
-	carrier := &hotLimiter{shortage: quota.Shortage{RetryAfter: comeBackLater, Without: 1}}
+	carrier := &hotLimiter{shortage: quota.Shortage{RetryAfter: comeBackLater, OutOfTokens: 1}}
 	b.relay.limiter = carrier
 	entry := newEntry(t, b)
 	entry.limiter = limiterOf(entry)
@@ -108,8 +108,8 @@
 // on asking it; so it does where the carrier tells what cannot be.
 func TestEntryPassesOnWhereNothingIsKnown(t *testing.T) {
 	for _, shortage := range []quota.Shortage{
-		{RetryAfter: time.Second, Silent: 1}, {RetryAfter: time.Second, Silent: 1, Without: 5}, {RetryAfter: time.Second, Gone: 6}, {RetryAfter: time.Second, Without: 2, Gone: 4},
-		{RetryAfter: -time.Second, Without: 1}, {RetryAfter: time.Hour, Without: 1},
+		{RetryAfter: time.Second, Silent: 1}, {RetryAfter: time.Second, Silent: 1, OutOfTokens: 5}, {RetryAfter: time.Second, Gone: 6}, {RetryAfter: time.Second, OutOfTokens: 2, Gone: 4},
+		{RetryAfter: -time.Second, OutOfTokens: 1}, {RetryAfter: time.Hour, OutOfTokens: 1},
 	} {
 		b := newBench(t)
 		b.declare(2, "hot")
