--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -111,16 +111,16 @@
 
 // Shortage describes why no token is available for an account.
 type Shortage struct {
-	RetryAfter  time.Duration // delay after which one may be available
-	OutOfTokens int           // holders that reported having no token
-	Silent      int           // holders that recently did not answer or could not serve the account
-	Gone        int           // holders that are not alive
+	RetryAfter   time.Duration // delay after which one may be available
+	OutOfTokens  int           // holders that reported having no token
+	Unresponsive int           // holders that recently did not answer or could not serve the account
+	Gone         int           // holders that are not alive
 }
 
 // Empty reports whether the account is at its limit: all holders reported having no token.
 // During a network partition this is false, since instances on the other side may reach
 // the holders that are unreachable here.
-func (s Shortage) Empty() bool { return s.OutOfTokens > 0 && s.Silent == 0 && s.Gone == 0 }
+func (s Shortage) Empty() bool { return s.OutOfTokens > 0 && s.Unresponsive == 0 && s.Gone == 0 }
 
 // Take uses a cached token for an operation of an account, or returns from which holder to
 // fetch some, or why none is available.
@@ -230,7 +230,7 @@
 			shortage.Gone++
 			continue
 		case backoff > 0:
-			shortage.Silent++
+			shortage.Unresponsive++
 			shortage.RetryAfter = min(shortage.RetryAfter, max(backoff, empty))
 			continue
 		case empty > 0:
@@ -238,7 +238,7 @@
 			shortage.RetryAfter = min(shortage.RetryAfter, empty)
 			continue
 		case slices.Contains(late, holder):
-			shortage.Silent++
+			shortage.Unresponsive++
 			continue
 		}
 		r, sc := c.distance(holder, centre), ownership.Score(c.self, holder)
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -138,7 +138,7 @@
 	if leftOut, ok := r.sampler.Allow("limit" + account); ok {
 		r.log.WithFields(logrus.Fields{
 			"account": account, "database": database, "come_back_ms": shortage.RetryAfter.Milliseconds(), "left_out": leftOut,
-			"holders_without": shortage.OutOfTokens, "holders_silent": shortage.Silent, "holders_gone": shortage.Gone,
+			"holders_without": shortage.OutOfTokens, "holders_silent": shortage.Unresponsive, "holders_gone": shortage.Gone,
 		}).Info("relay: an account is at its limit, or those that hold it could not be asked")
 	}
 }
--- a/internal/relay/entry_test.go
+++ b/internal/relay/entry_test.go
@@ -108,7 +108,7 @@
 // on asking it; so it does where the carrier tells what cannot be.
 func TestEntryPassesOnWhereNothingIsKnown(t *testing.T) {
 	for _, shortage := range []quota.Shortage{
-		{RetryAfter: time.Second, Silent: 1}, {RetryAfter: time.Second, Silent: 1, OutOfTokens: 5}, {RetryAfter: time.Second, Gone: 6}, {RetryAfter: time.Second, OutOfTokens: 2, Gone: 4},
+		{RetryAfter: time.Second, Unresponsive: 1}, {RetryAfter: time.Second, Unresponsive: 1, OutOfTokens: 5}, {RetryAfter: time.Second, Gone: 6}, {RetryAfter: time.Second, OutOfTokens: 2, Gone: 4},
 		{RetryAfter: -time.Second, OutOfTokens: 1}, {RetryAfter: time.Hour, OutOfTokens: 1},
 	} {
 		b := newBench(t)
