--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -213,7 +213,7 @@
 		m.Failed(now, "front-000")
 		d := m.Take(now, "a")
 		must.Eq(t, Refuse, d.Verdict)
-		must.False(t, d.Shortage.Empty())
+		must.False(t, d.Shortage.AtLimit())
 		must.Eq(t, pause, d.Shortage.RetryAfter)
 		now += pause
 		must.Eq(t, Ask, m.Take(now, "a").Verdict)
@@ -232,8 +232,8 @@
 	m.ApplyGrant(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-MaxSnapshotAge-1, "a", limit, 1))
 	d := m.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
-	must.False(t, d.Shortage.Empty())
+	must.False(t, d.Shortage.AtLimit())
 	must.Eq(t, Ask, m.Take(minBackoff, "a").Verdict)
 	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
-	must.True(t, m.Take(0, "a").Shortage.Empty())
+	must.True(t, m.Take(0, "a").Shortage.AtLimit())
 }
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -117,10 +117,10 @@
 	Gone         int           // holders that are not alive
 }
 
-// Empty reports whether the account is at its limit: all holders reported having no token.
+// AtLimit reports whether the account is at its limit: all holders reported having no token.
 // During a network partition this is false, since instances on the other side may reach
 // the holders that are unreachable here.
-func (s Shortage) Empty() bool { return s.OutOfTokens > 0 && s.Unresponsive == 0 && s.Gone == 0 }
+func (s Shortage) AtLimit() bool { return s.OutOfTokens > 0 && s.Unresponsive == 0 && s.Gone == 0 }
 
 // Take uses a cached token for an operation of an account, or returns from which holder to
 // fetch some, or why none is available.
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -82,7 +82,7 @@
 		s.dueBack = 0
 		return token, nil
 	}
-	if shortage.Empty() {
+	if shortage.AtLimit() {
 		s.accountEmpty = shortage.RetryAfter
 	}
 	if !s.carried {
