--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -58,10 +58,10 @@
 type Grant struct {
 	Tokens int
 	Life   time.Duration // lifetime of the tokens, from when the request was sent
-	// ComeBack is the delay after which a token is available or the instance may hold a
+	// RetryAfter is the delay after which a token is available or the instance may hold a
 	// share; 0 with tokens, or if that is not known.
-	ComeBack time.Duration
-	Holder   bool // the instance holds a share of the account
+	RetryAfter time.Duration
+	Holder     bool // the instance holds a share of the account
 }
 
 // Reserve grants up to wanted tokens of an account. confirmed is the time at which the
@@ -74,11 +74,11 @@
 	holders := bs.holders.Of(name)
 	switch {
 	case bs.settledAt < 0 || now-confirmed > MaxSnapshotAge:
-		return Grant{ComeBack: minBackoff} // no recent snapshot of the store
+		return Grant{RetryAfter: minBackoff} // no recent snapshot of the store
 	case !slices.Contains(holders, bs.self):
 		return Grant{}
 	case now < bs.settledAt:
-		return Grant{ComeBack: bs.settledAt - now}
+		return Grant{RetryAfter: bs.settledAt - now}
 	}
 	budget := bs.rules.Budget(limit).share(len(holders))
 	b := bs.refill(now, name, budget)
@@ -87,7 +87,7 @@
 		b.tokens -= float64(n)
 		return Grant{Tokens: n, Life: budget.Life, Holder: true}
 	}
-	return Grant{ComeBack: budget.refillTime(1 - b.tokens), Holder: true}
+	return Grant{RetryAfter: budget.refillTime(1 - b.tokens), Holder: true}
 }
 
 // refillTime returns how long it takes to refill some tokens, rounded up.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -219,7 +219,7 @@
 		must.Eq(t, Ask, m.Take(now, "a").Verdict)
 		pause = min(2*pause, maxBackoff)
 	}
-	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
+	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
 	m.Failed(now, "front-000")
 	must.Eq(t, Ask, m.Take(now+time.Second, "a").Verdict)
 }
@@ -234,6 +234,6 @@
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.AtLimit())
 	must.Eq(t, Ask, m.Take(minBackoff, "a").Verdict)
-	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
+	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
 	must.True(t, m.Take(0, "a").Shortage.AtLimit())
 }
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -180,12 +180,12 @@
 		delete(acc.unreadyUntil, holder)
 	}
 	switch {
-	case !g.Holder && g.ComeBack > 0:
-		acc.unreadyUntil[holder] = now + min(g.ComeBack, maxBackoff)
+	case !g.Holder && g.RetryAfter > 0:
+		acc.unreadyUntil[holder] = now + min(g.RetryAfter, maxBackoff)
 	case !g.Holder:
 		acc.unreadyUntil[holder] = now + maxBackoff // its list of registered instances yields other holders
 	case g.Tokens == 0:
-		acc.emptyUntil[holder] = now + max(g.ComeBack, minEmptyPause)
+		acc.emptyUntil[holder] = now + max(g.RetryAfter, minEmptyPause)
 	default:
 		delete(acc.emptyUntil, holder)
 		acc.lifetime = g.Life
