--- a/internal/limits/rejection.go
+++ b/internal/limits/rejection.go
@@ -21,10 +21,10 @@
 	return comeBack, ok
 }
 
-// Refused records that a carrier rejected an operation, which was forwarded a time ago,
+// RecordRejection records that a carrier rejected an operation, which was forwarded a time ago,
 // because the account has no tokens for the time empty. It returns the delay after which
 // the client should retry, 0 if unknown.
-func (l *Limiter) Refused(v quota.Operation, ago, empty time.Duration) time.Duration {
+func (l *Limiter) RecordRejection(v quota.Operation, ago, empty time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rejections.RecordRejection(l.now()-ago, l.now(), l.withLimit(v), empty)
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -57,7 +57,7 @@
 	Admit(v quota.Operation) (time.Duration, bool)
 	// Refused takes in that an operation, passed on some time ago, was refused since its
 	// account has no rights for a while. It returns when its caller is to come back; 0: not known.
-	Refused(v quota.Operation, ago, empty time.Duration) time.Duration
+	RecordRejection(v quota.Operation, ago, empty time.Duration) time.Duration
 	// Ran takes in that an operation, passed on some time ago, was not refused for that.
 	Ran(v quota.Operation, ago time.Duration)
 }
@@ -117,7 +117,7 @@
 		return
 	}
 	empty := time.Duration(min(max(0, reply.AccountEmptyUs), math.MaxInt64/int64(time.Microsecond))) * time.Microsecond
-	if comeBack := s.relay.limiter.Refused(visit, ago, empty); comeBack > 0 {
+	if comeBack := s.relay.limiter.RecordRejection(visit, ago, empty); comeBack > 0 {
 		reply.RetryAfterUs = s.promise(comeBack).Microseconds()
 	}
 }
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -151,7 +151,9 @@
 
 func (unlimited) Admit(quota.Operation) (time.Duration, bool) { return 0, true }
 
-func (unlimited) Refused(quota.Operation, time.Duration, time.Duration) time.Duration { return 0 }
+func (unlimited) RecordRejection(quota.Operation, time.Duration, time.Duration) time.Duration {
+	return 0
+}
 
 func (unlimited) Ran(quota.Operation, time.Duration) {}
 
