--- a/internal/limits/rejection.go
+++ b/internal/limits/rejection.go
@@ -30,8 +30,8 @@
 	return l.rejections.RecordRejection(l.now()-ago, l.now(), l.withLimit(v), empty)
 }
 
-// Ran records that an operation, which was forwarded a time ago, got a token.
-func (l *Limiter) Ran(v quota.Operation, ago time.Duration) {
+// RecordSuccess records that an operation, which was forwarded a time ago, got a token.
+func (l *Limiter) RecordSuccess(v quota.Operation, ago time.Duration) {
 	if !l.isLimited(v.Account) {
 		return
 	}
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -59,7 +59,7 @@
 	// account has no rights for a while. It returns when its caller is to come back; 0: not known.
 	RecordRejection(v quota.Operation, ago, empty time.Duration) time.Duration
 	// Ran takes in that an operation, passed on some time ago, was not refused for that.
-	Ran(v quota.Operation, ago time.Duration)
+	RecordSuccess(v quota.Operation, ago time.Duration)
 }
 
 // tokenShare is the part of its objective for which a statement may wait for the right to
@@ -113,7 +113,7 @@
 func (s *session) noteCarried(route topology.Route, sent time.Duration, reply *relaypb.CarryReply) {
 	visit, ago := s.visit(s.account, route), s.relay.now()-sent
 	if reply.Code == 0 {
-		s.relay.limiter.Ran(visit, ago)
+		s.relay.limiter.RecordSuccess(visit, ago)
 		return
 	}
 	empty := time.Duration(min(max(0, reply.AccountEmptyUs), math.MaxInt64/int64(time.Microsecond))) * time.Microsecond
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -155,7 +155,7 @@
 	return 0
 }
 
-func (unlimited) Ran(quota.Operation, time.Duration) {}
+func (unlimited) RecordSuccess(quota.Operation, time.Duration) {}
 
 // fixedRights is a Limiter that gives a number of rights.
 type fixedRights struct {
