--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -166,7 +166,7 @@
 		})
 		i.share(state)
 		if !view.SameInstances(before) {
-			i.limiter.Learn(view.Names(), view.Alive())
+			i.limiter.SetInstances(view.Names(), view.Alive())
 		}
 	}
 	i.pictureAt.Store(max(i.pictureAt.Load(), int64(c.Confirmed)))
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// Learn sets the names of the registered instances and the instances that are alive, from
+// SetInstances sets the names of the registered instances and the instances that are alive, from
 // a store snapshot.
-func (l *Limiter) Learn(registered []string, alive []lead.Instance) {
+func (l *Limiter) SetInstances(registered []string, alive []lead.Instance) {
 	addresses, centres := make(map[string]string, len(alive)), make(map[string]string, len(alive))
 	for _, i := range alive {
 		addresses[i.Name], centres[i.Name] = i.Address, i.DataCentre
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -70,7 +70,7 @@
 	}
 	for _, l := range f.limiters {
 		l.Settle(0)
-		l.Learn(names, f.alive)
+		l.SetInstances(names, f.alive)
 	}
 	f.clock.Add(int64(time.Minute)) // fills the buckets
 	for _, l := range f.limiters {
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, limiter := range f.limiters {
-		limiter.Learn(limiter.registered, f.alive)
+		limiter.SetInstances(limiter.registered, f.alive)
 	}
 }
 
