--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -181,7 +181,7 @@
 		}
 		i.relay.StartCarrying()
 		i.heardAt.Store(int64(c.Confirmed))
-		i.limiter.Confirm(c.Confirmed)
+		i.limiter.ConfirmSnapshot(c.Confirmed)
 		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
 	}
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -115,9 +115,9 @@
 	l.tokens.Register(l.holders, centres)
 }
 
-// Confirm records the time at which the current snapshot, which lists this instance as
+// ConfirmSnapshot records the time at which the current snapshot, which lists this instance as
 // alive, is known to have been current.
-func (l *Limiter) Confirm(at time.Duration) {
+func (l *Limiter) ConfirmSnapshot(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.snapshotTime = max(l.snapshotTime, at)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -74,7 +74,7 @@
 	}
 	f.clock.Add(int64(time.Minute)) // fills the buckets
 	for _, l := range f.limiters {
-		l.Confirm(l.now())
+		l.ConfirmSnapshot(l.now())
 	}
 	return f
 }
