--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -133,7 +133,7 @@
 // commitRegistration writes the registration on top of what a view shows.
 func (i *Instance) commitRegistration(ctx context.Context, view *lead.View, lease kv.LeaseID) error {
 	// Before the call, since its answer may be lost.
-	i.limiter.Settle(i.settlement.begin(i.now(), view, i.self.Name, i.settings.FirstStart))
+	i.limiter.SetSettledAt(i.settlement.begin(i.now(), view, i.self.Name, i.settings.FirstStart))
 	revision, err := i.platform.Store.Commit(ctx, view.Registration(i.entry(), lease))
 	i.registeredAs = revision
 	return err
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -123,8 +123,8 @@
 	l.snapshotTime = max(l.snapshotTime, at)
 }
 
-// Settle sets the time from which this instance may hold shares.
-func (l *Limiter) Settle(at time.Duration) {
+// SetSettledAt sets the time from which this instance may hold shares.
+func (l *Limiter) SetSettledAt(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.buckets.SetSettledAt(at)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -69,7 +69,7 @@
 		f.alive, names = append(f.alive, self), append(names, self.Name)
 	}
 	for _, l := range f.limiters {
-		l.Settle(0)
+		l.SetSettledAt(0)
 		l.SetInstances(names, f.alive)
 	}
 	f.clock.Add(int64(time.Minute)) // fills the buckets
@@ -208,7 +208,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	if slices.Contains(l.holders.Of("a"), l.self) {
-		l.Settle(2 * time.Hour) // makes its own share unavailable
+		l.SetSettledAt(2 * time.Hour) // makes its own share unavailable
 	}
 	_, shortage, ok := l.Spend(ctx, "a", generous)
 	must.False(t, ok)
