--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -30,27 +30,27 @@
 	minShare = 0.125
 )
 
-// Window adapts the share of the time in which an instance has a statement running at a
-// member. The zero Window has share 1. It is not safe for concurrent use.
-type Window struct {
+// Throttle adapts the share of the time in which an instance has a statement running at a
+// member. The zero Throttle has share 1. It is not safe for concurrent use.
+type Throttle struct {
 	reduction float64 // 1 - share, so that the zero value has share 1
 	ratio     float64 // moving average of response time divided by baseline
 }
 
 // Share returns the share, from minShare to 1.
-func (t *Window) Share() float64 { return 1 - t.reduction }
+func (t *Throttle) Share() float64 { return 1 - t.reduction }
 
 // Slowdown returns the average ratio of response time to baseline, 0 while unknown.
-func (t *Window) Slowdown() float64 { return t.ratio }
+func (t *Throttle) Slowdown() float64 { return t.ratio }
 
 // Full reports whether the member is saturated: it has about as much work as it can run,
 // or more.
-func (t *Window) Full() bool { return t.ratio >= saturationRatio }
+func (t *Throttle) Full() bool { return t.ratio >= saturationRatio }
 
 // Answered records the response time of a statement and its baseline, and returns for how
 // long no statement of the same importance should be sent. If the baseline is unknown (0)
 // there is no pause.
-func (t *Window) Answered(took, baseline time.Duration) time.Duration {
+func (t *Throttle) Answered(took, baseline time.Duration) time.Duration {
 	if baseline <= 0 {
 		return 0
 	}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -19,7 +19,7 @@
 
 const baseline = 10 * time.Millisecond
 
-func recordAnswers(w *Window, n int, took time.Duration) (pause time.Duration) {
+func recordAnswers(w *Throttle, n int, took time.Duration) (pause time.Duration) {
 	for range n {
 		pause = w.Answered(took, baseline)
 	}
@@ -27,7 +27,7 @@
 }
 
 func TestThrottleFollowsResponseTimes(t *testing.T) {
-	var w Window
+	var w Throttle
 	must.Eq(t, 0, recordAnswers(&w, 100, baseline))
 	must.Eq(t, 1, w.Share())
 	must.Positive(t, recordAnswers(&w, 100, 5*baseline), must.Sprint("the member is overloaded"))
@@ -37,7 +37,7 @@
 }
 
 func TestThrottleWithoutBaseline(t *testing.T) {
-	var w Window
+	var w Throttle
 	must.Eq(t, 0, w.Answered(time.Hour, 0))
 	must.Eq(t, 1, w.Share())
 }
@@ -46,7 +46,7 @@
 // the minimum share implies.
 func TestThrottleBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Window
+		var w Throttle
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			took := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took"))
 			pause := w.Answered(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
--- a/internal/pacing/spare_capacity.go
+++ b/internal/pacing/spare_capacity.go
@@ -16,7 +16,7 @@
 // bound of share and spare capacity together. While the member is not saturated and
 // statements are queued for it here, the value grows by one per as many answers as
 // statements may run at once.
-func (c *Room) Answered(t *Window, queued bool, share, limit int) int {
+func (c *Room) Answered(t *Throttle, queued bool, share, limit int) int {
 	switch {
 	case t.ratio > overloadRatio:
 		c.extra *= spareDecrease
--- a/internal/pacing/spare_capacity_test.go
+++ b/internal/pacing/spare_capacity_test.go
@@ -14,7 +14,7 @@
 // one instance that has a small share. That instance uses the slots that the others leave
 // unused, and gives them up within some answers once the others are back.
 func TestUnusedSlotsOfOthersAreUsed(t *testing.T) {
-	var w Window
+	var w Throttle
 	var r Room
 	answered := func(n int, took time.Duration, wanted bool) (room int) {
 		for range n {
@@ -32,7 +32,7 @@
 
 // While no baseline is known, as after a start, no instance exceeds its share.
 func TestNoSpareCapacityWithoutBaseline(t *testing.T) {
-	var w Window
+	var w Throttle
 	var r Room
 	for range 100 {
 		w.Answered(time.Millisecond, 0)
@@ -42,7 +42,7 @@
 
 func TestSpareCapacityBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Window
+		var w Throttle
 		var r Room
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			share, most := rapid.IntRange(0, 10).Draw(t, "share"), rapid.IntRange(0, 20).Draw(t, "most")
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -43,7 +43,7 @@
 	lagged   int            // reads in a row that it could not serve
 	lagSince time.Duration  // when the first of them was
 	recent   tally
-	window   pacing.Window
+	window   pacing.Throttle
 	room     pacing.Room // beyond share
 	share    int         // statements outside transactions that this instance may have running there
 	most     int         // that all together may
