--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -47,10 +47,10 @@
 // or more.
 func (t *Throttle) Full() bool { return t.ratio >= saturationRatio }
 
-// Answered records the response time of a statement and its baseline, and returns for how
+// RecordAnswer records the response time of a statement and its baseline, and returns for how
 // long no statement of the same importance should be sent. If the baseline is unknown (0)
 // there is no pause.
-func (t *Throttle) Answered(took, baseline time.Duration) time.Duration {
+func (t *Throttle) RecordAnswer(took, baseline time.Duration) time.Duration {
 	if baseline <= 0 {
 		return 0
 	}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -21,7 +21,7 @@
 
 func recordAnswers(w *Throttle, n int, took time.Duration) (pause time.Duration) {
 	for range n {
-		pause = w.Answered(took, baseline)
+		pause = w.RecordAnswer(took, baseline)
 	}
 	return pause
 }
@@ -38,7 +38,7 @@
 
 func TestThrottleWithoutBaseline(t *testing.T) {
 	var w Throttle
-	must.Eq(t, 0, w.Answered(time.Hour, 0))
+	must.Eq(t, 0, w.RecordAnswer(time.Hour, 0))
 	must.Eq(t, 1, w.Share())
 }
 
@@ -49,7 +49,7 @@
 		var w Throttle
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			took := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took"))
-			pause := w.Answered(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
+			pause := w.RecordAnswer(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
 			if w.Share() < minShare || w.Share() > 1 {
 				t.Fatalf("share %f", w.Share())
 			}
--- a/internal/pacing/spare_capacity_test.go
+++ b/internal/pacing/spare_capacity_test.go
@@ -18,7 +18,7 @@
 	var r Room
 	answered := func(n int, took time.Duration, wanted bool) (room int) {
 		for range n {
-			w.Answered(took, baseline)
+			w.RecordAnswer(took, baseline)
 			room = r.Answered(&w, wanted, share, maxRunning)
 		}
 		return room
@@ -35,7 +35,7 @@
 	var w Throttle
 	var r Room
 	for range 100 {
-		w.Answered(time.Millisecond, 0)
+		w.RecordAnswer(time.Millisecond, 0)
 		must.Zero(t, r.Answered(&w, true, share, maxRunning))
 	}
 }
@@ -46,7 +46,7 @@
 		var r Room
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			share, most := rapid.IntRange(0, 10).Draw(t, "share"), rapid.IntRange(0, 20).Draw(t, "most")
-			w.Answered(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")), baseline)
+			w.RecordAnswer(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")), baseline)
 			room := r.Answered(&w, rapid.Bool().Draw(t, "wanted"), share, most)
 			if room < 0 || share+room > max(share, most) {
 				t.Fatalf("room of %d beyond %d of %d", room, share, most)
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -53,7 +53,7 @@
 	usual := g.took(kindOf(route), took)
 	waiting := up.pool.Waiting() > 0
 	up.mu.Lock()
-	pause := up.window.Answered(took, usual)
+	pause := up.window.RecordAnswer(took, usual)
 	before := up.mayRun
 	up.mayRun = up.share + up.room.Answered(&up.window, waiting, up.share, up.most)
 	if up.mayRun != before {
