--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -43,9 +43,9 @@
 // Slowdown returns the average ratio of response time to baseline, 0 while unknown.
 func (t *Throttle) Slowdown() float64 { return t.ratio }
 
-// Full reports whether the member is saturated: it has about as much work as it can run,
+// Saturated reports whether the member is saturated: it has about as much work as it can run,
 // or more.
-func (t *Throttle) Full() bool { return t.ratio >= saturationRatio }
+func (t *Throttle) Saturated() bool { return t.ratio >= saturationRatio }
 
 // RecordAnswer records the response time of a statement and its baseline, and returns for how
 // long no statement of the same importance should be sent. If the baseline is unknown (0)
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -224,7 +224,7 @@
 		}
 		up.mu.Lock()
 		if id == primary {
-			full = up.window.Full()
+			full = up.window.Saturated()
 		} else {
 			replicas++
 		}
