--- a/internal/pacing/spare_capacity.go
+++ b/internal/pacing/spare_capacity.go
@@ -4,19 +4,19 @@
 // member. The instance is back to its share after a few answers.
 const spareDecrease = 0.8
 
-// Room is the number of statements that an instance may run at a member at once beyond its
+// SpareCapacity is the number of statements that an instance may run at a member at once beyond its
 // share of the member's slots. Shares assume that all instances reach the member. If those
 // close to it have failed or are partitioned from it, the other instances have work for the
-// member while some of its slots stay unused. The zero Room allows none. It is not safe for
+// member while some of its slots stay unused. The zero SpareCapacity allows none. It is not safe for
 // concurrent use.
-type Room struct{ extra float64 }
+type SpareCapacity struct{ extra float64 }
 
 // Answered adjusts the spare capacity after an answer that the throttle t has recorded, and
 // returns it. share is the number of statements in the instance's share, limit the upper
 // bound of share and spare capacity together. While the member is not saturated and
 // statements are queued for it here, the value grows by one per as many answers as
 // statements may run at once.
-func (c *Room) Answered(t *Throttle, queued bool, share, limit int) int {
+func (c *SpareCapacity) Answered(t *Throttle, queued bool, share, limit int) int {
 	switch {
 	case t.ratio > overloadRatio:
 		c.extra *= spareDecrease
--- a/internal/pacing/spare_capacity_test.go
+++ b/internal/pacing/spare_capacity_test.go
@@ -15,7 +15,7 @@
 // unused, and gives them up within some answers once the others are back.
 func TestUnusedSlotsOfOthersAreUsed(t *testing.T) {
 	var w Throttle
-	var r Room
+	var r SpareCapacity
 	answered := func(n int, took time.Duration, wanted bool) (room int) {
 		for range n {
 			w.RecordAnswer(took, baseline)
@@ -33,7 +33,7 @@
 // While no baseline is known, as after a start, no instance exceeds its share.
 func TestNoSpareCapacityWithoutBaseline(t *testing.T) {
 	var w Throttle
-	var r Room
+	var r SpareCapacity
 	for range 100 {
 		w.RecordAnswer(time.Millisecond, 0)
 		must.Zero(t, r.Answered(&w, true, share, maxRunning))
@@ -43,7 +43,7 @@
 func TestSpareCapacityBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Throttle
-		var r Room
+		var r SpareCapacity
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			share, most := rapid.IntRange(0, 10).Draw(t, "share"), rapid.IntRange(0, 20).Draw(t, "most")
 			w.RecordAnswer(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")), baseline)
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -44,10 +44,10 @@
 	lagSince time.Duration  // when the first of them was
 	recent   tally
 	window   pacing.Throttle
-	room     pacing.Room // beyond share
-	share    int         // statements outside transactions that this instance may have running there
-	most     int         // that all together may
-	mayRun   int         // of which this instance makes use: its share and the room
+	room     pacing.SpareCapacity // beyond share
+	share    int                  // statements outside transactions that this instance may have running there
+	most     int                  // that all together may
+	mayRun   int                  // of which this instance makes use: its share and the room
 	levels   [admission.Works][lowestPriority + 1]admission.Level
 	probing  bool // a statement is on its way that will show whether the member is there
 }
@@ -67,7 +67,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if share != up.share || most != up.most {
-		up.share, up.most, up.room, up.mayRun = share, most, pacing.Room{}, share
+		up.share, up.most, up.room, up.mayRun = share, most, pacing.SpareCapacity{}, share
 		up.pool.SetMaxActive(share)
 	}
 }
