--- a/internal/pacing/spare_capacity.go
+++ b/internal/pacing/spare_capacity.go
@@ -11,12 +11,12 @@
 // concurrent use.
 type SpareCapacity struct{ extra float64 }
 
-// Answered adjusts the spare capacity after an answer that the throttle t has recorded, and
+// RecordAnswer adjusts the spare capacity after an answer that the throttle t has recorded, and
 // returns it. share is the number of statements in the instance's share, limit the upper
 // bound of share and spare capacity together. While the member is not saturated and
 // statements are queued for it here, the value grows by one per as many answers as
 // statements may run at once.
-func (c *SpareCapacity) Answered(t *Throttle, queued bool, share, limit int) int {
+func (c *SpareCapacity) RecordAnswer(t *Throttle, queued bool, share, limit int) int {
 	switch {
 	case t.ratio > overloadRatio:
 		c.extra *= spareDecrease
--- a/internal/pacing/spare_capacity_test.go
+++ b/internal/pacing/spare_capacity_test.go
@@ -19,7 +19,7 @@
 	answered := func(n int, took time.Duration, wanted bool) (room int) {
 		for range n {
 			w.RecordAnswer(took, baseline)
-			room = r.Answered(&w, wanted, share, maxRunning)
+			room = r.RecordAnswer(&w, wanted, share, maxRunning)
 		}
 		return room
 	}
@@ -36,7 +36,7 @@
 	var r SpareCapacity
 	for range 100 {
 		w.RecordAnswer(time.Millisecond, 0)
-		must.Zero(t, r.Answered(&w, true, share, maxRunning))
+		must.Zero(t, r.RecordAnswer(&w, true, share, maxRunning))
 	}
 }
 
@@ -47,7 +47,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			share, most := rapid.IntRange(0, 10).Draw(t, "share"), rapid.IntRange(0, 20).Draw(t, "most")
 			w.RecordAnswer(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")), baseline)
-			room := r.Answered(&w, rapid.Bool().Draw(t, "wanted"), share, most)
+			room := r.RecordAnswer(&w, rapid.Bool().Draw(t, "wanted"), share, most)
 			if room < 0 || share+room > max(share, most) {
 				t.Fatalf("room of %d beyond %d of %d", room, share, most)
 			}
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -55,7 +55,7 @@
 	up.mu.Lock()
 	pause := up.window.RecordAnswer(took, usual)
 	before := up.mayRun
-	up.mayRun = up.share + up.room.Answered(&up.window, waiting, up.share, up.most)
+	up.mayRun = up.share + up.room.RecordAnswer(&up.window, waiting, up.share, up.most)
 	if up.mayRun != before {
 		up.pool.SetMaxActive(up.mayRun)
 	}
