--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -76,20 +76,20 @@
 	riseDivisor = 100
 )
 
-// Work estimates the baseline latency of one kind of statement, which is its response time
+// Baseline estimates the baseline latency of one kind of statement, which is its response time
 // without contention: the minimum of averages over averageSpan answers, which rises slowly.
 // It is not safe for concurrent use.
-type Work struct {
+type Baseline struct {
 	latency time.Duration // baseline; 0: unknown
 	sum     time.Duration // sum of the answers in the average in progress
 	count   int           // number of answers in the average in progress
 }
 
 // Usual returns the baseline latency, 0 while unknown.
-func (b *Work) Usual() time.Duration { return b.latency }
+func (b *Baseline) Usual() time.Duration { return b.latency }
 
 // Took records the response time of one answer.
-func (b *Work) Took(d time.Duration) {
+func (b *Baseline) Took(d time.Duration) {
 	b.sum += d
 	if b.count++; b.count < averageSpan {
 		return
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestBaselineIsUncontendedLatency(t *testing.T) {
-	var w Work
+	var w Baseline
 	took := func(n int, d time.Duration) {
 		for range n {
 			w.Took(d)
--- a/internal/relay/samples.go
+++ b/internal/relay/samples.go
@@ -25,7 +25,7 @@
 	term     uint64
 	samples  *routing.Samples
 	verifier verifier
-	works    map[workKind]*pacing.Work
+	works    map[workKind]*pacing.Baseline
 	outages  outages
 }
 
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -175,7 +175,7 @@
 	defer u.mu.Unlock()
 	g := u.groups[name]
 	if g == nil {
-		g = &groupState{name: name, works: make(map[workKind]*pacing.Work), samples: routing.NewSamples(sampleCount, sampleSpacing)}
+		g = &groupState{name: name, works: make(map[workKind]*pacing.Baseline), samples: routing.NewSamples(sampleCount, sampleSpacing)}
 		u.groups[name] = g
 	}
 	return g
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -28,7 +28,7 @@
 	defer g.mu.Unlock()
 	w := g.works[kind]
 	if w == nil {
-		w = &pacing.Work{}
+		w = &pacing.Baseline{}
 		g.works[kind] = w
 	}
 	w.Took(d)
