--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -85,8 +85,8 @@
 	count   int           // number of answers in the average in progress
 }
 
-// Usual returns the baseline latency, 0 while unknown.
-func (b *Baseline) Usual() time.Duration { return b.latency }
+// Latency returns the baseline latency, 0 while unknown.
+func (b *Baseline) Latency() time.Duration { return b.latency }
 
 // Took records the response time of one answer.
 func (b *Baseline) Took(d time.Duration) {
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -68,15 +68,15 @@
 		}
 	}
 	took(averageSpan-1, baseline)
-	must.Eq(t, 0, w.Usual(), must.Sprint("too few answers"))
+	must.Eq(t, 0, w.Latency(), must.Sprint("too few answers"))
 	took(1, baseline)
-	must.Eq(t, baseline, w.Usual())
+	must.Eq(t, baseline, w.Latency())
 	took(10*averageSpan, 5*baseline)
-	must.Less(t, baseline+baseline/8, w.Usual(), must.Sprint("saturation does not raise the baseline at once"))
+	must.Less(t, baseline+baseline/8, w.Latency(), must.Sprint("saturation does not raise the baseline at once"))
 	took(averageSpan, baseline/2)
-	must.Eq(t, baseline/2, w.Usual())
+	must.Eq(t, baseline/2, w.Latency())
 	took(1000*averageSpan, 3*baseline)
-	must.Eq(t, 3*baseline, w.Usual().Round(baseline), must.Sprint("the baseline adapts to heavier statements"))
+	must.Eq(t, 3*baseline, w.Latency().Round(baseline), must.Sprint("the baseline adapts to heavier statements"))
 }
 
 func TestPauseLevel(t *testing.T) {
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -32,7 +32,7 @@
 		g.works[kind] = w
 	}
 	w.Took(d)
-	return w.Usual()
+	return w.Latency()
 }
 
 // usual returns what a statement of a kind usually takes, 0 while that is not known.
@@ -40,7 +40,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w := g.works[kind]; w != nil {
-		return w.Usual()
+		return w.Latency()
 	}
 	return 0
 }
