--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -88,8 +88,8 @@
 // Latency returns the baseline latency, 0 while unknown.
 func (b *Baseline) Latency() time.Duration { return b.latency }
 
-// Took records the response time of one answer.
-func (b *Baseline) Took(d time.Duration) {
+// Record records the response time of one answer.
+func (b *Baseline) Record(d time.Duration) {
 	b.sum += d
 	if b.count++; b.count < averageSpan {
 		return
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -64,7 +64,7 @@
 	var w Baseline
 	took := func(n int, d time.Duration) {
 		for range n {
-			w.Took(d)
+			w.Record(d)
 		}
 	}
 	took(averageSpan-1, baseline)
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -31,7 +31,7 @@
 		w = &pacing.Baseline{}
 		g.works[kind] = w
 	}
-	w.Took(d)
+	w.Record(d)
 	return w.Latency()
 }
 
