--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -103,10 +103,10 @@
 	b.latency += b.latency / riseDivisor
 }
 
-// Level returns the priority from which on a pause applies after an answer to a statement
+// PauseLevel returns the priority from which on a pause applies after an answer to a statement
 // of some priority. The routes of the group have priorities from top, the highest, to last.
 // The highest priority is never paused unless it is the only one.
-func Level(priority, top, last int) int {
+func PauseLevel(priority, top, last int) int {
 	if top == last {
 		return priority
 	}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -80,8 +80,8 @@
 }
 
 func TestPauseLevel(t *testing.T) {
-	must.Eq(t, 2, Level(1, 1, 2), must.Sprint("the highest priority is not paused"))
-	must.Eq(t, 2, Level(2, 1, 2))
-	must.Eq(t, 3, Level(3, 1, 4), must.Sprint("a lower priority does not pause higher ones"))
-	must.Eq(t, 1, Level(1, 1, 1), must.Sprint("there is a single priority"))
+	must.Eq(t, 2, PauseLevel(1, 1, 2), must.Sprint("the highest priority is not paused"))
+	must.Eq(t, 2, PauseLevel(2, 1, 2))
+	must.Eq(t, 3, PauseLevel(3, 1, 4), must.Sprint("a lower priority does not pause higher ones"))
+	must.Eq(t, 1, PauseLevel(1, 1, 1), must.Sprint("there is a single priority"))
 }
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -62,6 +62,6 @@
 	up.mu.Unlock()
 	if pause > 0 {
 		span := r.snapshot().Priorities[g.name]
-		up.pool.Pause(pacing.Level(route.Priority, span.Top, span.Last), pause)
+		up.pool.Pause(pacing.PauseLevel(route.Priority, span.Top, span.Last), pause)
 	}
 }
