--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -151,7 +151,7 @@
 	p.Pause(0, pause)
 	granted := make(chan *Lease[*fakeConn])
 	go func() {
-		lease, err := p.Acquire(t.Context(), pool.Request{Service: "s", Elsewhere: true, Deadline: never}, nil)
+		lease, err := p.Acquire(t.Context(), pool.Request{Service: "s", Flexible: true, Deadline: never}, nil)
 		must.NoError(t, err)
 		granted <- lease
 	}()
@@ -185,7 +185,7 @@
 func TestUnusedReserveDecays(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 4}, never)
 	p.SetCapacity(4)
-	read := pool.Request{Elsewhere: true, Deadline: time.Hour}
+	read := pool.Request{Flexible: true, Deadline: time.Hour}
 	resting, err := p.Acquire(t.Context(), read, nil)
 	must.NoError(t, err)
 	resting.Park()
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -134,7 +134,7 @@
 			default:
 				r := Request{
 					ID: id, Account: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "account")), Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
-					Work: time.Duration(rapid.IntRange(0, 20).Draw(t, "work")) * ms, Elsewhere: rapid.Bool().Draw(t, "elsewhere"),
+					Work: time.Duration(rapid.IntRange(0, 20).Draw(t, "work")) * ms, Flexible: rapid.Bool().Draw(t, "elsewhere"),
 					Objective: now + time.Duration(rapid.IntRange(0, 100).Draw(t, "objective"))*ms,
 					Deadline:  now + time.Duration(rapid.IntRange(0, 300).Draw(t, "left"))*ms,
 				}
@@ -196,7 +196,7 @@
 // reads leave as many slots free as writes need at once; without writes they take all.
 func TestFlexibleRequestsLeaveAReserve(t *testing.T) {
 	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 4, Patient: true})
-	read := func(id uint64) Request { return Request{ID: id, Elsewhere: true, Deadline: time.Hour} }
+	read := func(id uint64) Request { return Request{ID: id, Flexible: true, Deadline: time.Hour} }
 	for id := range uint64(4) {
 		must.Eq(t, Granted, q.Offer(0, read(id+1)), must.Sprint("nothing is reserved without demand"))
 	}
@@ -228,7 +228,7 @@
 func TestOpenTransactionRunsFurtherStatementsAtOnce(t *testing.T) {
 	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 2, Patient: true})
 	tx := Request{ID: 1, Write: true, Deadline: time.Hour}
-	read := func(id uint64) Request { return Request{ID: id, Elsewhere: true, Deadline: time.Hour} }
+	read := func(id uint64) Request { return Request{ID: id, Flexible: true, Deadline: time.Hour} }
 	must.Eq(t, Granted, q.Offer(0, tx))
 	q.Park(tx)
 	later := 10 * demandHalfLife // the demand of its first statement has decayed
--- a/internal/pool/priority_class.go
+++ b/internal/pool/priority_class.go
@@ -25,7 +25,7 @@
 	switch {
 	case r.Write:
 		return write
-	case r.Elsewhere:
+	case r.Flexible:
 		return flexible
 	}
 	return pinnedRead
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -50,7 +50,7 @@
 	Work     time.Duration // expected execution time at the member; 0: unknown
 	// Objective is the time by which the answer meets the latency objective; 0: none.
 	Objective time.Duration
-	Elsewhere bool          // another member could run it, now or shortly
+	Flexible  bool          // another member could run it, now or shortly
 	Any       bool          // a connection of any account will do: the work is done for no account
 	Weight    int           // fair queueing weight of the service and account within the priority, at least 1
 	Limit     int           // connections that the service and account may use at once in the priority; 0: unlimited
@@ -59,7 +59,7 @@
 }
 
 // pinned reports whether the request is pinned to this member: no other member can run it.
-func (r *Request) pinned() bool { return !r.Elsewhere && !r.Any }
+func (r *Request) pinned() bool { return !r.Flexible && !r.Any }
 
 // Outcome is the result of offering a request to the queue.
 type Outcome int
--- a/internal/pool/queue_test.go
+++ b/internal/pool/queue_test.go
@@ -219,7 +219,7 @@
 func TestPauseHoldsFlexibleRequestsOfLowerPriority(t *testing.T) {
 	q := New(Config{Capacity: 6, MaxQueue: 4, Patient: true})
 	request := func(id uint64, level int) Request {
-		return Request{ID: id, Service: fmt.Sprint(level), Priority: level, Elsewhere: true, Deadline: time.Hour}
+		return Request{ID: id, Service: fmt.Sprint(level), Priority: level, Flexible: true, Deadline: time.Hour}
 	}
 	must.Eq(t, Granted, q.Offer(0, request(1, 2)))
 	q.Pause(2, 10)
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -61,7 +61,7 @@
 		Priority:  a.route.Priority,
 		Work:      a.group.usual(kindOf(a.route)),
 		Objective: a.arrived + a.route.LatencyObjective,
-		Elsewhere: !a.needsPrimary(),
+		Flexible:  !a.needsPrimary(),
 		Write:     !a.reads,
 		Deadline:  max(waitUntil, a.now()),
 	}, func(c *member.Shared) int { return c.Match(a.s.values) })
