--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -454,7 +454,7 @@
 func (p *Pool[C]) usableConns(r pool.Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.Any {
+	if r.AnyAccount {
 		return len(p.conns)
 	}
 	return p.connsByAccount[r.Account]
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -43,7 +43,7 @@
 func (p *Pool[C]) bestIdle(r pool.Request, prefer func(C) int) int {
 	best, bestScore := -1, 0
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if !r.Any && p.idle[i].account != r.Account {
+		if !r.AnyAccount && p.idle[i].account != r.Account {
 			continue
 		}
 		if prefer == nil {
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -49,17 +49,17 @@
 	Priority int           // lower values rank higher; those of clients start at 0, negative ones are for the instance's own queries
 	Work     time.Duration // expected execution time at the member; 0: unknown
 	// Objective is the time by which the answer meets the latency objective; 0: none.
-	Objective time.Duration
-	Flexible  bool          // another member could run it, now or shortly
-	Any       bool          // a connection of any account will do: the work is done for no account
-	Weight    int           // fair queueing weight of the service and account within the priority, at least 1
-	Limit     int           // connections that the service and account may use at once in the priority; 0: unlimited
-	Write     bool          // may use the write reserve
-	Deadline  time.Duration // time from which the request must not be granted
+	Objective  time.Duration
+	Flexible   bool          // another member could run it, now or shortly
+	AnyAccount bool          // a connection of any account will do: the work is done for no account
+	Weight     int           // fair queueing weight of the service and account within the priority, at least 1
+	Limit      int           // connections that the service and account may use at once in the priority; 0: unlimited
+	Write      bool          // may use the write reserve
+	Deadline   time.Duration // time from which the request must not be granted
 }
 
 // pinned reports whether the request is pinned to this member: no other member can run it.
-func (r *Request) pinned() bool { return !r.Flexible && !r.Any }
+func (r *Request) pinned() bool { return !r.Flexible && !r.AnyAccount }
 
 // Outcome is the result of offering a request to the queue.
 type Outcome int
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -26,12 +26,14 @@
 	p := b.relay.upstreams.get("m1").pool
 	var leases []*connpool.Lease[*member.Shared]
 	for p.InUse() < p.Backlog(0).Slots {
-		lease, err := p.Acquire(t.Context(), pool.Request{Any: true, Work: work, Deadline: generous}, nil)
+		lease, err := p.Acquire(t.Context(), pool.Request{AnyAccount: true, Work: work, Deadline: generous}, nil)
 		must.NoError(t, err)
 		leases = append(leases, lease)
 	}
 	for range waiting {
-		go func() { _, _ = p.Acquire(t.Context(), pool.Request{Any: true, Work: work, Deadline: generous}, nil) }() // never granted
+		go func() {
+			_, _ = p.Acquire(t.Context(), pool.Request{AnyAccount: true, Work: work, Deadline: generous}, nil)
+		}() // never granted
 	}
 	awaitWaiting(b.relay.upstreams.get("m1"), waiting)
 	return leases
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -197,7 +197,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	asked := u.now()
-	lease, err := up.pool.Acquire(ctx, pool.Request{Any: true, Priority: ownPriority, Deadline: asked + timeout}, nil)
+	lease, err := up.pool.Acquire(ctx, pool.Request{AnyAccount: true, Priority: ownPriority, Deadline: asked + timeout}, nil)
 	if err != nil {
 		return member.Status{}, err
 	}
