--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -192,7 +192,7 @@
 	}
 	queues := make([]*pool.Queue, carriers)
 	for i := range queues {
-		queues[i] = pool.New(pool.Config{Capacity: active, MaxQueue: 64, Patient: true})
+		queues[i] = pool.New(pool.Config{Capacity: active, MaxQueue: 64, KeepUntilDeadline: true})
 	}
 	items := make(map[uint64]item)
 	var atMember []uint64
--- a/internal/pool/fairness_test.go
+++ b/internal/pool/fairness_test.go
@@ -41,7 +41,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 50
 		accounts := rapid.IntRange(2, 6).Draw(t, "accounts")
-		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 1000, Patient: true})
+		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 1000, KeepUntilDeadline: true})
 		fair := ideal{demand: make([]float64, accounts), got: make([]float64, accounts)}
 		granted := make([]float64, accounts)
 		var running []Request
@@ -89,7 +89,7 @@
 func BenchmarkGrant(b *testing.B) {
 	for _, accounts := range []int{0, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
-			q := New(Config{Capacity: 6, MaxQueue: 64, Patient: true})
+			q := New(Config{Capacity: 6, MaxQueue: 64, KeepUntilDeadline: true})
 			names := make([]string, max(1, accounts))
 			for i := range names {
 				names[i] = fmt.Sprint(i)
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -56,7 +56,7 @@
 		"late ones by priority": {100 * ms, []Request{{Priority: 1, Objective: 50 * ms}, {Objective: 60 * ms}}, []uint64{2, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q, running := saturatedQueue(Config{Capacity: 1, MaxQueue: 9, Patient: true})
+			q, running := saturatedQueue(Config{Capacity: 1, MaxQueue: 9, KeepUntilDeadline: true})
 			for i, r := range c.requests {
 				r.ID, r.Deadline = uint64(i+1), time.Hour
 				must.Eq(t, Queued, q.Offer(0, r))
@@ -71,7 +71,7 @@
 // gets a grant once per latency objective.
 func TestPrioritiesUnderOverload(t *testing.T) {
 	const work, objective, length = 10 * ms, 200 * ms, 4 * time.Second
-	q, running := saturatedQueue(Config{Capacity: 1, MaxQueue: 1000, Patient: true})
+	q, running := saturatedQueue(Config{Capacity: 1, MaxQueue: 1000, KeepUntilDeadline: true})
 	arrived, waited := make(map[uint64]time.Duration), make([]time.Duration, 3)
 	grants, requested := make([]int, 3), make([]int, 3)
 	lastOfLowest, longestGap := time.Duration(0), time.Duration(0)
@@ -114,7 +114,7 @@
 // gone the queue holds no state of them.
 func TestCountersMatchAndStateIsDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 20, Patient: true})
+		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 20, KeepUntilDeadline: true})
 		waiting, running := map[uint64]Request{}, []Request(nil)
 		var now time.Duration
 		for id := range uint64(rapid.IntRange(1, 80).Draw(t, "steps")) {
@@ -178,7 +178,7 @@
 }
 
 func TestBacklog(t *testing.T) {
-	q, running := saturatedQueue(Config{Capacity: 3, MaxQueue: 9, MaxActive: 2, Patient: true})
+	q, running := saturatedQueue(Config{Capacity: 3, MaxQueue: 9, MaxActive: 2, KeepUntilDeadline: true})
 	must.Len(t, 2, running)
 	q.Done(running[0], 20*ms)
 	must.Eq(t, Granted, q.Offer(0, running[0]))
@@ -195,7 +195,7 @@
 // Reads that replicas could serve saturate a primary when writes arrive. From then on the
 // reads leave as many slots free as writes need at once; without writes they take all.
 func TestFlexibleRequestsLeaveAReserve(t *testing.T) {
-	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 4, Patient: true})
+	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 4, KeepUntilDeadline: true})
 	read := func(id uint64) Request { return Request{ID: id, Flexible: true, Deadline: time.Hour} }
 	for id := range uint64(4) {
 		must.Eq(t, Granted, q.Offer(0, read(id+1)), must.Sprint("nothing is reserved without demand"))
@@ -226,7 +226,7 @@
 // at once, even beyond MaxActive, counts as active while it runs, and afterwards keeps a
 // slot reserved for the one that follows.
 func TestOpenTransactionRunsFurtherStatementsAtOnce(t *testing.T) {
-	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 2, Patient: true})
+	q := New(Config{Capacity: 10, MaxQueue: 9, MaxActive: 2, KeepUntilDeadline: true})
 	tx := Request{ID: 1, Write: true, Deadline: time.Hour}
 	read := func(id uint64) Request { return Request{ID: id, Flexible: true, Deadline: time.Hour} }
 	must.Eq(t, Granted, q.Offer(0, tx))
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -36,9 +36,9 @@
 	// makes requests for a busy member queue here, where sharing is fair and
 	// deadlines are enforced, instead of at the member.
 	MaxActive int
-	// Patient keeps requests in the queue until their deadline even when they are
+	// KeepUntilDeadline keeps requests in the queue until their deadline even when they are
 	// not expected to be granted before it.
-	Patient bool
+	KeepUntilDeadline bool
 }
 
 // Request asks for one connection.
@@ -205,7 +205,7 @@
 	if f.waiting >= q.cfg.MaxQueue {
 		return QueueFull
 	}
-	if r.Deadline <= now || !q.cfg.Patient && now+q.expectedWait(q.grantsAhead(f, &r)) > r.Deadline {
+	if r.Deadline <= now || !q.cfg.KeepUntilDeadline && now+q.expectedWait(q.grantsAhead(f, &r)) > r.Deadline {
 		return TooLate
 	}
 	q.enqueue(f, r)
--- a/internal/pool/queue_test.go
+++ b/internal/pool/queue_test.go
@@ -180,7 +180,7 @@
 // Parked connections do not count towards MaxActive, so that further requests are granted,
 // but do count towards the capacity.
 func TestParkedConnectionsAreNotActive(t *testing.T) {
-	q := New(Config{Capacity: 3, MaxQueue: 4, MaxActive: 1, Patient: true})
+	q := New(Config{Capacity: 3, MaxQueue: 4, MaxActive: 1, KeepUntilDeadline: true})
 	offer := func(id uint64) Outcome { return q.Offer(0, Request{ID: id, Service: "s", Deadline: time.Second}) }
 	must.Eq(t, Granted, offer(1))
 	must.Eq(t, Queued, offer(2))
@@ -201,7 +201,7 @@
 // not expected to be granted in time.
 func TestKeepUntilDeadline(t *testing.T) {
 	for _, patient := range []bool{false, true} {
-		q := New(Config{Capacity: 1, MaxQueue: 4, Patient: patient})
+		q := New(Config{Capacity: 1, MaxQueue: 4, KeepUntilDeadline: patient})
 		must.Eq(t, Granted, q.Offer(0, Request{ID: 1, Service: "s", Deadline: time.Second}))
 		q.Done(Request{ID: 1, Service: "s"}, time.Second)
 		must.Eq(t, Granted, q.Offer(0, Request{ID: 2, Service: "s", Deadline: time.Second}))
@@ -217,7 +217,7 @@
 // A pause holds flexible requests of its priority and lower ones until its end. It holds
 // neither higher priorities nor requests that only this member can run.
 func TestPauseHoldsFlexibleRequestsOfLowerPriority(t *testing.T) {
-	q := New(Config{Capacity: 6, MaxQueue: 4, Patient: true})
+	q := New(Config{Capacity: 6, MaxQueue: 4, KeepUntilDeadline: true})
 	request := func(id uint64, level int) Request {
 		return Request{ID: id, Service: fmt.Sprint(level), Priority: level, Flexible: true, Deadline: time.Hour}
 	}
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -125,7 +125,7 @@
 func (u *Upstreams) newUpstream(m topology.Member) *upstream {
 	up := &upstream{id: m.ID, group: m.Group, address: m.Address, born: m.Born, draining: m.Draining, behind: -1, madeAt: u.now()}
 	cfg := connpool.Config{
-		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, Patient: true},
+		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, KeepUntilDeadline: true},
 		Dials:       concurrentDials,
 		DialTimeout: dialTimeout,
 		Patience:    patience,
