--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -217,7 +217,7 @@
 }
 
 // Waits returns the queue statistics of each priority, highest first.
-func (p *Pool[C]) Waits() []pool.Waiting {
+func (p *Pool[C]) Waits() []pool.WaitStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Waits()
--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -40,8 +40,8 @@
 	return b
 }
 
-// Waiting holds queue statistics of one priority.
-type Waiting struct {
+// WaitStats holds queue statistics of one priority.
+type WaitStats struct {
 	Priority int
 	Now      int // requests in the queue at present
 	Overtook int // total grants made ahead of a request that had arrived earlier
@@ -49,10 +49,10 @@
 }
 
 // Waits returns the statistics of each priority seen so far, highest priority first.
-func (q *Queue) Waits() []Waiting {
-	waits := make([]Waiting, 0, len(q.classes))
+func (q *Queue) Waits() []WaitStats {
+	waits := make([]WaitStats, 0, len(q.classes))
 	for _, c := range q.classes {
-		waits = append(waits, Waiting{
+		waits = append(waits, WaitStats{
 			Priority: c.priority, Now: c.waiting[timely] + c.waiting[late], Overtook: c.overtook, Overdue: c.overdueGrants,
 		})
 	}
--- a/internal/relay/waits.go
+++ b/internal/relay/waits.go
@@ -14,11 +14,11 @@
 const lowestPriority = 4
 
 // waits is what the queue of one member has done by priority.
-type waits [lowestPriority + 1]pool.Waiting
+type waits [lowestPriority + 1]pool.WaitStats
 
 // newWaits sums up what a queue tells. The instance's own questions, which rank before all
 // priorities, are left out.
-func newWaits(all []pool.Waiting) waits {
+func newWaits(all []pool.WaitStats) waits {
 	var sums waits
 	for _, w := range all {
 		if w.Priority < 0 {
@@ -33,7 +33,7 @@
 }
 
 // numbers returns one figure of each priority, the highest first.
-func (w waits) numbers(of func(pool.Waiting) int) []int {
+func (w waits) numbers(of func(pool.WaitStats) int) []int {
 	numbers := make([]int, len(w))
 	for i, waiting := range w {
 		numbers[i] = of(waiting)
@@ -41,14 +41,14 @@
 	return numbers
 }
 
-func waitingNow(w pool.Waiting) int { return w.Now }
-func overtook(w pool.Waiting) int   { return w.Overtook }
-func overdue(w pool.Waiting) int    { return w.Overdue }
+func waitingNow(w pool.WaitStats) int { return w.Now }
+func overtook(w pool.WaitStats) int   { return w.Overtook }
+func overdue(w pool.WaitStats) int    { return w.Overdue }
 
 // write writes the figures of the priorities that were seen at a member.
 func (w waits) write(out io.Writer, group, member string) {
 	for priority, waiting := range w {
-		if waiting == (pool.Waiting{}) {
+		if waiting == (pool.WaitStats{}) {
 			continue
 		}
 		labels := `{group="` + group + `",member="` + member + `",priority="` + strconv.Itoa(priority) + `"}`
