--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -43,7 +43,7 @@
 // WaitStats holds queue statistics of one priority.
 type WaitStats struct {
 	Priority int
-	Now      int // requests in the queue at present
+	Waiting  int // requests in the queue at present
 	Overtook int // total grants made ahead of a request that had arrived earlier
 	Overdue  int // total grants made because the priority had been starved for too long
 }
@@ -53,7 +53,7 @@
 	waits := make([]WaitStats, 0, len(q.classes))
 	for _, c := range q.classes {
 		waits = append(waits, WaitStats{
-			Priority: c.priority, Now: c.waiting[timely] + c.waiting[late], Overtook: c.overtook, Overdue: c.overdueGrants,
+			Priority: c.priority, Waiting: c.waiting[timely] + c.waiting[late], Overtook: c.overtook, Overdue: c.overdueGrants,
 		})
 	}
 	return waits
--- a/internal/relay/waits.go
+++ b/internal/relay/waits.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		sum := &sums[min(w.Priority, lowestPriority)]
-		sum.Now += w.Now
+		sum.Waiting += w.Waiting
 		sum.Overtook += w.Overtook
 		sum.Overdue += w.Overdue
 	}
@@ -41,7 +41,7 @@
 	return numbers
 }
 
-func waitingNow(w pool.WaitStats) int { return w.Now }
+func waitingNow(w pool.WaitStats) int { return w.Waiting }
 func overtook(w pool.WaitStats) int   { return w.Overtook }
 func overdue(w pool.WaitStats) int    { return w.Overdue }
 
@@ -52,7 +52,7 @@
 			continue
 		}
 		labels := `{group="` + group + `",member="` + member + `",priority="` + strconv.Itoa(priority) + `"}`
-		metrics.WriteGaugeUint64(out, "stackspindle_member_waiting_by_priority"+labels, uint64(waiting.Now))
+		metrics.WriteGaugeUint64(out, "stackspindle_member_waiting_by_priority"+labels, uint64(waiting.Waiting))
 		metrics.WriteCounterUint64(out, "stackspindle_member_overtook_total"+labels, uint64(waiting.Overtook))
 		metrics.WriteCounterUint64(out, "stackspindle_member_overdue_total"+labels, uint64(waiting.Overdue))
 	}
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -13,7 +13,7 @@
 func TestWaitsHaveFewLabels(t *testing.T) {
 	var all []pool.WaitStats
 	for priority := -1; priority < 100; priority++ {
-		all = append(all, pool.WaitStats{Priority: priority, Now: 1, Overtook: 2, Overdue: 3})
+		all = append(all, pool.WaitStats{Priority: priority, Waiting: 1, Overtook: 2, Overdue: 3})
 	}
 	sums := newWaits(all)
 	must.Eq(t, []int{1, 1, 1, 1, 96}, sums.numbers(waitingNow))
