--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -220,7 +220,7 @@
 func (p *Pool[C]) Waits() []pool.WaitStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.queue.Waits()
+	return p.queue.WaitStats()
 }
 
 // Load returns how many requests hold a connection or wait for one.
--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -48,8 +48,8 @@
 	Overdue  int // total grants made because the priority had been starved for too long
 }
 
-// Waits returns the statistics of each priority seen so far, highest priority first.
-func (q *Queue) Waits() []WaitStats {
+// WaitStats returns the statistics of each priority seen so far, highest priority first.
+func (q *Queue) WaitStats() []WaitStats {
 	waits := make([]WaitStats, 0, len(q.classes))
 	for _, c := range q.classes {
 		waits = append(waits, WaitStats{
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -104,7 +104,7 @@
 	must.LessEq(t, 2*work, waited[0])
 	must.LessEq(t, objective+2*work, longestGap)
 	must.GreaterEq(t, int(length/(objective+2*work)), grants[2])
-	waits := q.Waits()
+	waits := q.WaitStats()
 	must.Positive(t, waits[0].Overtook)
 	must.Eq(t, []int{0, 0, grants[2]}, []int{waits[0].Overdue, waits[1].Overdue, waits[2].Overdue}, must.Sprint("all grants of the lowest priority are due to starvation"))
 }
