--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -216,8 +216,8 @@
 	return p.queue.Backlog(priority)
 }
 
-// Waits returns the queue statistics of each priority, highest first.
-func (p *Pool[C]) Waits() []pool.WaitStats {
+// WaitStats returns the queue statistics of each priority, highest first.
+func (p *Pool[C]) WaitStats() []pool.WaitStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.WaitStats()
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -262,7 +262,7 @@
 		if recent == (tally{}) {
 			continue
 		}
-		waits := newWaits(up.pool.Waits())
+		waits := newWaits(up.pool.WaitStats())
 		log.WithFields(logrus.Fields{
 			"waiting_by_priority": waits.numbers(waitingNow), "overtook": waits.numbers(overtook), "overdue": waits.numbers(overdue),
 			"group": up.group, "member": id, "distance": distance.String(), "answered": recent.answered, "lagging": recent.lagging,
@@ -286,7 +286,7 @@
 		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(up.pool.Open()))
 		metrics.WriteGaugeUint64(w, "stackspindle_member_in_use"+labels, uint64(up.pool.InUse()))
 		metrics.WriteGaugeUint64(w, "stackspindle_member_waiting"+labels, uint64(up.pool.Waiting()))
-		newWaits(up.pool.Waits()).write(w, up.group, id)
+		newWaits(up.pool.WaitStats()).write(w, up.group, id)
 	}
 }
 
