--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -10,8 +10,8 @@
 	Active int           // requests that hold a connection and are not parked
 	Slots  int           // requests that may be active at once: connections not taken by parked requests, at most MaxActive
 	// Flexible is the number of slots open to requests that another member could run.
-	Flexible int
-	Held     time.Duration // moving average of the time a connection is in use; 0: unknown
+	Flexible     int
+	MeanHoldTime time.Duration // moving average of the time a connection is in use; 0: unknown
 	// PausedUntil is the end of the pause of flexible requests of the priority; 0: no pause.
 	PausedUntil time.Duration
 }
@@ -19,7 +19,7 @@
 // Backlog returns the backlog for a new request of a priority. A queued request of
 // unknown expected work counts with the average time a connection is in use.
 func (q *Queue) Backlog(priority int) Backlog {
-	b := Backlog{Active: q.inUse - q.parked, Slots: max(0, q.cfg.Capacity-q.parked), Held: q.meanHoldTime}
+	b := Backlog{Active: q.inUse - q.parked, Slots: max(0, q.cfg.Capacity-q.parked), MeanHoldTime: q.meanHoldTime}
 	if q.cfg.MaxActive > 0 {
 		b.Slots = min(b.Slots, q.cfg.MaxActive)
 	}
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -186,8 +186,8 @@
 		r.ID, r.Deadline = uint64(i+1), time.Hour
 		must.Eq(t, Queued, q.Offer(0, r))
 	}
-	must.Eq(t, Backlog{Ahead: 1, Work: 5 * ms, Active: 2, Slots: 2, Flexible: 2, Held: 20 * ms}, q.Backlog(0))
-	must.Eq(t, Backlog{Ahead: 3, Work: 32 * ms, Active: 2, Slots: 2, Flexible: 2, Held: 20 * ms}, q.Backlog(1), must.Sprint("unknown work counts as the average time in use"))
+	must.Eq(t, Backlog{Ahead: 1, Work: 5 * ms, Active: 2, Slots: 2, Flexible: 2, MeanHoldTime: 20 * ms}, q.Backlog(0))
+	must.Eq(t, Backlog{Ahead: 3, Work: 32 * ms, Active: 2, Slots: 2, Flexible: 2, MeanHoldTime: 20 * ms}, q.Backlog(1), must.Sprint("unknown work counts as the average time in use"))
 	q.Park(running[0])
 	must.Eq(t, 1, q.Backlog(1).Active)
 }
