--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -43,9 +43,9 @@
 	Dials       int           // maximum number of concurrent dials
 	DialTimeout time.Duration // for one dial
 
-	// Patience is how long a request waits for one of the existing connections of its
+	// ReuseWait is how long a request waits for one of the existing connections of its
 	// account, all of which are in use, before another one is opened.
-	Patience time.Duration
+	ReuseWait time.Duration
 
 	// After a failed dial none is attempted for MinBackoff, which doubles with each
 	// further failure up to MaxBackoff. 0: the next request dials again.
@@ -353,7 +353,7 @@
 			return lease, nil
 		}
 		if p.usableConns(r) > 0 {
-			wait = max(wait, lease.grantedAt+p.cfg.Patience-p.now())
+			wait = max(wait, lease.grantedAt+p.cfg.ReuseWait-p.now())
 		}
 		if wait <= 0 {
 			break
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -128,7 +128,7 @@
 		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, KeepUntilDeadline: true},
 		Dials:       concurrentDials,
 		DialTimeout: dialTimeout,
-		Patience:    patience,
+		ReuseWait:   patience,
 		MinBackoff:  minDialBackoff,
 		MaxBackoff:  maxDialBackoff,
 		Full:        isFull,
