--- a/internal/connpool/account_test.go
+++ b/internal/connpool/account_test.go
@@ -97,7 +97,7 @@
 func TestIdleConnectionMakesRoomAtAFullMember(t *testing.T) {
 	d := &dialer{limit: 1}
 	cfg := Config{Queue: pool.Config{Capacity: 4, MaxQueue: 8}, Dials: 2, DialTimeout: never, MinBackoff: never, MaxBackoff: never,
-		Full: func(err error) bool { d.limit++; return errors.Is(err, errLimit) }}
+		IsFull: func(err error) bool { d.limit++; return errors.Is(err, errLimit) }}
 	p := New(cfg, d.open, func() time.Duration { return 0 })
 	first, err := p.Acquire(t.Context(), pool.Request{Service: "s", Account: "a", Deadline: never}, nil)
 	must.NoError(t, err)
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -51,9 +51,9 @@
 	// further failure up to MaxBackoff. 0: the next request dials again.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// Full reports whether a dial failed because the member accepts no more connections.
+	// IsFull reports whether a dial failed because the member accepts no more connections.
 	// The pool then closes an idle connection and dials again. nil: never.
-	Full func(error) bool
+	IsFull func(error) bool
 }
 
 // Pool is a connection pool for one member. It is safe for concurrent use. A connection
@@ -376,7 +376,7 @@
 	}
 	p.makeRoom()
 	conn, err := p.dial(ctx, r.Account)
-	if err != nil && p.cfg.Full != nil && p.cfg.Full(err) && p.closeOldestIdle() {
+	if err != nil && p.cfg.IsFull != nil && p.cfg.IsFull(err) && p.closeOldestIdle() {
 		conn, err = p.dial(ctx, r.Account)
 	}
 	if err != nil {
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -131,7 +131,7 @@
 		ReuseWait:   patience,
 		MinBackoff:  minDialBackoff,
 		MaxBackoff:  maxDialBackoff,
-		Full:        isFull,
+		IsFull:      isFull,
 	}
 	up.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.Shared, error) {
 		conn, err := u.dialer.Dial(ctx, m, account)
