--- a/internal/connpool/account_test.go
+++ b/internal/connpool/account_test.go
@@ -60,8 +60,8 @@
 				t.Fatalf("%q got a connection of %q", account, lease.Conn.account)
 			}
 			leases = append(leases, held{lease: lease, account: account})
-			if p.Open() > capacity {
-				t.Fatalf("%d connections exist", p.Open())
+			if p.NumOpen() > capacity {
+				t.Fatalf("%d connections exist", p.NumOpen())
 			}
 			for _, h := range leases {
 				if h.lease.Conn.dead.Load() {
@@ -83,11 +83,11 @@
 			lease.Release()
 		}
 	}
-	must.Eq(t, 2, p.Open())
+	must.Eq(t, 2, p.NumOpen())
 	lease, err := p.Acquire(t.Context(), pool.Request{Service: "s", Account: "c", Deadline: never}, nil)
 	must.NoError(t, err)
 	must.Eq(t, 3, lease.Conn.label)
-	must.Eq(t, 2, p.Open(), must.Sprint("the connection of a, idle for longest, was closed"))
+	must.Eq(t, 2, p.NumOpen(), must.Sprint("the connection of a, idle for longest, was closed"))
 	_, err = p.Acquire(t.Context(), pool.Request{Service: "s", Account: "a", Deadline: never}, nil)
 	must.True(t, errors.Is(err, errLimit))
 }
@@ -106,5 +106,5 @@
 	must.NoError(t, err)
 	must.Eq(t, "b", second.Conn.account)
 	must.True(t, first.Conn.dead.Load())
-	must.Eq(t, 1, p.Open())
+	must.Eq(t, 1, p.NumOpen())
 }
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -230,8 +230,8 @@
 	return p.queue.InUse() + p.queue.Waiting()
 }
 
-// Open returns how many connections exist.
-func (p *Pool[C]) Open() int {
+// NumOpen returns how many connections exist.
+func (p *Pool[C]) NumOpen() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -106,7 +106,7 @@
 	lease.Conn.dirty = true
 	lease.Release()
 	must.True(t, lease.Conn.dead.Load())
-	must.Zero(t, p.Open())
+	must.Zero(t, p.NumOpen())
 	lease = acquire(t, p)
 	lease.Release()
 	lease.Conn.Kill()
@@ -120,11 +120,11 @@
 	clock.Store(10)
 	b.Release()
 	p.Shrink(10, 1)
-	must.Eq(t, 1, p.Open())
+	must.Eq(t, 1, p.NumOpen())
 	must.True(t, a.Conn.dead.Load())
 	clock.Store(100)
 	p.Shrink(10, 1)
-	must.Eq(t, 1, p.Open())
+	must.Eq(t, 1, p.NumOpen())
 }
 
 // Parking a lease that has ended has no effect. Otherwise its slot would stay parked for
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -120,7 +120,7 @@
 // Warm opens connections one after another until n exist. It stops at the first failed
 // dial. The connections belong to the anonymous account.
 func (p *Pool[C]) Warm(ctx context.Context, n int) {
-	for p.Open() < n {
+	for p.NumOpen() < n {
 		select {
 		case p.dials <- struct{}{}:
 		case <-ctx.Done():
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -18,7 +18,7 @@
 	v := g.view.Load()
 	l := Load{Term: v.term, Serving: v.serving, Pools: make(map[string]PoolLoad, len(v.pools))}
 	for name, p := range v.pools {
-		l.Pools[name] = PoolLoad{InUse: p.InUse(), Waiting: p.Waiting(), Open: p.Open()}
+		l.Pools[name] = PoolLoad{InUse: p.InUse(), Waiting: p.Waiting(), Open: p.NumOpen()}
 	}
 	g.acks.Lock()
 	l.Floors = g.floors.Len()
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -227,7 +227,7 @@
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
 	before := b.relay.upstreams.get("m2")
-	must.Eq(t, 1, before.pool.Open())
+	must.Eq(t, 1, before.pool.NumOpen())
 	state := topology.New(0, 0)
 	state.SetConfig(b.relay.snapshot().Config)
 	for _, id := range []string{"m1", "m2"} {
@@ -240,7 +240,7 @@
 	b.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1), "")
 	after := b.relay.upstreams.get("m2")
 	must.False(t, before == after)
-	must.Zero(t, after.pool.Open())
+	must.Zero(t, after.pool.NumOpen())
 	must.True(t, after.position.IsZero())
 	_, err := before.pool.Acquire(t.Context(), pool.Request{Service: "s"}, nil)
 	must.ErrorIs(t, err, connpool.ErrClosed)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -15,7 +15,7 @@
 	must.Nil(t, b.run(other, statement.Begin, "BEGIN").Err)
 	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
 	must.Nil(t, b.run(other, statement.Commit, "COMMIT").Err)
-	must.Eq(t, 2, b.relay.upstreams.get("m1").pool.Open())
+	must.Eq(t, 2, b.relay.upstreams.get("m1").pool.NumOpen())
 }
 
 // All open connections to a member go silent for good, and new ones work: one
@@ -26,7 +26,7 @@
 	b.group.SilenceOpen("m1")
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
-	must.Eq(t, 0, b.relay.upstreams.get("m1").pool.Open())
+	must.Eq(t, 0, b.relay.upstreams.get("m1").pool.NumOpen())
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 }
 
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -268,7 +268,7 @@
 			"group": up.group, "member": id, "distance": distance.String(), "answered": recent.answered, "lagging": recent.lagging,
 			"unheard": recent.unheard, "mean_ms": (recent.took / time.Duration(max(1, recent.answered))).Milliseconds(),
 			"longest_ms": recent.longest.Milliseconds(), "behind_ms": behind.Milliseconds(),
-			"share": math.Round(100*share) / 100, "may_run": mayRun, "failing": math.Round(100*failing) / 100, "connections": up.pool.Open(), "in_use": up.pool.InUse(), "waiting": up.pool.Waiting(),
+			"share": math.Round(100*share) / 100, "may_run": mayRun, "failing": math.Round(100*failing) / 100, "connections": up.pool.NumOpen(), "in_use": up.pool.InUse(), "waiting": up.pool.Waiting(),
 		}).Info("relay: a member since the last report")
 	}
 }
@@ -283,7 +283,7 @@
 		up.mu.Unlock()
 		labels := `{group="` + up.group + `",member="` + id + `"}`
 		metrics.WriteCounterUint64(w, `stackspindle_member_answers_total{group="`+up.group+`",member="`+id+`",distance="`+distance.String()+`"}`, answered)
-		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(up.pool.Open()))
+		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(up.pool.NumOpen()))
 		metrics.WriteGaugeUint64(w, "stackspindle_member_in_use"+labels, uint64(up.pool.InUse()))
 		metrics.WriteGaugeUint64(w, "stackspindle_member_waiting"+labels, uint64(up.pool.Waiting()))
 		newWaits(up.pool.WaitStats()).write(w, up.group, id)
@@ -303,7 +303,7 @@
 			continue
 		}
 		up.pool.DropIdle()
-		if up.pool.Open() == 0 && up.unheardFor(now) >= forgetAfter {
+		if up.pool.NumOpen() == 0 && up.unheardFor(now) >= forgetAfter {
 			up.pool.Close()
 			delete(u.members, id)
 		}
