--- a/internal/member/conn.go
+++ b/internal/member/conn.go
@@ -1,7 +1,7 @@
 // Package member is the client side of the connections to members of a database group. It
 // defines the protocol-independent interface of a connection (Conn, Dialer), which package
 // platform implements, a connection with tracked session state that sessions can take turns
-// to use (Shared), and a record of whether a member responds (Health).
+// to use (PooledConn), and a record of whether a member responds (Health).
 package member
 
 import (
--- a/internal/member/pooled_conn.go
+++ b/internal/member/pooled_conn.go
@@ -23,9 +23,9 @@
 // reset.
 const maxPrepared = 256
 
-// Shared is a connection whose session state is tracked, so that sessions can use it one
+// PooledConn is a connection whose session state is tracked, so that sessions can use it one
 // after another. It implements connpool.Conn. Only Kill may be called concurrently.
-type Shared struct {
+type PooledConn struct {
 	conn         Conn
 	state        statement.State
 	values       map[string]string // session variables set at the member
@@ -35,8 +35,8 @@
 }
 
 // NewShared wraps a newly opened connection.
-func NewShared(conn Conn) *Shared {
-	return &Shared{
+func NewShared(conn Conn) *PooledConn {
+	return &PooledConn{
 		conn:     conn,
 		state:    statement.Idle,
 		values:   make(map[string]string),
@@ -55,17 +55,17 @@
 }
 
 // Alive implements connpool.Conn.
-func (c *Shared) Alive() bool { return !c.broken.Load() && c.conn.Silent() }
+func (c *PooledConn) Alive() bool { return !c.broken.Load() && c.conn.Silent() }
 
 // Kill implements connpool.Conn.
-func (c *Shared) Kill() {
+func (c *PooledConn) Kill() {
 	c.broken.Store(true)
 	c.conn.Close()
 }
 
 // Clean implements connpool.Conn: it rolls back an open transaction. Session variables and
 // prepared statements stay, since they are tracked and adapted to the next session.
-func (c *Shared) Clean() bool {
+func (c *PooledConn) Clean() bool {
 	if c.broken.Load() {
 		return false
 	}
@@ -80,11 +80,11 @@
 }
 
 // State returns the transaction state after the last answer.
-func (c *Shared) State() statement.State { return c.state }
+func (c *PooledConn) State() statement.State { return c.state }
 
 // Match ranks the connection for a session with the given variables by the work needed to
 // apply them: 2 for none, 1 if variables must be set, 0 if the session must be reset.
-func (c *Shared) Match(values map[string]string) int {
+func (c *PooledConn) Match(values map[string]string) int {
 	switch {
 	case c.stateUnknown || !subset(c.values, values):
 		return 0
@@ -116,7 +116,7 @@
 // Prepare applies a session's variables to the connection and prepares the needed
 // statement, unless that is nil. It sends only differences from the tracked state, and
 // nothing if there are none. An error wraps ErrNotReady.
-func (c *Shared) Prepare(values map[string]string, needed *Prepared) error {
+func (c *PooledConn) Prepare(values map[string]string, needed *Prepared) error {
 	reset := c.stateUnknown || !subset(c.values, values) || len(c.prepared) > maxPrepared
 	var set []Value
 	for name, value := range values {
@@ -151,7 +151,7 @@
 }
 
 // Run runs a statement at the member. An error wraps ErrBroken and closes the connection.
-func (c *Shared) Run(req Request) (statement.Answer, error) {
+func (c *PooledConn) Run(req Request) (statement.Answer, error) {
 	answer, err := c.conn.Run(req)
 	if err != nil {
 		c.Kill()
@@ -165,17 +165,17 @@
 }
 
 // Status queries the member's status.
-func (c *Shared) Status(deadline time.Time) (Status, error) {
+func (c *PooledConn) Status(deadline time.Time) (Status, error) {
 	return closeIfBroken(c, func() (Status, error) { return c.conn.Status(deadline) })
 }
 
 // StepDown demotes the member to a replica if it is a primary of a lower term.
-func (c *Shared) StepDown(deadline time.Time, term uint64) (Status, error) {
+func (c *PooledConn) StepDown(deadline time.Time, term uint64) (Status, error) {
 	return closeIfBroken(c, func() (Status, error) { return c.conn.StepDown(deadline, term) })
 }
 
 // closeIfBroken makes a call and closes the connection if the call's outcome is unknown.
-func closeIfBroken(c *Shared, call func() (Status, error)) (Status, error) {
+func closeIfBroken(c *PooledConn, call func() (Status, error)) (Status, error) {
 	status, err := call()
 	if errors.Is(err, ErrBroken) {
 		c.Kill()
--- a/internal/relay/breaker.go
+++ b/internal/relay/breaker.go
@@ -15,7 +15,7 @@
 	cancel context.CancelFunc
 
 	mu      sync.Mutex // guards the rest
-	conn    *member.Shared
+	conn    *member.PooledConn
 	tripped bool
 }
 
@@ -32,7 +32,7 @@
 
 // guard puts a connection under the breaker. It reports false when the work was
 // broken off before. Without a breaker there is nothing to break off.
-func (b *breaker) guard(conn *member.Shared) bool {
+func (b *breaker) guard(conn *member.PooledConn) bool {
 	if b == nil {
 		return true
 	}
@@ -67,7 +67,7 @@
 
 // hold is a leased connection, under a breaker where it belongs to the primary.
 type hold struct {
-	lease   *connpool.Lease[*member.Shared]
+	lease   *connpool.Lease[*member.PooledConn]
 	breaker *breaker
 }
 
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -21,10 +21,10 @@
 )
 
 // fill takes all slots of the primary, and has further requests of some work wait.
-func fill(t *testing.T, b *bench, waiting int, work time.Duration) []*connpool.Lease[*member.Shared] {
+func fill(t *testing.T, b *bench, waiting int, work time.Duration) []*connpool.Lease[*member.PooledConn] {
 	t.Helper()
 	p := b.relay.upstreams.get("m1").pool
-	var leases []*connpool.Lease[*member.Shared]
+	var leases []*connpool.Lease[*member.PooledConn]
 	for p.InUse() < p.Backlog(0).Slots {
 		lease, err := p.Acquire(t.Context(), pool.Request{AnyAccount: true, Work: work, Deadline: generous}, nil)
 		must.NoError(t, err)
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -64,7 +64,7 @@
 		Flexible:  !a.needsPrimary(),
 		Write:     !a.reads,
 		Deadline:  max(waitUntil, a.now()),
-	}, func(c *member.Shared) int { return c.Match(a.s.values) })
+	}, func(c *member.PooledConn) int { return c.Match(a.s.values) })
 	queued.leave(err == nil)
 	defer queued.shown()
 	if err != nil {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -25,7 +25,7 @@
 	address string
 	born    int64 // the member's start that all this is of
 	madeAt  time.Duration
-	pool    *connpool.Pool[*member.Shared]
+	pool    *connpool.Pool[*member.PooledConn]
 
 	mu       sync.Mutex // guards the rest
 	draining bool
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -133,7 +133,7 @@
 		MaxBackoff:  maxDialBackoff,
 		IsFull:      isFull,
 	}
-	up.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.Shared, error) {
+	up.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.PooledConn, error) {
 		conn, err := u.dialer.Dial(ctx, m, account)
 		if err != nil {
 			return nil, err
