--- a/internal/member/pooled_conn.go
+++ b/internal/member/pooled_conn.go
@@ -34,8 +34,8 @@
 	broken       atomic.Bool
 }
 
-// NewShared wraps a newly opened connection.
-func NewShared(conn Conn) *PooledConn {
+// NewPooledConn wraps a newly opened connection.
+func NewPooledConn(conn Conn) *PooledConn {
 	return &PooledConn{
 		conn:     conn,
 		state:    statement.Idle,
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -138,7 +138,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return member.NewShared(conn), nil
+		return member.NewPooledConn(conn), nil
 	}, u.now)
 	return up
 }
