--- a/internal/member/pooled_conn.go
+++ b/internal/member/pooled_conn.go
@@ -113,10 +113,10 @@
 	return true
 }
 
-// Prepare applies a session's variables to the connection and prepares the needed
+// ApplySession applies a session's variables to the connection and prepares the needed
 // statement, unless that is nil. It sends only differences from the tracked state, and
 // nothing if there are none. An error wraps ErrNotReady.
-func (c *PooledConn) Prepare(values map[string]string, needed *Prepared) error {
+func (c *PooledConn) ApplySession(values map[string]string, needed *Prepared) error {
 	reset := c.stateUnknown || !subset(c.values, values) || len(c.prepared) > maxPrepared
 	var set []Value
 	for name, value := range values {
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -77,7 +77,7 @@
 		a.why = "the primary is being changed"
 		return statement.Answer{}, noRoom
 	}
-	if err := lease.Conn.Prepare(a.s.values, a.needed); err != nil {
+	if err := lease.Conn.ApplySession(a.s.values, a.needed); err != nil {
 		held.release()
 		up.noteBroken(err)
 		up.noteMiss(a.now())
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -153,7 +153,7 @@
 	stuck := time.AfterFunc(tx.group.patience(tx.route), tx.held.lease.Park)
 	defer stuck.Stop()
 	for {
-		if err := tx.held.lease.Conn.Prepare(s.values, needed); err != nil {
+		if err := tx.held.lease.Conn.ApplySession(s.values, needed); err != nil {
 			return s.loseTx(st, err, false)
 		}
 		asked := s.relay.now()
