--- a/internal/member/health.go
+++ b/internal/member/health.go
@@ -20,8 +20,8 @@
 	avoidUntil   time.Duration // end of the backoff
 }
 
-// Answered records a complete answer, whether it reports success or an error.
-func (h *Health) Answered(now time.Duration) {
+// RecordAnswer records a complete answer, whether it reports success or an error.
+func (h *Health) RecordAnswer(now time.Duration) {
 	h.lastAnswer, h.answered = now, true
 	h.failures, h.avoidUntil = 0, 0
 }
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -97,7 +97,7 @@
 		c.health[address] = h
 	}
 	if answered {
-		h.Answered(c.now())
+		h.RecordAnswer(c.now())
 		return
 	}
 	h.Missed(c.now())
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -76,7 +76,7 @@
 func (up *upstream) noteAnswer(asked, now time.Duration, p group.Position) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.health.Answered(now)
+	up.health.RecordAnswer(now)
 	up.failing.Answered()
 	up.answered++
 	up.recent.answered++
