--- a/internal/member/health.go
+++ b/internal/member/health.go
@@ -26,8 +26,8 @@
 	h.failures, h.avoidUntil = 0, 0
 }
 
-// Missed records an attempt that got no answer.
-func (h *Health) Missed(now time.Duration) {
+// RecordNoAnswer records an attempt that got no answer.
+func (h *Health) RecordNoAnswer(now time.Duration) {
 	if h.failures == 0 {
 		h.firstFailure = now
 	}
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -100,7 +100,7 @@
 		h.RecordAnswer(c.now())
 		return
 	}
-	h.Missed(c.now())
+	h.RecordNoAnswer(c.now())
 	// What waits on its streams is told by their own watch; those that wait for
 	// nothing may hang on a connection that is dead.
 	for _, s := range c.idle[address] {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -90,7 +90,7 @@
 func (up *upstream) noteMiss(now time.Duration) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.health.Missed(now)
+	up.health.RecordNoAnswer(now)
 	up.failing.Failed()
 	up.recent.unheard++
 }
