--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -37,7 +37,7 @@
 
 // silent returns for how long the member has not answered although it was asked. The
 // caller holds mu.
-func (up *upstream) silent(now time.Duration) time.Duration { return up.health.SilentFor(now) }
+func (up *upstream) silent(now time.Duration) time.Duration { return up.health.UnresponsiveFor(now) }
 
 // request returns what admission needs to know of the statement. One that arrives late,
 // since others could not run it, is treated as its caller's next attempt would be.
