--- a/internal/member/health.go
+++ b/internal/member/health.go
@@ -53,5 +53,5 @@
 	return now - h.firstFailure
 }
 
-// Doubtful reports whether an attempt since the last answer failed to get one.
-func (h *Health) Doubtful() bool { return h.failures > 0 }
+// HasUnansweredAttempt reports whether an attempt since the last answer failed to get one.
+func (h *Health) HasUnansweredAttempt() bool { return h.failures > 0 }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -193,7 +193,7 @@
 	}
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return up.health.Doubtful()
+	return up.health.HasUnansweredAttempt()
 }
 
 // Heard returns how long ago a member answered.
