--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -332,7 +332,7 @@
 		}
 	}()
 	for c.now() < until && ctx.Err() == nil {
-		if conn == nil || !conn.Silent() {
+		if conn == nil || !conn.IsIdle() {
 			var err error
 			if conn, err = c.connect(ctx, m); err != nil {
 				conn = nil
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -130,7 +130,7 @@
 // connected reports whether the controller's own connection to the primary stands.
 // That of a process that ended breaks at once, before any statement is sent.
 func (c *Controller) connected(g *ledGroup, m topology.Member) bool {
-	return g.conn != nil && g.connTo == m.ID && g.conn.Silent()
+	return g.conn != nil && g.connTo == m.ID && g.conn.IsIdle()
 }
 
 func (c *Controller) hangUp(g *ledGroup) {
--- a/internal/member/conn.go
+++ b/internal/member/conn.go
@@ -65,8 +65,8 @@
 	Status(deadline time.Time) (Status, error)
 	// StepDown demotes the member to a replica if it is a primary of a lower term.
 	StepDown(deadline time.Time, term uint64) (Status, error)
-	// Silent reports whether the connection is open and no unsolicited data has arrived.
-	Silent() bool
+	// IsIdle reports whether the connection is open and no unsolicited data has arrived.
+	IsIdle() bool
 	// Close closes the connection at once. The member rolls back its open transaction.
 	Close()
 }
--- a/internal/member/pooled_conn.go
+++ b/internal/member/pooled_conn.go
@@ -55,7 +55,7 @@
 }
 
 // Alive implements connpool.Conn.
-func (c *PooledConn) Alive() bool { return !c.broken.Load() && c.conn.Silent() }
+func (c *PooledConn) Alive() bool { return !c.broken.Load() && c.conn.IsIdle() }
 
 // Kill implements connpool.Conn.
 func (c *PooledConn) Kill() {
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -573,7 +573,7 @@
 }
 
 // Silent implements member.Conn.
-func (c *conn) Silent() bool {
+func (c *conn) IsIdle() bool {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
 	return !c.closed
