--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -77,7 +77,7 @@
 		if s.reads(st) || st.Kind == statement.Begin {
 			return notCarried(err), true
 		}
-		return statement.Failure(statement.Idle, statement.Unknown, "it may have run: %v", err), false
+		return statement.Failure(statement.Idle, statement.OutcomeUnknown, "it may have run: %v", err), false
 	}
 	s.noteCarried(route, sent, reply)
 	s.relay.outlook.told(s.relay.now(), carrier.Address, route.Group, reply)
@@ -111,7 +111,7 @@
 		tx.stream.rest()
 		s.remote = nil
 		if st.Kind == statement.Commit && tx.wrote && !errors.Is(err, errNotTaken) {
-			return statement.Failure(statement.Idle, statement.Unknown, "the answer to the commit did not arrive: %v", err)
+			return statement.Failure(statement.Idle, statement.OutcomeUnknown, "the answer to the commit did not arrive: %v", err)
 		}
 		return statement.Failure(statement.Idle, statement.Aborted, "the connection to the carrier was lost: %v", err)
 	}
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -299,5 +299,5 @@
 }
 
 func (a *attempt) giveUpUnknown() statement.Answer {
-	return statement.Failure(statement.Idle, statement.Unknown, "it may have run: %s", a.why)
+	return statement.Failure(statement.Idle, statement.OutcomeUnknown, "it may have run: %s", a.why)
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -195,7 +195,7 @@
 	}
 	if tx.wrote {
 		if !valid {
-			return statement.Failure(statement.Idle, statement.Unknown, "the primary was replaced before the commit could be acknowledged")
+			return statement.Failure(statement.Idle, statement.OutcomeUnknown, "the primary was replaced before the commit could be acknowledged")
 		}
 		s.floor = group.Max(s.floor, answer.Position)
 	}
@@ -224,7 +224,7 @@
 	}
 	s.endTx()
 	if sent && st.Kind == statement.Commit && tx.wrote {
-		return statement.Failure(statement.Idle, statement.Unknown, "the answer to the commit did not arrive: %v", cause)
+		return statement.Failure(statement.Idle, statement.OutcomeUnknown, "the answer to the commit did not arrive: %v", cause)
 	}
 	return statement.Failure(statement.Idle, statement.Aborted, "the connection to the member was lost: %v", cause)
 }
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -25,7 +25,7 @@
 	openTwo(t, b)
 	b.group.SilenceOpen("m1")
 	s := newSession(b.relay, Start{Database: "hurried"})
-	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
+	must.Eq(t, statement.OutcomeUnknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
 	must.Eq(t, 0, b.relay.upstreams.get("m1").pool.NumOpen())
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 }
@@ -46,7 +46,7 @@
 		want  statement.Code
 	}{
 		"a read inside":       {false, statement.Read, statement.Aborted},
-		"a commit that wrote": {true, statement.Commit, statement.Unknown},
+		"a commit that wrote": {true, statement.Commit, statement.OutcomeUnknown},
 		"one that only read":  {false, statement.Commit, statement.Aborted},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -67,7 +67,7 @@
 	Malformed                         // the request cannot be parsed
 	StatementFailed                   // the statement ran and failed
 	TimedOut                          // no answer in time: the statement may have run
-	Unknown                           // the answer was lost: the statement may have run
+	OutcomeUnknown                    // the answer was lost: the statement may have run
 	UnrecognisedError                 // the member returned an unrecognised code: the statement may have run
 )
 
@@ -92,7 +92,7 @@
 	Busy: "busy", Aborted: "aborted", Lagging: "lagging", ReadOnly: "read_only",
 	Misrouted: "misrouted", TooMany: "too_many_connections", Unprepared: "unprepared",
 	NoDatabase: "no_database", Unauthenticated: "unauthenticated", Malformed: "malformed", StatementFailed: "failed",
-	TimedOut: "timed_out", Unknown: "outcome_unknown", UnrecognisedError: "unrecognised",
+	TimedOut: "timed_out", OutcomeUnknown: "outcome_unknown", UnrecognisedError: "unrecognised",
 }
 
 // Error is the failure of a statement as reported to the client.
