--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -75,8 +75,8 @@
 	return d
 }
 
-// Holder returns the name of the account that a key belongs to, false if there is none.
-func (d *Directory) Holder(k Key) (string, bool) {
+// AccountOfKey returns the name of the account that a key belongs to, false if there is none.
+func (d *Directory) AccountOfKey(k Key) (string, bool) {
 	if d == nil || k.secret == "" {
 		return "", false
 	}
@@ -107,5 +107,5 @@
 	if d == nil || public {
 		return Anonymous, true
 	}
-	return d.Holder(k)
+	return d.AccountOfKey(k)
 }
