--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -135,7 +135,7 @@
 }
 
 func outcomeOf(r Result, err error, keyed bool) retry.Outcome {
-	o := retry.Outcome{Delivered: r.Delivered, Keyed: keyed}
+	o := retry.Outcome{Delivered: r.Delivered, Idempotent: keyed}
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
 		o.NotSent = true
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -14,15 +14,15 @@
 
 // Outcome describes how an attempt failed, and the state of its request.
 type Outcome struct {
-	Refusal   peerpb.Refusal
-	NotSent   bool          // the request was not sent
-	Broken    bool          // the stream broke after the request was sent
-	Delivered bool          // part of the answer was passed on to the client
-	Keyed     bool          // the request carries a request key and is idempotent
-	Hint      bool          // the rejection names the owner of the group
-	Attempt   int           // number of the failed attempt, from 1
-	Left      time.Duration // time until the request's deadline
-	Jitter    float64       // uniformly distributed in [0, 1)
+	Refusal    peerpb.Refusal
+	NotSent    bool          // the request was not sent
+	Broken     bool          // the stream broke after the request was sent
+	Delivered  bool          // part of the answer was passed on to the client
+	Idempotent bool          // the request carries a request key and is idempotent
+	Hint       bool          // the rejection names the owner of the group
+	Attempt    int           // number of the failed attempt, from 1
+	Left       time.Duration // time until the request's deadline
+	Jitter     float64       // uniformly distributed in [0, 1)
 }
 
 // Decision says whether to retry and after what delay.
@@ -72,7 +72,7 @@
 		return true
 	}
 	if o.Broken || o.Refusal == peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME {
-		return o.Keyed
+		return o.Idempotent
 	}
 	switch o.Refusal {
 	case peerpb.Refusal_REFUSAL_NOT_OWNER, peerpb.Refusal_REFUSAL_NO_PRIMARY, peerpb.Refusal_REFUSAL_UPSTREAM:
