--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -143,7 +143,7 @@
 		o.Broken = true
 	default:
 		o.Refusal = r.Done.Refusal
-		o.Hint = r.Done.Owner != ""
+		o.OwnerHint = r.Done.Owner != ""
 	}
 	return o
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -19,7 +19,7 @@
 	Broken     bool          // the stream broke after the request was sent
 	Delivered  bool          // part of the answer was passed on to the client
 	Idempotent bool          // the request carries a request key and is idempotent
-	Hint       bool          // the rejection names the owner of the group
+	OwnerHint  bool          // the rejection names the owner of the group
 	Attempt    int           // number of the failed attempt, from 1
 	Left       time.Duration // time until the request's deadline
 	Jitter     float64       // uniformly distributed in [0, 1)
@@ -44,7 +44,7 @@
 	if !retryable(o) {
 		return Decision{}
 	}
-	if o.Hint && o.Attempt <= freeRedirects {
+	if o.OwnerHint && o.Attempt <= freeRedirects {
 		return Decision{Retry: true}
 	}
 	delay := maxDelay
