--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -118,7 +118,7 @@
 			return t.settle(result, err)
 		}
 		t.drop()
-		sleep(ctx, next.After)
+		sleep(ctx, next.Delay)
 	}
 }
 
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -28,7 +28,7 @@
 // Decision says whether to retry and after what delay.
 type Decision struct {
 	Retry bool
-	After time.Duration
+	Delay time.Duration
 }
 
 // Bounds of the exponential backoff between two attempts, before jitter.
@@ -55,7 +55,7 @@
 	if delay >= o.Left {
 		return Decision{}
 	}
-	return Decision{Retry: true, After: delay}
+	return Decision{Retry: true, Delay: delay}
 }
 
 const (
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -47,7 +47,7 @@
 		b.Earn()
 		d := Next(Outcome{NotSent: true, Attempt: 1, Left: time.Second, Jitter: 0.5}, b)
 		must.True(t, d.Retry)
-		if d.After < maxDelay/2 {
+		if d.Delay < maxDelay/2 {
 			short++
 		}
 	}
