--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -179,7 +179,7 @@
 	l.tokens.Return(name, t)
 }
 
-// decide decides about an operation, which may have waited before. If tokens are needed it
+// decide returns how to proceed with an operation, which may have waited before. If tokens are needed it
 // starts to fetch some, unless a fetch for the account is in progress already. The returned
 // channel is closed when that fetch has ended.
 func (l *Limiter) decide(name string, waited bool) (quota.Decision, <-chan struct{}) {
@@ -370,7 +370,7 @@
 type counters struct {
 	set *metrics.Set
 
-	mu      sync.Mutex // guards named
+	mu      sync.Mutex // guards counted
 	counted map[string]bool
 }
 
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -70,8 +70,8 @@
 const (
 	// averageSpan is the number of answers per average.
 	averageSpan = 16
-	// riseDivisor is the divisor by which the baseline rises with each average above it: by
-	// 1/100. If statements have become heavier, the baseline adapts after some hundred
+	// riseDivisor: the baseline rises by 1/riseDivisor of itself with each average above
+	// it. If statements have become heavier, the baseline adapts after some hundred
 	// averages, whereas it barely changes while a member is saturated for a minute.
 	riseDivisor = 100
 )
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -144,7 +144,7 @@
 }
 
 // Unpark reverts Park. It may exceed MaxActive: the holder's transaction has begun, and
-// other requests may wait for locks until it ends.
+// other requests wait for its end.
 func (q *Queue) Unpark(r Request) {
 	q.parked--
 	if r.pinned() {
--- a/internal/pool/reserve.go
+++ b/internal/pool/reserve.go
@@ -53,9 +53,9 @@
 	return slots - max(0, min(reserve, slots-1)-(q.pinned.inUse-q.pinned.parked))
 }
 
-// keepsFree reports whether another slot may be taken without touching the reserve. used slots
-// are taken, own of them by requests that the reserve is for. At least one slot stays
-// unreserved.
+// keepsFree reports whether another slot may be taken without touching the reserve. used
+// slots are taken, ownUsed of them by requests that the reserve is for. One slot is never
+// reserved.
 func keepsFree(reserve, slots, used, ownUsed int) bool {
 	return used+max(0, min(reserve, slots-1)-ownUsed) < slots
 }
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -34,7 +34,7 @@
 	operations []time.Duration // times of the operations, in order
 }
 
-// instance is one instance. Each of its processes has a clock that starts at 0.
+// instance is a simulated instance. Each of its processes has a clock that starts at 0.
 type instance struct {
 	name            string
 	registered      bool // in the store
