--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -112,7 +112,7 @@
 		l.registered, l.holders = registered, quota.NewHolders(registered)
 		l.buckets.Register(l.now(), l.holders)
 	}
-	l.tokens.Register(l.holders, centres)
+	l.tokens.SetHolders(l.holders, centres)
 }
 
 // ConfirmSnapshot records the time at which the current snapshot, which lists this instance as
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -82,7 +82,7 @@
 		ledgers[name].SetSettledAt(0)
 		ledgers[name].Register(0, holders)
 	}
-	m.Register(holders, centres)
+	m.SetHolders(holders, centres)
 	return m, ledgers
 }
 
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -67,8 +67,8 @@
 	return &TokenCache{self: self, dataCentre: dataCentre, holders: NewHolders(nil), backoffs: make(map[string]holderBackoff), accounts: make(map[string]*accountTokens)}
 }
 
-// Register sets the limit holders and the data centres of the instances that are alive.
-func (c *TokenCache) Register(h *Holders, alive map[string]string) {
+// SetHolders sets the limit holders and the data centres of the instances that are alive.
+func (c *TokenCache) SetHolders(h *Holders, alive map[string]string) {
 	c.holders, c.dataCentres = h, alive
 }
 
