--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -110,7 +110,7 @@
 	l.addresses = addresses
 	if !slices.Equal(registered, l.registered) {
 		l.registered, l.holders = registered, quota.NewHolders(registered)
-		l.buckets.Register(l.now(), l.holders)
+		l.buckets.SetHolders(l.now(), l.holders)
 	}
 	l.tokens.SetHolders(l.holders, centres)
 }
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -42,10 +42,10 @@
 	clear(bs.buckets)
 }
 
-// Register sets the limit holders after the list of registered instances has changed. The
+// SetHolders sets the limit holders after the list of registered instances has changed. The
 // bucket of an account that has moved to other holders is dropped, so that it starts empty
 // if the account comes back.
-func (bs *Buckets) Register(now time.Duration, h *Holders) {
+func (bs *Buckets) SetHolders(now time.Duration, h *Holders) {
 	bs.holders, bs.holdersChangedAt = h, now
 	for name := range bs.buckets {
 		if !slices.Contains(h.Of(name), bs.self) {
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -102,7 +102,7 @@
 	}
 	if names := w.registered(); !slices.Equal(names, n.snapshot) {
 		n.snapshot = names
-		n.buckets.Register(local, NewHolders(names))
+		n.buckets.SetHolders(local, NewHolders(names))
 	}
 	n.confirmed = local
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -80,7 +80,7 @@
 		centres[name] = "dc"
 		ledgers[name] = NewBuckets(name, rules)
 		ledgers[name].SetSettledAt(0)
-		ledgers[name].Register(0, holders)
+		ledgers[name].SetHolders(0, holders)
 	}
 	m.SetHolders(holders, centres)
 	return m, ledgers
@@ -182,12 +182,12 @@
 	l := NewBuckets("front-000", rules)
 	l.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	l.Register(0, NewHolders(names(1)))
+	l.SetHolders(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Tokens)
-	l.Register(time.Minute, NewHolders([]string{"front-001"}))
+	l.SetHolders(time.Minute, NewHolders([]string{"front-001"}))
 	must.False(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Holder)
 	l.SetSettledAt(2 * time.Minute)
-	l.Register(time.Minute, NewHolders(names(1)))
+	l.SetHolders(time.Minute, NewHolders(names(1)))
 	must.False(t, l.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).Holder)
 	must.Zero(t, l.Reserve(2*time.Minute, 2*time.Minute, "a", limit, 1).Tokens)
 	must.Positive(t, l.Reserve(2*time.Minute+time.Second, 2*time.Minute+time.Second, "a", limit, 1).Tokens)
@@ -198,7 +198,7 @@
 	l := NewBuckets("front-000", rules)
 	l.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	l.Register(0, NewHolders(names(1)))
+	l.SetHolders(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
 	l.SetSettledAt(0)
 	must.Zero(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
