--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -293,7 +293,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.tokens.Failed(l.now(), holder)
+		l.tokens.RecordFailure(l.now(), holder)
 		l.log.WithError(err).WithFields(logrus.Fields{"account": name, "holder": holder}).Debug("limits: a holder did not answer")
 		return
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -210,7 +210,7 @@
 	m, _ := fleetOf(1)
 	now, pause := time.Minute, minBackoff
 	for range 5 {
-		m.Failed(now, "front-000")
+		m.RecordFailure(now, "front-000")
 		d := m.Take(now, "a")
 		must.Eq(t, Refuse, d.Verdict)
 		must.False(t, d.Shortage.AtLimit())
@@ -220,7 +220,7 @@
 		pause = min(2*pause, maxBackoff)
 	}
 	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
-	m.Failed(now, "front-000")
+	m.RecordFailure(now, "front-000")
 	must.Eq(t, Ask, m.Take(now+time.Second, "a").Verdict)
 }
 
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -198,8 +198,8 @@
 	slices.SortFunc(acc.batches, func(a, b batch) int { return cmp.Compare(a.expires, b.expires) })
 }
 
-// Failed records that a holder did not answer and starts its backoff.
-func (c *TokenCache) Failed(now time.Duration, holder string) {
+// RecordFailure records that a holder did not answer and starts its backoff.
+func (c *TokenCache) RecordFailure(now time.Duration, holder string) {
 	previous := c.backoffs[holder]
 	c.backoffs[holder] = holderBackoff{until: now + min(minBackoff<<previous.failures, maxBackoff), failures: min(previous.failures+1, maxDoublings)}
 }
