--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -319,7 +319,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		holder, wanted, awaitLate = l.tokens.Next(l.now(), name, l.waiting[name], late)
+		holder, wanted, awaitLate = l.tokens.NextHolder(l.now(), name, l.waiting[name], late)
 		if holder != l.self {
 			return holder, wanted, awaitLate
 		}
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -153,11 +153,11 @@
 	return holder, target - left
 }
 
-// Next returns the holder to ask next, and for how many tokens, while some operations wait
+// NextHolder returns the holder to ask next, and for how many tokens, while some operations wait
 // for one. It skips the holders in late, which were asked and have not answered yet. If
 // there is no other holder, awaitLate reports whether to wait for the late ones: if
 // operations wait and no holder has reported having no token.
-func (c *TokenCache) Next(now time.Duration, name string, waiting int, late []string) (holder string, wanted int, awaitLate bool) {
+func (c *TokenCache) NextHolder(now time.Duration, name string, waiting int, late []string) (holder string, wanted int, awaitLate bool) {
 	acc := c.tokensOf(name)
 	acc.expire(now)
 	switch {
