--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -198,14 +198,14 @@
 		decision = l.tokens.Take(l.now(), name)
 	}
 	if inProgress := l.fetches[name]; inProgress != nil && decision.Verdict == quota.Refuse && decision.Shortage.OutOfTokens == 0 {
-		decision.Verdict = quota.Ask // no holder has reported having no token: await the fetch in progress
+		decision.Verdict = quota.Fetch // no holder has reported having no token: await the fetch in progress
 		l.waiting[name]++
 		return decision, inProgress
 	}
 	if decision.Holder == "" {
 		return decision, nil
 	}
-	if decision.Verdict == quota.Ask {
+	if decision.Verdict == quota.Fetch {
 		l.waiting[name]++
 	}
 	done := l.fetches[name]
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -98,7 +98,7 @@
 		waited := false
 		for {
 			d := m.Take(now, "a")
-			if d.Verdict == Ask {
+			if d.Verdict == Fetch {
 				waited = true
 				ask(now, d)
 				continue
@@ -165,13 +165,13 @@
 	var refusal Decision
 	for refusal.Verdict != Refuse {
 		refusal = m.Take(now, "a")
-		if refusal.Verdict == Ask {
+		if refusal.Verdict == Fetch {
 			m.ApplyGrant(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
 		}
 	}
 	must.Positive(t, refusal.Shortage.RetryAfter)
 	d := m.Take(now+refusal.Shortage.RetryAfter, "a")
-	must.Eq(t, Ask, d.Verdict)
+	must.Eq(t, Fetch, d.Verdict)
 	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.RetryAfter, now, "a", limit, 1).Tokens)
 }
 
@@ -216,12 +216,12 @@
 		must.False(t, d.Shortage.AtLimit())
 		must.Eq(t, pause, d.Shortage.RetryAfter)
 		now += pause
-		must.Eq(t, Ask, m.Take(now, "a").Verdict)
+		must.Eq(t, Fetch, m.Take(now, "a").Verdict)
 		pause = min(2*pause, maxBackoff)
 	}
 	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
 	m.RecordFailure(now, "front-000")
-	must.Eq(t, Ask, m.Take(now+time.Second, "a").Verdict)
+	must.Eq(t, Fetch, m.Take(now+time.Second, "a").Verdict)
 }
 
 // After a restart of all instances, holders without a store snapshot cannot serve accounts
@@ -233,7 +233,7 @@
 	d := m.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.AtLimit())
-	must.Eq(t, Ask, m.Take(minBackoff, "a").Verdict)
+	must.Eq(t, Fetch, m.Take(minBackoff, "a").Verdict)
 	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
 	must.True(t, m.Take(0, "a").Shortage.AtLimit())
 }
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -96,7 +96,7 @@
 // The verdicts.
 const (
 	Run    Verdict = iota // run the operation: a token was used
-	Ask                   // fetch tokens from a holder first
+	Fetch                 // fetch tokens from a holder first
 	Refuse                // reject the operation: no holder is known to have a token
 )
 
@@ -132,7 +132,7 @@
 		if holder == "" {
 			return Decision{Verdict: Refuse, Shortage: shortage}
 		}
-		return Decision{Verdict: Ask, Holder: holder, Wanted: 1 + acc.prefetchTarget()}
+		return Decision{Verdict: Fetch, Holder: holder, Wanted: 1 + acc.prefetchTarget()}
 	}
 	d := Decision{Verdict: Run, Token: acc.useFirst(now)}
 	d.Holder, d.Wanted = c.Prefetch(now, name)
