--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -343,7 +343,7 @@
 	}
 	return quota.Grant{
 		Tokens: int(reply.Tokens), Holder: reply.Holder,
-		Life: time.Duration(reply.LifeUs) * time.Microsecond, RetryAfter: time.Duration(reply.ComeBackUs) * time.Microsecond,
+		Lifetime: time.Duration(reply.LifeUs) * time.Microsecond, RetryAfter: time.Duration(reply.ComeBackUs) * time.Microsecond,
 	}, nil
 }
 
@@ -362,7 +362,7 @@
 	defer l.mu.Unlock()
 	g := l.reserve(req.Account, int(req.Wanted))
 	return &limitspb.ReserveReply{
-		Tokens: uint32(g.Tokens), Holder: g.Holder, LifeUs: g.Life.Microseconds(), ComeBackUs: g.RetryAfter.Microseconds(),
+		Tokens: uint32(g.Tokens), Holder: g.Holder, LifeUs: g.Lifetime.Microseconds(), ComeBackUs: g.RetryAfter.Microseconds(),
 	}, nil
 }
 
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -56,8 +56,8 @@
 
 // Grant is the answer of a limit holder to a request for tokens.
 type Grant struct {
-	Tokens int
-	Life   time.Duration // lifetime of the tokens, from when the request was sent
+	Tokens   int
+	Lifetime time.Duration // lifetime of the tokens, from when the request was sent
 	// RetryAfter is the delay after which a token is available or the instance may hold a
 	// share; 0 with tokens, or if that is not known.
 	RetryAfter time.Duration
@@ -69,7 +69,7 @@
 // last known to be current.
 func (bs *Buckets) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
 	if limit.Unlimited {
-		return Grant{Tokens: wanted, Life: maxLifetime, Holder: true}
+		return Grant{Tokens: wanted, Lifetime: maxLifetime, Holder: true}
 	}
 	holders := bs.holders.Of(name)
 	switch {
@@ -85,7 +85,7 @@
 	n := min(wanted, int(b.tokens))
 	if n > 0 {
 		b.tokens -= float64(n)
-		return Grant{Tokens: n, Life: budget.Life, Holder: true}
+		return Grant{Tokens: n, Lifetime: budget.Life, Holder: true}
 	}
 	return Grant{RetryAfter: budget.refillTime(1 - b.tokens), Holder: true}
 }
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -131,7 +131,7 @@
 	g := holder.buckets.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, rapid.SampledFrom([]int{1, 5, 1000}).Draw(w.t, "wanted"))
 	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way back"))
 	if g.Tokens > 0 {
-		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, expires: sent + time.Duration(float64(g.Life)*(1-drift))})
+		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, expires: sent + time.Duration(float64(g.Lifetime)*(1-drift))})
 	}
 }
 
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -188,8 +188,8 @@
 		acc.emptyUntil[holder] = now + max(g.RetryAfter, minEmptyPause)
 	default:
 		delete(acc.emptyUntil, holder)
-		acc.lifetime = g.Life
-		acc.add(batch{tokens: g.Tokens, expires: sent + time.Duration(float64(g.Life)*(1-drift))})
+		acc.lifetime = g.Lifetime
+		acc.add(batch{tokens: g.Tokens, expires: sent + time.Duration(float64(g.Lifetime)*(1-drift))})
 	}
 }
 
