--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -85,7 +85,7 @@
 	n := min(wanted, int(b.tokens))
 	if n > 0 {
 		b.tokens -= float64(n)
-		return Grant{Tokens: n, Lifetime: budget.Life, Holder: true}
+		return Grant{Tokens: n, Lifetime: budget.Lifetime, Holder: true}
 	}
 	return Grant{RetryAfter: budget.refillTime(1 - b.tokens), Holder: true}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -75,9 +75,9 @@
 
 // Budget holds the parameters of the token bucket that enforces a limit.
 type Budget struct {
-	Refill float64       // tokens per second
-	Depth  float64       // maximum number of tokens
-	Life   time.Duration // lifetime of a token, from when the request for it was sent
+	Refill   float64       // tokens per second
+	Depth    float64       // maximum number of tokens
+	Lifetime time.Duration // lifetime of a token, from when the request for it was sent
 }
 
 // Budget returns the bucket parameters for a limit. In any window plus one token lifetime
@@ -96,7 +96,7 @@
 	life = min(max(life, minLifetime), maxLifetime)
 	span := (r.Window + life).Seconds()
 	depth := max(allowed-sustained*span, min(allowed/2, holdersPerAccount))
-	return Budget{Refill: (allowed - depth) / span * (1 - drift), Depth: depth, Life: life}
+	return Budget{Refill: (allowed - depth) / span * (1 - drift), Depth: depth, Lifetime: life}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -104,5 +104,5 @@
 // share returns the bucket parameters of one of some holders, which divide a budget equally.
 func (b Budget) share(holders int) Budget {
 	n := float64(max(holders, 1))
-	return Budget{Refill: b.Refill / n, Depth: b.Depth / n, Life: b.Life}
+	return Budget{Refill: b.Refill / n, Depth: b.Depth / n, Lifetime: b.Lifetime}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -31,9 +31,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := c.rules.Budget(c.limit)
-			must.Less(t, float64(time.Millisecond), math.Abs(float64(b.Life-c.life)))
+			must.Less(t, float64(time.Millisecond), math.Abs(float64(b.Lifetime-c.life)))
 			allowed := (c.limit.Rate*c.rules.Window.Seconds()+c.limit.Burst)*(1+c.rules.Tolerance) + c.rules.Slack
-			must.LessEq(t, allowed, b.Depth+b.Refill*(c.rules.Window+b.Life).Seconds())
+			must.LessEq(t, allowed, b.Depth+b.Refill*(c.rules.Window+b.Lifetime).Seconds())
 			must.GreaterEq(t, min(allowed/2, holdersPerAccount), b.Depth)
 		})
 	}
