--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -177,7 +177,7 @@
 	lease.Resume()
 	lease.Release()
 	lease.Resume()
-	must.Eq(t, pool.Backlog{Slots: p.Capacity(), Flexible: 1, MeanHoldTime: 20 * time.Millisecond}, p.Backlog(0), must.Sprint("one slot stays reserved for the pinned request that has just ended"))
+	must.Eq(t, pool.Backlog{Slots: p.Capacity(), FlexibleSlots: 1, MeanHoldTime: 20 * time.Millisecond}, p.Backlog(0), must.Sprint("one slot stays reserved for the pinned request that has just ended"))
 }
 
 // Pinned requests have just ended, and a read waits for a slot that stays reserved for
--- a/internal/pool/backlog.go
+++ b/internal/pool/backlog.go
@@ -9,9 +9,9 @@
 	Work   time.Duration // total expected execution time of those requests
 	Active int           // requests that hold a connection and are not parked
 	Slots  int           // requests that may be active at once: connections not taken by parked requests, at most MaxActive
-	// Flexible is the number of slots open to requests that another member could run.
-	Flexible     int
-	MeanHoldTime time.Duration // moving average of the time a connection is in use; 0: unknown
+	// FlexibleSlots is the number of slots open to requests that another member could run.
+	FlexibleSlots int
+	MeanHoldTime  time.Duration // moving average of the time a connection is in use; 0: unknown
 	// PausedUntil is the end of the pause of flexible requests of the priority; 0: no pause.
 	PausedUntil time.Duration
 }
@@ -23,7 +23,7 @@
 	if q.cfg.MaxActive > 0 {
 		b.Slots = min(b.Slots, q.cfg.MaxActive)
 	}
-	b.Flexible = q.flexibleSlots(b.Slots)
+	b.FlexibleSlots = q.flexibleSlots(b.Slots)
 	for level, until := range q.pauses {
 		if level <= priority {
 			b.PausedUntil = max(b.PausedUntil, until)
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -186,8 +186,8 @@
 		r.ID, r.Deadline = uint64(i+1), time.Hour
 		must.Eq(t, Queued, q.Offer(0, r))
 	}
-	must.Eq(t, Backlog{Ahead: 1, Work: 5 * ms, Active: 2, Slots: 2, Flexible: 2, MeanHoldTime: 20 * ms}, q.Backlog(0))
-	must.Eq(t, Backlog{Ahead: 3, Work: 32 * ms, Active: 2, Slots: 2, Flexible: 2, MeanHoldTime: 20 * ms}, q.Backlog(1), must.Sprint("unknown work counts as the average time in use"))
+	must.Eq(t, Backlog{Ahead: 1, Work: 5 * ms, Active: 2, Slots: 2, FlexibleSlots: 2, MeanHoldTime: 20 * ms}, q.Backlog(0))
+	must.Eq(t, Backlog{Ahead: 3, Work: 32 * ms, Active: 2, Slots: 2, FlexibleSlots: 2, MeanHoldTime: 20 * ms}, q.Backlog(1), must.Sprint("unknown work counts as the average time in use"))
 	q.Park(running[0])
 	must.Eq(t, 1, q.Backlog(1).Active)
 }
@@ -259,7 +259,7 @@
 	b := q.Backlog(1)
 	must.Eq(t, 1, b.Active)
 	must.Eq(t, 3, b.Slots)
-	must.Eq(t, 2, b.Flexible, must.Sprint("one slot is reserved: two pinned requests were active a moment ago"))
+	must.Eq(t, 2, b.FlexibleSlots, must.Sprint("one slot is reserved: two pinned requests were active a moment ago"))
 	must.Eq(t, 30*ms, b.PausedUntil)
 	must.Zero(t, q.Backlog(0).PausedUntil)
 }
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -82,7 +82,7 @@
 func (up *upstream) backlog(level int, work admission.Work) admission.Backlog {
 	b := up.pool.Backlog(level)
 	if work == admission.OnReplica {
-		b.Slots = b.Flexible
+		b.Slots = b.FlexibleSlots
 	} else {
 		b.PausedUntil = 0 // a pause holds flexible requests only
 	}
