--- a/internal/member/pooled_conn.go
+++ b/internal/member/pooled_conn.go
@@ -114,8 +114,9 @@
 }
 
 // ApplySession applies a session's variables to the connection and prepares the needed
-// statement, unless that is nil. It sends only differences from the tracked state, and
-// nothing if there are none. An error wraps ErrNotReady.
+// statement, unless that is nil. It sends only the differences from the tracked state, if
+// any, or resets the session first if that state is unknown, has variables that the session
+// lacks, or has more than maxPrepared statements. An error wraps ErrNotReady.
 func (c *PooledConn) ApplySession(values map[string]string, needed *Prepared) error {
 	reset := c.stateUnknown || !subset(c.values, values) || len(c.prepared) > maxPrepared
 	var set []Value
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -127,9 +127,9 @@
 		return
 	}
 	sent := from.clock(w.now)
-	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way"))
+	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "latency"))
 	g := holder.buckets.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, rapid.SampledFrom([]int{1, 5, 1000}).Draw(w.t, "wanted"))
-	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way back"))
+	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "return latency"))
 	if g.Tokens > 0 {
 		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, expires: sent + time.Duration(float64(g.Lifetime)*(1-drift))})
 	}
@@ -208,8 +208,8 @@
 }
 
 func (w *world) step() {
-	n := rapid.SampledFrom(w.instances).Draw(w.t, "node")
-	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "what") {
+	n := rapid.SampledFrom(w.instances).Draw(w.t, "instance")
+	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "event") {
 	case "greed": // an instance fetches tokens from all, and uses them at once or later
 		for _, holder := range w.instances {
 			w.reserve(n, holder)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -92,11 +92,11 @@
 	inWindow := l.Rate*r.Window.Seconds() + l.Burst
 	allowed := inWindow*(1+r.Tolerance) + r.Slack
 	sustained := inWindow / r.Window.Seconds()
-	life := seconds(lifetimeTolerance*r.Tolerance*r.Window.Seconds()) + seconds(lifetimeSlack*r.Slack/sustained)
-	life = min(max(life, minLifetime), maxLifetime)
-	span := (r.Window + life).Seconds()
+	lifetime := seconds(lifetimeTolerance*r.Tolerance*r.Window.Seconds()) + seconds(lifetimeSlack*r.Slack/sustained)
+	lifetime = min(max(lifetime, minLifetime), maxLifetime)
+	span := (r.Window + lifetime).Seconds()
 	depth := max(allowed-sustained*span, min(allowed/2, holdersPerAccount))
-	return Budget{Refill: (allowed - depth) / span * (1 - drift), Depth: depth, Lifetime: life}
+	return Budget{Refill: (allowed - depth) / span * (1 - drift), Depth: depth, Lifetime: lifetime}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -75,8 +75,8 @@
 
 // admitsNext reports whether an operation may be the next one admitted. Retries have
 // precedence over new operations for the first part of the interval.
-func (a *rejectedAccount) admitsNext(now time.Duration, returning bool) bool {
-	if returning {
+func (a *rejectedAccount) admitsNext(now time.Duration, isRetry bool) bool {
+	if isRetry {
 		return a.lastAdmission == 0 || now-a.lastAdmission >= a.interval
 	}
 	if a.lastAdmission > 0 {
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -104,7 +104,7 @@
 type Decision struct {
 	Verdict  Verdict
 	Token    Token    // with Run: the token used
-	Holder   string   // from which to fetch tokens: with Ask for this operation, with Run ahead of need; empty: none
+	Holder   string   // from which to fetch tokens: with Fetch for this operation, with Run ahead of need; empty: none
 	Wanted   int      // number of tokens to fetch
 	Shortage Shortage // with Refuse
 }
