--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -98,12 +98,12 @@
 	}
 }
 
-// SetInstances sets the names of the registered instances and the instances that are alive, from
-// a store snapshot.
+// SetInstances sets the names of the registered instances and the instances that are alive,
+// from a store snapshot.
 func (l *Limiter) SetInstances(registered []string, alive []lead.Instance) {
-	addresses, centres := make(map[string]string, len(alive)), make(map[string]string, len(alive))
+	addresses, dataCentres := make(map[string]string, len(alive)), make(map[string]string, len(alive))
 	for _, i := range alive {
-		addresses[i.Name], centres[i.Name] = i.Address, i.DataCentre
+		addresses[i.Name], dataCentres[i.Name] = i.Address, i.DataCentre
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,11 +112,11 @@
 		l.registered, l.holders = registered, quota.NewHolders(registered)
 		l.buckets.SetHolders(l.now(), l.holders)
 	}
-	l.tokens.SetHolders(l.holders, centres)
+	l.tokens.SetHolders(l.holders, dataCentres)
 }
 
-// ConfirmSnapshot records the time at which the current snapshot, which lists this instance as
-// alive, is known to have been current.
+// ConfirmSnapshot records a time at which the snapshot passed to SetInstances, which lists
+// this instance as alive, was known to be current.
 func (l *Limiter) ConfirmSnapshot(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/member/health.go
+++ b/internal/member/health.go
@@ -44,8 +44,9 @@
 	return now - h.lastAnswer, h.answered
 }
 
-// UnresponsiveFor returns the time since the first of the consecutive attempts without an answer,
-// 0 if the last attempt got one. Time without attempts after an answer does not count.
+// UnresponsiveFor returns the time since the first of the consecutive attempts without an
+// answer, 0 if the last attempt got one. Time without attempts after an answer does not
+// count.
 func (h *Health) UnresponsiveFor(now time.Duration) time.Duration {
 	if h.failures == 0 {
 		return 0
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -30,10 +30,11 @@
 	return &Buckets{self: self, rules: rules, holders: NewHolders(nil), settledAt: -1, buckets: make(map[string]*bucket)}
 }
 
-// SetSettledAt sets the time from which this instance may hold shares: 0 if its registration is
-// marked as settled, else SettleAfter after it was registered. A later time than before
-// means that the registration had ended and the instance has registered again: all buckets
-// are dropped. Renewing a registration keeps the time, and so the state of the buckets.
+// SetSettledAt sets the time from which this instance may hold shares: 0 if its
+// registration is marked as settled, else SettleAfter after it was registered. A later time
+// than before means that the registration had ended and the instance has registered again:
+// all buckets are dropped. Renewing a registration keeps the time, and so the state of the
+// buckets.
 func (bs *Buckets) SetSettledAt(at time.Duration) {
 	if bs.settledAt >= 0 && at <= bs.settledAt {
 		return
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,8 +10,8 @@
 // A limit is divided equally among a few of the registered instances, the limit holders of
 // the account (Holders). Each has a token bucket for its share, which is empty when its
 // process starts (Buckets). Instances that run statements fetch tokens from the holders, a
-// few ahead of need; tokens expire after a short lifetime (TokenCache). So a statement usually
-// waits for no round trip, a partitioned instance goes on with the holders that it reaches,
+// few ahead of need; tokens expire after a short lifetime (TokenCache). So a statement
+// usually waits for no round trip, a partitioned instance goes on with the holders it reaches,
 // and an instance that fails takes only its share of the limit with it: under the usual
 // load of 0.62 of the limit, two of six holders may be down before operations are rejected.
 // Ingress instances reject operations of accounts at their limit without forwarding them
