--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -58,8 +58,8 @@
 	must.False(t, ok)
 }
 
-// A key must not appear wherever a value that holds it is printed.
-func TestKeysDoNotShow(t *testing.T) {
+// No way of printing or encoding a value that contains a key may reveal the key.
+func TestKeysAreRedacted(t *testing.T) {
 	a := Account{Name: "confirm", Keys: []Key{NewKey(confirmKey)}}
 	encoded, err := json.Marshal(a)
 	must.NoError(t, err)
--- a/internal/connpool/account_test.go
+++ b/internal/connpool/account_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// Whatever requests of some accounts come and go: each gets a connection of its own
-// account, at most the capacity exist, and what is in use is never closed for another.
-func TestConnectionsServeTheirAccountOnly(t *testing.T) {
+// For any sequence of requests of several accounts: each gets a connection of its own
+// account, no more connections exist than the capacity, and none in use is closed.
+func TestConnectionsAreNotSharedBetweenAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 4
 		accounts := []string{"", "a", "b", "c", "d", "e", "f"}
@@ -60,8 +60,8 @@
 				t.Fatalf("%q got a connection of %q", account, lease.Conn.account)
 			}
 			leases = append(leases, held{lease: lease, account: account})
-			if p.Open() > capacity {
-				t.Fatalf("%d connections exist", p.Open())
+			if p.NumOpen() > capacity {
+				t.Fatalf("%d connections exist", p.NumOpen())
 			}
 			for _, h := range leases {
 				if h.lease.Conn.dead.Load() {
@@ -72,8 +72,8 @@
 	})
 }
 
-// An account that has a connection keeps it while others need none.
-func TestAccountsKeepTheirConnections(t *testing.T) {
+// An idle connection of an account stays open until another account needs its slot.
+func TestIdleConnectionsOfAccountsAreKept(t *testing.T) {
 	p, _ := newPool(&dialer{limit: 3}, never)
 	for range 3 {
 		for _, account := range []string{"a", "b"} {
@@ -83,21 +83,21 @@
 			lease.Release()
 		}
 	}
-	must.Eq(t, 2, p.Open())
+	must.Eq(t, 2, p.NumOpen())
 	lease, err := p.Acquire(t.Context(), pool.Request{Service: "s", Account: "c", Deadline: never}, nil)
 	must.NoError(t, err)
 	must.Eq(t, 3, lease.Conn.label)
-	must.Eq(t, 2, p.Open(), must.Sprint("that of a, idle for longest, makes room"))
+	must.Eq(t, 2, p.NumOpen(), must.Sprint("the connection of a, idle for longest, was closed"))
 	_, err = p.Acquire(t.Context(), pool.Request{Service: "s", Account: "a", Deadline: never}, nil)
 	must.True(t, errors.Is(err, errLimit))
 }
 
-// Where the member takes no more connections, one that is idle here makes room, and the
-// request does not wait out a backoff.
+// If the member accepts no more connections, the pool closes an idle one and dials again,
+// without waiting for the backoff.
 func TestIdleConnectionMakesRoomAtAFullMember(t *testing.T) {
 	d := &dialer{limit: 1}
 	cfg := Config{Queue: pool.Config{Capacity: 4, MaxQueue: 8}, Dials: 2, DialTimeout: never, MinBackoff: never, MaxBackoff: never,
-		Full: func(err error) bool { d.limit++; return errors.Is(err, errLimit) }}
+		IsFull: func(err error) bool { d.limit++; return errors.Is(err, errLimit) }}
 	p := New(cfg, d.open, func() time.Duration { return 0 })
 	first, err := p.Acquire(t.Context(), pool.Request{Service: "s", Account: "a", Deadline: never}, nil)
 	must.NoError(t, err)
@@ -106,5 +106,5 @@
 	must.NoError(t, err)
 	must.Eq(t, "b", second.Conn.account)
 	must.True(t, first.Conn.dead.Load())
-	must.Eq(t, 1, p.Open())
+	must.Eq(t, 1, p.NumOpen())
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -118,7 +118,7 @@
 			return t.settle(result, err)
 		}
 		t.drop()
-		sleep(ctx, next.After)
+		sleep(ctx, next.Delay)
 	}
 }
 
@@ -135,7 +135,7 @@
 }
 
 func outcomeOf(r Result, err error, keyed bool) retry.Outcome {
-	o := retry.Outcome{Delivered: r.Delivered, Keyed: keyed}
+	o := retry.Outcome{Delivered: r.Delivered, Idempotent: keyed}
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
 		o.NotSent = true
@@ -143,7 +143,7 @@
 		o.Broken = true
 	default:
 		o.Refusal = r.Done.Refusal
-		o.Hint = r.Done.Owner != ""
+		o.OwnerHint = r.Done.Owner != ""
 	}
 	return o
 }
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -166,7 +166,7 @@
 		})
 		i.share(state)
 		if !view.SameInstances(before) {
-			i.limiter.Learn(view.Names(), view.Alive())
+			i.limiter.SetInstances(view.Names(), view.Alive())
 		}
 	}
 	i.pictureAt.Store(max(i.pictureAt.Load(), int64(c.Confirmed)))
@@ -181,7 +181,7 @@
 		}
 		i.relay.StartCarrying()
 		i.heardAt.Store(int64(c.Confirmed))
-		i.limiter.Confirm(c.Confirmed)
+		i.limiter.ConfirmSnapshot(c.Confirmed)
 		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.Confirm(c.Confirmed) })
 	}
 }
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -344,7 +344,7 @@
 		}
 	}()
 	for c.now() < deadline && ctx.Err() == nil {
-		if conn == nil || !conn.Silent() {
+		if conn == nil || !conn.IsIdle() {
 			var err error
 			if conn, err = c.connect(ctx, m); err != nil {
 				conn = nil
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -134,7 +134,7 @@
 // the primary's process ends, the connection breaks at once, without a statement being
 // sent.
 func (c *Controller) probeConnOpen(g *ledGroup, m topology.Member) bool {
-	return g.probeConn != nil && g.probeConnMember == m.ID && g.probeConn.Silent()
+	return g.probeConn != nil && g.probeConnMember == m.ID && g.probeConn.IsIdle()
 }
 
 func (c *Controller) closeProbeConn(g *ledGroup) {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,7 +1,8 @@
-// Package limits keeps client accounts within their limits over the whole fleet: it
-// asks the instances that hold the shares of an account's limit for tokens, and
-// gives out those of the shares that this instance holds. What is decided is decided
-// in package quota; here are its clock, its lock and its calls.
+// Package limits enforces the rate limits of client accounts over the whole fleet. Its
+// Limiter fetches tokens, each of which permits one operation, from the instances that hold
+// shares of an account's limit, and grants tokens of the shares that this instance holds.
+// Package quota has the algorithms; this package adds the clock, locking, gRPC calls and
+// metrics. Package relay uses it for each operation of a client.
 package limits
 
 import (
@@ -22,26 +23,28 @@
 )
 
 const (
-	// askTimeout bounds a question for tokens. An instance whose share of the processor is
-	// spent stands still for as long.
-	askTimeout = 100 * time.Millisecond
-	// lateTimes is how many times its usual time an answer may take before the next holder is
-	// asked beside, within minLate, which a busy instance takes, and maxLate.
-	lateTimes = 3
-	minLate   = 8 * time.Millisecond
-	maxLate   = 25 * time.Millisecond
-	// unansweredPause is after what time an operation is to come back that waited in vain for
-	// an answer: a few questions may have got through by then.
-	unansweredPause = 250 * time.Millisecond
-	// usualSpan is the number of answers over which their usual time is averaged.
-	usualSpan = 16
-	// countedAccounts bounds the accounts that have counters of their own; further ones
-	// share one.
-	countedAccounts = 512
-	otherAccounts   = "others"
+	// callTimeout is the timeout of a call for tokens. An instance that has used up its
+	// CPU quota stands still for as long.
+	callTimeout = 100 * time.Millisecond
+	// lateFactor is the multiple of the average response time after which a holder counts
+	// as late and the next holder is asked concurrently. The delay is at least minLate,
+	// which a busy instance may take to answer, and at most maxLate.
+	lateFactor = 3
+	minLate    = 8 * time.Millisecond
+	maxLate    = 25 * time.Millisecond
+	// unansweredRetryAfter is the retry delay advised for an operation that got no answer in
+	// time. A few more calls may have succeeded by then.
+	unansweredRetryAfter = 250 * time.Millisecond
+	// responseTimeSpan is the number of calls over which the response time is averaged.
+	responseTimeSpan = 16
+	// maxCountedAccounts bounds the accounts with counters of their own. Further accounts
+	// are counted together as otherAccountsLabel.
+	maxCountedAccounts = 512
+	otherAccountsLabel = "others"
 )
 
-// Limiter is the tokens and the shares of one instance. It is safe for concurrent use.
+// Limiter checks operations against account limits and serves this instance's shares of
+// the limits to other instances. It is safe for concurrent use.
 type Limiter struct {
 	limitspb.UnimplementedLimitsServer
 	self     string
@@ -51,96 +54,98 @@
 	spawn    func(func())
 	log      *logrus.Entry
 	counters counters
-	timeout  time.Duration // of a question
+	timeout  time.Duration // of a call for tokens
 
-	mu         sync.Mutex // guards the rest
-	meter      *quota.Meter
-	ledger     *quota.Ledger
-	confirmed  time.Duration // as of when the picture is known to hold
-	registered []string
-	holders    *quota.Holders           // among them
-	addresses  map[string]string        // of the instances that are alive
-	questions  map[string]chan struct{} // under way, by account; closed at their end
-	waiting    map[string]int           // operations that wait for a token, by account
-	usual      time.Duration            // of answers; 0: not known
-	door       *quota.Door
+	mu               sync.Mutex // guards the rest
+	tokens           *quota.TokenCache
+	buckets          *quota.Buckets
+	snapshotTime     time.Duration // when the store snapshot was last known to be current
+	registered       []string
+	holders          *quota.Holders           // derived from registered
+	addresses        map[string]string        // by name, of the instances that are alive
+	fetches          map[string]chan struct{} // fetches in progress by account; each channel is closed at the end
+	waiting          map[string]int           // operations that wait for a token, by account
+	meanResponseTime time.Duration            // moving average of the response time of calls; 0: unknown
+	rejections       *quota.RejectionCache
 }
 
-// Config is what a limiter works with.
+// Config holds the settings and dependencies of a limiter.
 type Config struct {
 	Self     lead.Instance // this instance, whose process has just started
 	Rules    quota.Rules
-	Accounts func() *account.Directory // in force
+	Accounts func() *account.Directory // returns the accounts of the configuration in force
 	Conns    *peerconn.Conns           // to other instances
-	Now      func() time.Duration
-	Spawn    func(func()) // runs a task in the background
+	Now      func() time.Duration      // monotonic clock, 0 at the start of the process
+	Spawn    func(func())              // runs a task in the background
 	Log      *logrus.Entry
 	Metrics  *metrics.Set
 }
 
-// New returns a limiter.
+// New returns a limiter. It holds no shares until its activation time and a store snapshot
+// are set.
 func New(cfg Config) *Limiter {
 	return &Limiter{
 		self: cfg.Self.Name, accounts: cfg.Accounts, conns: cfg.Conns, now: cfg.Now, spawn: cfg.Spawn, log: cfg.Log,
-		counters:  counters{set: cfg.Metrics, named: make(map[string]bool)},
-		timeout:   askTimeout,
-		meter:     quota.NewMeter(cfg.Self.Name, cfg.Self.DataCentre),
-		ledger:    quota.NewLedger(cfg.Self.Name, cfg.Rules),
-		confirmed: -quota.Validity,
-		holders:   quota.NewHolders(nil),
-		questions: make(map[string]chan struct{}),
-		waiting:   make(map[string]int),
-		door:      quota.NewDoor(),
+		counters:     counters{set: cfg.Metrics, counted: make(map[string]bool)},
+		timeout:      callTimeout,
+		tokens:       quota.NewTokenCache(cfg.Self.Name, cfg.Self.DataCentre),
+		buckets:      quota.NewBuckets(cfg.Self.Name, cfg.Rules),
+		snapshotTime: -quota.MaxSnapshotAge,
+		holders:      quota.NewHolders(nil),
+		fetches:      make(map[string]chan struct{}),
+		waiting:      make(map[string]int),
+		rejections:   quota.NewRejectionCache(),
 	}
 }
 
-// Learn takes in the registered instances, by name, and those that are alive.
-func (l *Limiter) Learn(registered []string, alive []lead.Instance) {
-	addresses, centres := make(map[string]string, len(alive)), make(map[string]string, len(alive))
+// SetInstances sets the names of the registered instances and the instances that are alive,
+// from a store snapshot.
+func (l *Limiter) SetInstances(registered []string, alive []lead.Instance) {
+	addresses, dataCentres := make(map[string]string, len(alive)), make(map[string]string, len(alive))
 	for _, i := range alive {
-		addresses[i.Name], centres[i.Name] = i.Address, i.DataCentre
+		addresses[i.Name], dataCentres[i.Name] = i.Address, i.DataCentre
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.addresses = addresses
 	if !slices.Equal(registered, l.registered) {
 		l.registered, l.holders = registered, quota.NewHolders(registered)
-		l.ledger.Register(l.now(), l.holders)
+		l.buckets.SetHolders(l.now(), l.holders)
 	}
-	l.meter.Register(l.holders, centres)
+	l.tokens.SetHolders(l.holders, dataCentres)
 }
 
-// Confirm notes as of when the picture that was learned, in which this instance is
-// alive, is known to hold.
-func (l *Limiter) Confirm(at time.Duration) {
+// ConfirmSnapshot records a time at which the snapshot passed to SetInstances, which lists
+// this instance as alive, was known to be current.
+func (l *Limiter) ConfirmSnapshot(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.confirmed = max(l.confirmed, at)
+	l.snapshotTime = max(l.snapshotTime, at)
 }
 
-// Settle notes from when on this instance may hold shares.
-func (l *Limiter) Settle(at time.Duration) {
+// SetSettledAt sets the time from which this instance may hold shares.
+func (l *Limiter) SetSettledAt(at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ledger.Settle(at)
+	l.buckets.SetSettledAt(at)
 }
 
-// Spend uses a token of an account for one operation, which waits for one no longer than
-// its patience, and not at all once ctx has ended. It reports false when there is none. In
-// the usual case it waits for nobody.
+// Spend uses a token of an account for one operation. It usually takes a cached token at
+// once; otherwise it waits for one for at most patience, or until ctx is done. If it gets
+// none it returns false and the reason.
 func (l *Limiter) Spend(ctx context.Context, name string, patience time.Duration) (quota.Token, quota.Shortage, bool) {
 	if !l.isLimited(name) {
 		return quota.Token{}, quota.Shortage{}, true
 	}
 	var deadline <-chan time.Time
-	for waits := false; ; waits = true {
-		decision, asked := l.take(name, waits)
+	for waited := false; ; waited = true {
+		decision, fetched := l.decide(name, waited)
 		switch decision.Verdict {
 		case quota.Run:
-			l.counters.note(name, "run")
+			l.counters.count(name, "run")
 			return decision.Token, quota.Shortage{}, true
 		case quota.Refuse:
-			l.counters.note(name, "refused")
+			l.counters.count(name, "refused")
 			return quota.Token{}, decision.Shortage, false
 		}
 		if deadline == nil {
@@ -149,173 +154,176 @@
 			deadline = timer.C
 		}
 		select {
-		case <-asked:
+		case <-fetched:
 		case <-deadline:
-			l.giveUp(name, "unanswered")
-			return quota.Token{}, quota.Shortage{ComeBack: unansweredPause}, false
+			l.stopWaiting(name, "unanswered")
+			return quota.Token{}, quota.Shortage{RetryAfter: unansweredRetryAfter}, false
 		case <-ctx.Done():
-			l.giveUp(name, "caller_left")
-			return quota.Token{}, quota.Shortage{ComeBack: unansweredPause}, false
+			l.stopWaiting(name, "caller_left")
+			return quota.Token{}, quota.Shortage{RetryAfter: unansweredRetryAfter}, false
 		}
 	}
 }
 
-// isLimited reports whether operations of an account need tokens.
+// isLimited reports whether operations of an account need tokens. Those of an unknown
+// account do.
 func (l *Limiter) isLimited(name string) bool {
 	limit, known := l.accounts().Limit(name)
 	return name != account.Anonymous && !(known && limit.Unlimited)
 }
 
-// Return gives back the token of an operation that has not run.
+// Return puts back the token of an operation that did not run.
 func (l *Limiter) Return(name string, t quota.Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.meter.Return(name, t)
+	l.tokens.Return(name, t)
 }
 
-// take decides about an operation, which may have waited before, and begins the
-// question that it brings unless one of the account is under way. The channel is closed
-// when that has ended.
-func (l *Limiter) take(name string, waited bool) (quota.Decision, <-chan struct{}) {
+// decide returns how to proceed with an operation, which may have waited before. If tokens are needed it
+// starts to fetch some, unless a fetch for the account is in progress already. The returned
+// channel is closed when that fetch has ended.
+func (l *Limiter) decide(name string, waited bool) (quota.Decision, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if waited {
 		l.waiting[name]--
 	}
-	decision := l.meter.Take(l.now(), name)
+	decision := l.tokens.Take(l.now(), name)
 	for decision.Holder == l.self {
-		l.meter.Granted(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
+		l.tokens.ApplyGrant(l.now(), l.now(), name, l.self, l.reserve(name, decision.Wanted))
 		if decision.Verdict == quota.Run {
-			decision.Holder, decision.Wanted = l.meter.Ahead(l.now(), name)
+			decision.Holder, decision.Wanted = l.tokens.Prefetch(l.now(), name)
 			continue
 		}
-		decision = l.meter.Take(l.now(), name)
+		decision = l.tokens.Take(l.now(), name)
 	}
-	if under := l.questions[name]; under != nil && decision.Verdict == quota.Refuse && decision.Shortage.Without == 0 {
-		decision.Verdict = quota.Ask // no holder has said anything yet
+	if inProgress := l.fetches[name]; inProgress != nil && decision.Verdict == quota.Refuse && decision.Shortage.OutOfTokens == 0 {
+		decision.Verdict = quota.Fetch // no holder has reported having no token: await the fetch in progress
 		l.waiting[name]++
-		return decision, under
+		return decision, inProgress
 	}
 	if decision.Holder == "" {
 		return decision, nil
 	}
-	if decision.Verdict == quota.Ask {
+	if decision.Verdict == quota.Fetch {
 		l.waiting[name]++
 	}
-	done := l.questions[name]
+	done := l.fetches[name]
 	if done == nil {
 		done = make(chan struct{})
-		l.questions[name] = done
+		l.fetches[name] = done
 		wanted := max(decision.Wanted, l.waiting[name])
-		l.spawn(func() { l.ask(name, decision.Holder, wanted, done) })
+		l.spawn(func() { l.runFetch(name, decision.Holder, wanted, done) })
 	}
 	return decision, done
 }
 
-// giveUp notes that an operation waits no longer, and why.
-func (l *Limiter) giveUp(name, outcome string) {
+// stopWaiting records that an operation has stopped waiting, and why.
+func (l *Limiter) stopWaiting(name, outcome string) {
 	l.mu.Lock()
 	l.waiting[name]--
 	l.mu.Unlock()
-	l.counters.note(name, outcome)
+	l.counters.count(name, outcome)
 }
 
-// question is one account's question for tokens, to one holder after another.
-type question struct {
+// fetch is one fetch of tokens for an account, which asks one holder after another.
+type fetch struct {
 	limiter *Limiter
 	account string
-	answers chan struct{} // has an item for each holder that has answered, or failed to
-	ended   chan struct{} // closed at the end
-	awaited int           // holders that have not answered
-	late    []string      // those that were asked, and have been passed over since
+	answers chan struct{} // receives an item for each call that has succeeded or failed
+	ended   chan struct{} // closed at the end of the fetch
+	pending int           // calls without a result
+	late    []string      // holders that were asked and did not answer before the next was asked
 }
 
-// ask asks a holder for tokens, and then others as long as there are too few. One that is
-// late is awaited beside the next.
-func (l *Limiter) ask(name, holder string, wanted int, done chan struct{}) {
-	q := &question{limiter: l, account: name, answers: make(chan struct{}), ended: make(chan struct{})}
-	defer close(q.ended)
-	for open := false; holder != "" || open && q.awaited > 0; {
+// runFetch requests tokens from a holder, and then from others until there are enough. A late
+// holder is awaited concurrently with the next one.
+func (l *Limiter) runFetch(name, holder string, wanted int, done chan struct{}) {
+	f := &fetch{limiter: l, account: name, answers: make(chan struct{}), ended: make(chan struct{})}
+	defer close(f.ended)
+	for awaitLate := false; holder != "" || awaitLate && f.pending > 0; {
 		if holder != "" {
-			q.put(holder, wanted)
+			f.callHolder(holder, wanted)
 		}
-		q.await(holder)
-		holder, wanted, open = l.next(name, q.late)
+		f.await(holder)
+		holder, wanted, awaitLate = l.nextHolder(name, f.late)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.questions, name)
+	delete(l.fetches, name)
 	close(done)
 }
 
-// put asks one holder. Its answer is taken in also after the question has ended.
-func (q *question) put(holder string, wanted int) {
-	l := q.limiter
-	q.awaited++
+// callHolder calls one holder in the background. An answer that arrives after the end of the
+// fetch is still processed.
+func (f *fetch) callHolder(holder string, wanted int) {
+	l := f.limiter
+	f.pending++
 	l.spawn(func() {
 		sent := l.now()
-		grant, err := l.call(q.account, holder, wanted)
-		l.answered(sent, q.account, holder, grant, err)
+		grant, err := l.call(f.account, holder, wanted)
+		l.processAnswer(sent, f.account, holder, grant, err)
 		select {
-		case q.answers <- struct{}{}:
-		case <-q.ended:
+		case f.answers <- struct{}{}:
+		case <-f.ended:
 		}
 	})
 }
 
-// await waits for an answer of any holder, and for one that was asked just now no longer
-// than is usual.
-func (q *question) await(asked string) {
+// await waits for the result of any call. If a holder was asked just now it waits no
+// longer than lateAfter, and then counts that holder as late.
+func (f *fetch) await(asked string) {
 	if asked == "" {
-		<-q.answers
-		q.awaited--
+		<-f.answers
+		f.pending--
 		return
 	}
-	late := time.NewTimer(q.limiter.lateAfter())
+	late := time.NewTimer(f.limiter.lateAfter())
 	defer late.Stop()
 	select {
-	case <-q.answers:
-		q.awaited--
+	case <-f.answers:
+		f.pending--
 	case <-late.C:
-		q.late = append(q.late, asked)
+		f.late = append(f.late, asked)
 	}
 }
 
-// answered takes in a holder's answer, or that it gave none.
-func (l *Limiter) answered(sent time.Duration, name, holder string, g quota.Grant, err error) {
+// processAnswer processes the result of a call to a holder.
+func (l *Limiter) processAnswer(sent time.Duration, name, holder string, g quota.Grant, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.meter.Failed(l.now(), holder)
+		l.tokens.RecordFailure(l.now(), holder)
 		l.log.WithError(err).WithFields(logrus.Fields{"account": name, "holder": holder}).Debug("limits: a holder did not answer")
 		return
 	}
-	took := l.now() - sent
-	if l.usual == 0 {
-		l.usual = took
+	responseTime := l.now() - sent
+	if l.meanResponseTime == 0 {
+		l.meanResponseTime = responseTime
 	}
-	l.usual += (took - l.usual) / usualSpan
-	l.meter.Granted(sent, l.now(), name, holder, g)
+	l.meanResponseTime += (responseTime - l.meanResponseTime) / responseTimeSpan
+	l.tokens.ApplyGrant(sent, l.now(), name, holder, g)
 }
 
-// lateAfter returns after what time a holder that has not answered is late.
+// lateAfter returns the time without an answer after which a holder counts as late.
 func (l *Limiter) lateAfter() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return min(max(lateTimes*l.usual, minLate), maxLate)
+	return min(max(lateFactor*l.meanResponseTime, minLate), maxLate)
 }
 
-// next returns the holder to ask next; without one, open reports whether those that are
-// late are to be awaited.
-func (l *Limiter) next(name string, late []string) (holder string, wanted int, open bool) {
+// nextHolder returns the holder to ask next and how many tokens to request. If there is none,
+// awaitLate reports whether to wait for the late holders. Tokens of this instance's own share
+// are reserved directly.
+func (l *Limiter) nextHolder(name string, late []string) (holder string, wanted int, awaitLate bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		holder, wanted, open = l.meter.Next(l.now(), name, l.waiting[name], late)
+		holder, wanted, awaitLate = l.tokens.NextHolder(l.now(), name, l.waiting[name], late)
 		if holder != l.self {
-			return holder, wanted, open
+			return holder, wanted, awaitLate
 		}
-		l.meter.Granted(l.now(), l.now(), name, holder, l.reserve(name, wanted))
+		l.tokens.ApplyGrant(l.now(), l.now(), name, holder, l.reserve(name, wanted))
 	}
 }
 
@@ -335,17 +343,17 @@
 	}
 	return quota.Grant{
 		Tokens: int(reply.Tokens), Holder: reply.Holder,
-		Life: time.Duration(reply.LifeUs) * time.Microsecond, ComeBack: time.Duration(reply.ComeBackUs) * time.Microsecond,
+		Lifetime: time.Duration(reply.LifeUs) * time.Microsecond, RetryAfter: time.Duration(reply.ComeBackUs) * time.Microsecond,
 	}, nil
 }
 
-// reserve gives out tokens of this instance's share. The caller holds mu.
+// reserve grants tokens of this instance's share. The caller holds mu.
 func (l *Limiter) reserve(name string, wanted int) quota.Grant {
 	limit, known := l.accounts().Limit(name)
 	if !known {
 		return quota.Grant{}
 	}
-	return l.ledger.Reserve(l.now(), l.confirmed, name, limit, wanted)
+	return l.buckets.Reserve(l.now(), l.snapshotTime, name, limit, wanted)
 }
 
 // Reserve implements limitspb.LimitsServer.
@@ -354,25 +362,25 @@
 	defer l.mu.Unlock()
 	g := l.reserve(req.Account, int(req.Wanted))
 	return &limitspb.ReserveReply{
-		Tokens: uint32(g.Tokens), Holder: g.Holder, LifeUs: g.Life.Microseconds(), ComeBackUs: g.ComeBack.Microseconds(),
+		Tokens: uint32(g.Tokens), Holder: g.Holder, LifeUs: g.Lifetime.Microseconds(), ComeBackUs: g.RetryAfter.Microseconds(),
 	}, nil
 }
 
-// counters count the operations of each account, for a bounded number of accounts.
+// counters counts operations by account and outcome, for a bounded number of accounts.
 type counters struct {
 	set *metrics.Set
 
-	mu    sync.Mutex // guards named
-	named map[string]bool
+	mu      sync.Mutex // guards counted
+	counted map[string]bool
 }
 
-func (c *counters) note(name, outcome string) {
+func (c *counters) count(name, outcome string) {
 	c.mu.Lock()
-	if !c.named[name] {
-		if len(c.named) < countedAccounts {
-			c.named[name] = true
+	if !c.counted[name] {
+		if len(c.counted) < maxCountedAccounts {
+			c.counted[name] = true
 		} else {
-			name = otherAccounts
+			name = otherAccountsLabel
 		}
 	}
 	c.mu.Unlock()
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -26,10 +26,10 @@
 
 var rules = quota.Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}
 
-const generous = time.Minute // a bound that no test reaches
+const generous = time.Minute // a timeout that no test reaches
 
-// fleet is some limiters that reach one another over loopback, on one clock that stands
-// still unless it is moved.
+// fleet is a number of limiters that call one another over loopback. They share a clock,
+// which advances only when a test sets it.
 type fleet struct {
 	clock    atomic.Int64
 	limiters []*Limiter
@@ -69,18 +69,18 @@
 		f.alive, names = append(f.alive, self), append(names, self.Name)
 	}
 	for _, l := range f.limiters {
-		l.Settle(0)
-		l.Learn(names, f.alive)
+		l.SetSettledAt(0)
+		l.SetInstances(names, f.alive)
 	}
-	f.clock.Add(int64(time.Minute)) // the buckets fill
+	f.clock.Add(int64(time.Minute)) // fills the buckets
 	for _, l := range f.limiters {
-		l.Confirm(l.now())
+		l.ConfirmSnapshot(l.now())
 	}
 	return f
 }
 
-// Whoever runs an account's operations: all together run what the account may have, and
-// then all are refused, with when to come back.
+// All instances together run no more operations of an account than its limit allows, and
+// then reject the others with a retry delay.
 func TestInstancesShareOneLimit(t *testing.T) {
 	limit := account.Limit{Rate: 20, Burst: 20}
 	f := newFleet(t, 8, limit)
@@ -93,8 +93,8 @@
 					ran.Add(1)
 				} else {
 					refused.Add(1)
-					if shortage.ComeBack <= 0 {
-						t.Error("a refusal without when to come back")
+					if shortage.RetryAfter <= 0 {
+						t.Error("a rejection without a retry delay")
 					}
 				}
 			}
@@ -106,8 +106,8 @@
 	must.LessEq(t, int64(rules.Budget(limit).Depth), ran.Load())
 }
 
-// Who needs no right asks nobody.
-func TestUnlimitedAccountsAskNobody(t *testing.T) {
+// Operations of unlimited and anonymous accounts need no tokens and call no holder.
+func TestUnlimitedAccountsCallNoHolder(t *testing.T) {
 	f := newFleet(t, 1, account.Limit{Rate: 1})
 	f.servers[0].Stop()
 	for _, name := range []string{"free", account.Anonymous} {
@@ -116,8 +116,8 @@
 	}
 }
 
-// Holders that do not answer are passed over, and those that do have their shares.
-func TestHoldersThatAreGoneArePassedOver(t *testing.T) {
+// Holders that do not answer are skipped in favour of those that do.
+func TestStoppedHoldersAreSkipped(t *testing.T) {
 	f := newFleet(t, 8, account.Limit{Rate: 50, Burst: 50})
 	for _, server := range f.servers[1:4] {
 		server.Stop()
@@ -126,8 +126,8 @@
 	must.True(t, ok)
 }
 
-// An operation that has not run gives its right back.
-func TestReturnedTokenIsUsedAgain(t *testing.T) {
+// The token of an operation that did not run can be used by another one.
+func TestReturnedTokenIsReused(t *testing.T) {
 	f := newFleet(t, 2, account.Limit{Rate: 1})
 	l := f.limiters[0]
 	var last quota.Token
@@ -143,15 +143,15 @@
 	must.True(t, ok)
 }
 
-// An account that nobody knows here gets nothing.
+// Operations of an account that is not declared are rejected.
 func TestUnknownAccountIsRefused(t *testing.T) {
 	f := newFleet(t, 2, account.Limit{Rate: 1})
 	_, _, ok := f.limiters[0].Spend(t.Context(), "none", generous)
 	must.False(t, ok)
 }
 
-// holdersBut returns the holders of an account but for one.
-func (f *fleet) holdersBut(name, not string) []int {
+// holdersExcept returns the indexes of the holders of an account except for one.
+func (f *fleet) holdersExcept(name, not string) []int {
 	var held []int
 	for i, l := range f.limiters {
 		if l.self != not && slices.Contains(l.holders.Of(name), l.self) {
@@ -161,10 +161,10 @@
 	return held
 }
 
-// mute has a holder leave all questions without an answer.
-func (f *fleet) mute(t *testing.T, i int) {
+// makeUnresponsive makes a holder leave all calls unanswered.
+func (f *fleet) makeUnresponsive(t *testing.T, i int) {
 	f.servers[i].Stop()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // connections are taken, and nothing is said
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, l.Close()) })
 	for n := range f.alive {
@@ -173,13 +173,13 @@
 		}
 	}
 	for _, limiter := range f.limiters {
-		limiter.Learn(limiter.registered, f.alive)
+		limiter.SetInstances(limiter.registered, f.alive)
 	}
 }
 
-// After a loss of many instances, five of six holders do not answer: an operation has its
-// token from the sixth while the questions to the others are open.
-func TestLateHoldersAreNotWaitedFor(t *testing.T) {
+// With five of six holders unresponsive, as after a failure of many instances, an operation
+// gets its token from the sixth while the calls to the others are still pending.
+func TestLateHoldersDoNotDelayOperations(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
 	var asker *Limiter
 	for _, l := range f.limiters {
@@ -188,8 +188,8 @@
 		}
 	}
 	asker.timeout = time.Hour
-	for _, i := range f.holdersBut("a", asker.holders.Of("a")[5]) {
-		f.mute(t, i)
+	for _, i := range f.holdersExcept("a", asker.holders.Of("a")[5]) {
+		f.makeUnresponsive(t, i)
 	}
 	for range 3 {
 		_, _, ok := asker.Spend(t.Context(), "a", generous)
@@ -197,27 +197,28 @@
 	}
 }
 
-// An operation whose caller has gone waits for no token.
-func TestTokenIsNotAwaitedForNobody(t *testing.T) {
+// An operation whose client has disconnected does not wait for a token.
+func TestDisconnectedClientWaitsForNoToken(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
 	l := f.limiters[0]
 	l.timeout = time.Hour
-	for _, i := range f.holdersBut("a", "") {
-		f.mute(t, i)
+	for _, i := range f.holdersExcept("a", "") {
+		f.makeUnresponsive(t, i)
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	if slices.Contains(l.holders.Of("a"), l.self) {
-		l.Settle(2 * time.Hour) // its own share is of no help
+		l.SetSettledAt(2 * time.Hour) // makes its own share unavailable
 	}
 	_, shortage, ok := l.Spend(ctx, "a", generous)
 	must.False(t, ok)
-	must.Positive(t, shortage.ComeBack)
+	must.Positive(t, shortage.RetryAfter)
 }
 
-// An account at its limit, one of whose holders does not answer: once the others have said
-// that they have no token, operations are refused and not held for the one that is late.
-func TestLateHolderHoldsNobodyAtTheLimit(t *testing.T) {
+// An account is at its limit and one of its holders does not answer. Once another holder
+// has reported having no token, operations are rejected rather than held until the late
+// one answers.
+func TestLateHolderDoesNotDelayRejections(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 10, Burst: 10})
 	var asker *Limiter
 	for _, l := range f.limiters {
@@ -226,7 +227,7 @@
 		}
 	}
 	asker.timeout = time.Hour
-	f.mute(t, f.holdersBut("a", "")[0])
+	f.makeUnresponsive(t, f.holdersExcept("a", "")[0])
 	var refused int
 	var work sync.WaitGroup
 	for range 20 {
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -17,71 +17,71 @@
 	}
 }
 
-const usual = 10 * time.Millisecond
+const baseline = 10 * time.Millisecond
 
-func answered(w *Window, n int, took time.Duration) (pause time.Duration) {
+func recordAnswers(w *Throttle, n int, took time.Duration) (pause time.Duration) {
 	for range n {
-		pause = w.Answered(took, usual)
+		pause = w.RecordAnswer(took, baseline)
 	}
 	return pause
 }
 
-func TestWindowFollowsTheMember(t *testing.T) {
-	var w Window
-	must.Eq(t, 0, answered(&w, 100, usual))
+func TestThrottleFollowsResponseTimes(t *testing.T) {
+	var w Throttle
+	must.Eq(t, 0, recordAnswers(&w, 100, baseline))
 	must.Eq(t, 1, w.Share())
-	must.Positive(t, answered(&w, 100, 5*usual), must.Sprint("the member is full"))
+	must.Positive(t, recordAnswers(&w, 100, 5*baseline), must.Sprint("the member is overloaded"))
 	must.Less(t, 0.2, w.Share())
-	must.Eq(t, 0, answered(&w, 200, usual))
+	must.Eq(t, 0, recordAnswers(&w, 200, baseline))
 	must.Eq(t, 1, w.Share())
 }
 
-func TestWindowWithoutAnythingUsual(t *testing.T) {
-	var w Window
-	must.Eq(t, 0, w.Answered(time.Hour, 0))
+func TestThrottleWithoutBaseline(t *testing.T) {
+	var w Throttle
+	must.Eq(t, 0, w.RecordAnswer(time.Hour, 0))
 	must.Eq(t, 1, w.Share())
 }
 
-// Whatever a member does, an instance goes on asking it, and pauses for no longer than
-// its least share says.
-func TestWindowKeepsItsBounds(t *testing.T) {
+// For any response times the share stays within its bounds, and no pause is longer than
+// the minimum share implies.
+func TestThrottleBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Window
+		var w Throttle
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			took := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took"))
-			pause := w.Answered(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
-			if w.Share() < leastShare || w.Share() > 1 {
+			pause := w.RecordAnswer(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
+			if w.Share() < minShare || w.Share() > 1 {
 				t.Fatalf("share %f", w.Share())
 			}
-			if pause < 0 || pause > time.Duration(float64(took)*(1/leastShare-1))+1 {
+			if pause < 0 || pause > time.Duration(float64(took)*(1/minShare-1))+1 {
 				t.Fatalf("a pause of %s after %s", pause, took)
 			}
 		}
 	})
 }
 
-func TestUsualIsWhatItTakesUndisturbed(t *testing.T) {
-	var w Work
+func TestBaselineIsUncontendedLatency(t *testing.T) {
+	var w Baseline
 	took := func(n int, d time.Duration) {
 		for range n {
-			w.Took(d)
+			w.Record(d)
 		}
 	}
-	took(usualSpan-1, usual)
-	must.Eq(t, 0, w.Usual(), must.Sprint("too little is known"))
-	took(1, usual)
-	must.Eq(t, usual, w.Usual())
-	took(10*usualSpan, 5*usual)
-	must.Less(t, usual+usual/8, w.Usual(), must.Sprint("a full member does not become usual at once"))
-	took(usualSpan, usual/2)
-	must.Eq(t, usual/2, w.Usual())
-	took(1000*usualSpan, 3*usual)
-	must.Eq(t, 3*usual, w.Usual().Round(usual), must.Sprint("the work has become heavier"))
+	took(averageSpan-1, baseline)
+	must.Eq(t, 0, w.Latency(), must.Sprint("too few answers"))
+	took(1, baseline)
+	must.Eq(t, baseline, w.Latency())
+	took(10*averageSpan, 5*baseline)
+	must.Less(t, baseline+baseline/8, w.Latency(), must.Sprint("saturation does not raise the baseline at once"))
+	took(averageSpan, baseline/2)
+	must.Eq(t, baseline/2, w.Latency())
+	took(1000*averageSpan, 3*baseline)
+	must.Eq(t, 3*baseline, w.Latency().Round(baseline), must.Sprint("the baseline adapts to heavier statements"))
 }
 
-func TestLevel(t *testing.T) {
-	must.Eq(t, 2, Level(1, 1, 2), must.Sprint("the highest priority is not held"))
-	must.Eq(t, 2, Level(2, 1, 2))
-	must.Eq(t, 3, Level(3, 1, 4), must.Sprint("what is less important does not hold what is more"))
-	must.Eq(t, 1, Level(1, 1, 1), must.Sprint("all are of one priority"))
+func TestPauseLevel(t *testing.T) {
+	must.Eq(t, 2, PauseLevel(1, 1, 2), must.Sprint("the highest priority is not paused"))
+	must.Eq(t, 2, PauseLevel(2, 1, 2))
+	must.Eq(t, 3, PauseLevel(3, 1, 4), must.Sprint("a lower priority does not pause higher ones"))
+	must.Eq(t, 1, PauseLevel(1, 1, 1), must.Sprint("there is a single priority"))
 }
--- a/internal/pool/fairness_test.go
+++ b/internal/pool/fairness_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// ideal gives accounts work in infinitely small parts: each that has demand gets the same
-// as the others, which is their max-min fair share.
+// ideal is the reference model: it divides work in infinitely small parts equally among
+// the accounts that have unmet demand, which yields their max-min fair shares.
 type ideal struct{ demand, got []float64 }
 
 func (f *ideal) serve(work float64) {
 	for work > 1e-12 {
 		least, waiting := math.Inf(1), 0
 		for i := range f.demand {
-			if left := f.demand[i] - f.got[i]; left > 1e-12 {
-				least, waiting = min(least, left), waiting+1
+			if unmet := f.demand[i] - f.got[i]; unmet > 1e-12 {
+				least, waiting = min(least, unmet), waiting+1
 			}
 		}
 		if waiting == 0 {
@@ -34,14 +34,14 @@
 	}
 }
 
-// The load: accounts bring any statements at any time, so that some have much more than
-// their share. No account with demand ever got less than its max-min fair share of what was
-// granted, less one statement.
-func TestAccountsGetTheirFairShare(t *testing.T) {
+// Accounts send random requests at random times, so that some demand much more than their
+// share. At no time has an account been granted less than its max-min fair share of the
+// granted work minus one request of the largest size.
+func TestAccountsGetMaxMinFairShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 50
 		accounts := rapid.IntRange(2, 6).Draw(t, "accounts")
-		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 1000, Patient: true})
+		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 1000, KeepUntilDeadline: true})
 		fair := ideal{demand: make([]float64, accounts), got: make([]float64, accounts)}
 		granted := make([]float64, accounts)
 		var running []Request
@@ -55,7 +55,7 @@
 				q.Done(running[0], running[0].Work)
 				running = running[1:]
 			} else {
-				// The first account brings about half of everything.
+				// The first account sends about half of all requests.
 				account := max(0, rapid.IntRange(-accounts+1, accounts-1).Draw(t, "account"))
 				r := Request{
 					ID: id, Account: fmt.Sprint(account), Deadline: time.Hour,
@@ -71,7 +71,7 @@
 				grant(r)
 			}
 			for i := range accounts {
-				if lacks := fair.got[i] - granted[i]; lacks > (largest*time.Millisecond).Seconds()+1e-9 {
+				if deficit := fair.got[i] - granted[i]; deficit > (largest*time.Millisecond).Seconds()+1e-9 {
 					t.Fatalf("account %d has %.3f s of work granted, its share is %.3f s", i, granted[i], fair.got[i])
 				}
 			}
@@ -84,11 +84,12 @@
 	return i
 }
 
-// BenchmarkGrant measures what a statement costs the queue while so many accounts wait.
+// BenchmarkGrant measures one cycle of Done, Next and Offer by the number of accounts with
+// queued requests.
 func BenchmarkGrant(b *testing.B) {
 	for _, accounts := range []int{0, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
-			q := New(Config{Capacity: 6, MaxQueue: 64, Patient: true})
+			q := New(Config{Capacity: 6, MaxQueue: 64, KeepUntilDeadline: true})
 			names := make([]string, max(1, accounts))
 			for i := range names {
 				names[i] = fmt.Sprint(i)
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -1,14 +1,22 @@
-// Package pool decides who gets the next connection of a member.
+// Package pool schedules requests for the connections of one database member. It decides
+// which request is granted the next free connection; package connpool uses it and holds
+// the connections themselves.
 //
-// Higher priorities come first, and what can still be answered in time before what
-// cannot. Within a priority services and accounts share by weighted fair queueing,
-// by the work that their requests are expected to take; what one of them brings is
-// ordered by the time at which it must start. A priority that has asked for as long as
-// its callers want to wait for an answer, and was granted nothing, gets one grant.
+// Order: requests that can still meet their latency objective come before those that
+// cannot, and higher priorities before lower ones. Within a priority, services and
+// accounts share by weighted fair queueing over the expected execution time of their
+// requests; the requests of one service and account are ordered by the latest time at
+// which they must start. To prevent starvation, a priority that has had requests for as
+// long as its longest objective without a grant gets one grant.
 //
-// Some connections are kept for writes, and as many as are wanted for work that only
-// this member can run. A queue that is not patient refuses a request on arrival that
-// would not be served before its deadline. The package has no I/O, clock or goroutine.
+// Reserves: a fixed number of connections is kept for writes. A further number, which
+// follows demand, is kept for pinned requests, which only this member can run; flexible
+// requests, which other members could run as well, may not take it.
+//
+// A request is rejected on arrival when too many of its service and account are queued
+// already. Unless Config says to keep requests until their deadline, it is also rejected
+// when it is not expected to be granted before then. The package has no I/O, clock or
+// goroutine; the time is passed in.
 package pool
 
 import (
@@ -21,80 +29,80 @@
 // Config bounds the use of one member's connections.
 type Config struct {
 	Capacity     int // connections that may be used at once
-	WriteReserve int // of them, those that reads may not take
-	MaxQueue     int // requests that may wait, of each service and account in one priority
+	WriteReserve int // connections, of the capacity, that reads may not take
+	MaxQueue     int // requests that may be queued, per service and account in one priority
 
-	// MaxActive bounds the connections in use but for the parked ones, 0: no
-	// bound. It keeps a queue in front of a busy member here, where it is fair and
-	// ends at deadlines, instead of at the member.
+	// MaxActive bounds the connections in use that are not parked; 0: unbounded. It
+	// makes requests for a busy member queue here, where sharing is fair and
+	// deadlines are enforced, instead of at the member.
 	MaxActive int
-	// Patient keeps requests in the queue until their deadline even when they are
-	// not expected to be served before it.
-	Patient bool
+	// KeepUntilDeadline keeps requests in the queue until their deadline even when they are
+	// not expected to be granted before it.
+	KeepUntilDeadline bool
 }
 
 // Request asks for one connection.
 type Request struct {
 	ID       uint64
 	Service  string
-	Account  string        // whose connection is wanted, where connections belong to accounts
-	Priority int           // lower ranks higher; callers' begin at 0, negative ones are the instance's own questions
-	Work     time.Duration // expected time at the member, 0: not known
-	// Objective is until when an answer is in time, 0: none.
-	Objective time.Duration
-	Elsewhere bool          // another member could run it, now or a moment later
-	Any       bool          // a connection of any account will do, as for what is nobody's work
-	Weight    int           // share of the service or account within its priority, at least 1
-	Limit     int           // connections the service may use at once, 0: no bound
-	Write     bool          // may use the reserve
-	Deadline  time.Duration // after which the request must not be granted
+	Account  string        // client account whose connection is needed
+	Priority int           // lower values rank higher; those of clients start at 0, negative ones are for the instance's own queries
+	Work     time.Duration // expected execution time at the member; 0: unknown
+	// Objective is the time by which the answer meets the latency objective; 0: none.
+	Objective  time.Duration
+	Flexible   bool          // another member could run it, now or shortly
+	AnyAccount bool          // a connection of any account will do: the work is done for no account
+	Weight     int           // fair queueing weight of the service and account within the priority, at least 1
+	Limit      int           // connections that the service and account may use at once in the priority; 0: unlimited
+	Write      bool          // may use the write reserve
+	Deadline   time.Duration // time from which the request must not be granted
 }
 
-// fixed reports whether only this member can run the work of a request.
-func (r *Request) fixed() bool { return !r.Elsewhere && !r.Any }
+// pinned reports whether the request is pinned to this member: no other member can run it.
+func (r *Request) pinned() bool { return !r.Flexible && !r.AnyAccount }
 
-// Outcome is what happens to a request.
+// Outcome is the result of offering a request to the queue.
 type Outcome int
 
 // The outcomes.
 const (
 	Granted Outcome = iota
 	Queued
-	QueueFull // refused: too many of the service or account wait already
-	TooLate   // refused: it would not be served before its deadline
+	QueueFull // rejected: too many requests of the service and account are queued
+	TooLate   // rejected: it would not be granted before its deadline
 )
 
-// Queue is the state of one member's connections. It is not safe for
-// concurrent use.
+// Queue schedules the connections of one member. It is not safe for concurrent use.
 type Queue struct {
-	cfg      Config
-	classes  []*class // by priority, the highest first; a priority that was seen stays
-	entries  map[uint64]*entry
-	arrivals list.List       // of *entry, the oldest first
-	ends     indexed[*entry] // by deadline
-	order    uint64          // of arrivals
-
-	inUse  int
-	parked int // of these, connections whose holder has nothing running
-	reads  int
-	fixed  use // by what only this member can run
+	cfg          Config
+	classes      []*class            // by priority, highest first; never removed
+	entries      map[uint64]*entry   // queued requests by ID
+	arrivals     list.List           // queued requests as *entry, oldest first
+	byDeadline   indexedHeap[*entry] // queued requests by deadline
+	arrivalCount uint64              // arrivals so far
+
+	inUse  int           // connections granted
+	parked int           // of those, connections whose holder runs nothing at present
+	reads  int           // of those in use, connections granted for reads
+	pinned requestCounts // counts of pinned requests
 	demand demand
 
-	pauses  map[int]time.Duration // until when requests of a priority and below are held
-	now     time.Duration         // at the last call that told
-	average time.Duration         // moving average of how long a connection is in use
+	pauses       map[int]time.Duration // by priority: end of the pause of flexible requests of it and lower ones
+	now          time.Duration         // as passed in the last call
+	meanHoldTime time.Duration         // moving average of the time a connection is in use
 }
 
-// use counts connections.
-type use struct{ inUse, parked, waiting int }
+// requestCounts counts requests that hold a connection, those of them that are parked, and queued
+// requests.
+type requestCounts struct{ inUse, parked, waiting int }
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
 	return &Queue{
 		cfg: cfg, entries: make(map[uint64]*entry), pauses: make(map[int]time.Duration),
-		ends: indexed[*entry]{
-			less:  func(a, b *entry) bool { return a.Deadline < b.Deadline },
-			place: func(e *entry) *int { return &e.inEnds },
+		byDeadline: indexedHeap[*entry]{
+			less:    func(a, b *entry) bool { return a.Deadline < b.Deadline },
+			indexOf: func(e *entry) *int { return &e.deadlineIndex },
 		},
 	}
 }
@@ -102,18 +110,18 @@
 // SetCapacity changes the number of connections. Those in use stay in use.
 func (q *Queue) SetCapacity(n int) { q.cfg.Capacity = n }
 
-// SetMaxActive changes the bound of the connections in use but for parked ones.
+// SetMaxActive changes the bound of the connections in use that are not parked.
 func (q *Queue) SetMaxActive(n int) { q.cfg.MaxActive = n }
 
-// Pause holds flexible requests of a priority and of lower ones until a time. What only this
-// member can run is not held: nobody else serves it meanwhile. Those that wait are granted
-// by the first call of Next after it.
+// Pause stops granting flexible requests of a priority and of lower ones until a time.
+// Pinned requests go on, since no other member could serve them meanwhile. Requests queued
+// during the pause are granted by the first call of Next after its end.
 func (q *Queue) Pause(priority int, until time.Duration) {
 	q.pauses[priority] = max(q.pauses[priority], until)
 }
 
-// held reports whether a pause holds requests of a lane and a priority.
-func (q *Queue) held(l lane, priority int) bool {
+// paused reports whether a pause is in effect for a lane and a priority.
+func (q *Queue) paused(l lane, priority int) bool {
 	if l != flexible {
 		return false
 	}
@@ -125,30 +133,32 @@
 	return false
 }
 
-// Park notes that the connection granted for a request runs nothing for a while, as one
-// that is held by a transaction. It counts on within the capacity.
+// Park records that the connection granted for a request runs nothing for a while, such
+// as one held by a transaction between statements. It no longer counts as active but
+// still counts towards the capacity.
 func (q *Queue) Park(r Request) {
 	q.parked++
-	if r.fixed() {
-		q.fixed.parked++
+	if r.pinned() {
+		q.pinned.parked++
 	}
 }
 
-// Unpark ends what Park began. It is not bounded, since what holds the connection has
-// begun and others wait for its end.
+// Unpark reverts Park. It may exceed MaxActive: the holder's transaction has begun, and
+// other requests wait for its end.
 func (q *Queue) Unpark(r Request) {
 	q.parked--
-	if r.fixed() {
-		q.fixed.parked--
+	if r.pinned() {
+		q.pinned.parked--
 	}
 }
 
-// Resume ends what Park began for further work of the same request.
+// Resume reverts Park because the holder runs another statement, and counts that
+// statement as demand.
 func (q *Queue) Resume(now time.Duration, r Request) {
 	q.now = now
 	q.Unpark(r)
-	if r.fixed() {
-		q.noteDemand(0)
+	if r.pinned() {
+		q.recordDemand(0)
 	}
 }
 
@@ -161,12 +171,12 @@
 // Waiting returns how many requests wait.
 func (q *Queue) Waiting() int { return len(q.entries) }
 
-// RetryAfter estimates when a refused request would find room.
+// RetryAfter estimates the delay after which a rejected request would find a free slot.
 func (q *Queue) RetryAfter() time.Duration {
 	return max(q.expectedWait(len(q.entries)), 10*time.Millisecond)
 }
 
-// class returns the state of a priority.
+// class returns the class of a priority, which it creates on first use.
 func (q *Queue) class(priority int) *class {
 	i, known := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return cmp.Compare(c.priority, p) })
 	if !known {
@@ -175,26 +185,27 @@
 	return q.classes[i]
 }
 
-// Offer takes in a request. A queued one is granted or expired by Next.
+// Offer grants, queues or rejects a request. A queued request is granted or expired by a
+// later call of Next.
 func (q *Queue) Offer(now time.Duration, r Request) Outcome {
 	q.now = now
 	c := q.class(r.Priority)
 	f := c.flow(flowKey{r.Service, r.Account})
-	defer c.forget(f)
+	defer c.dropUnused(f)
 	f.limit = r.Limit
-	c.noteAsked(now, &r)
-	if r.fixed() {
-		q.noteDemand(1)
+	c.recordArrival(now, &r)
+	if r.pinned() {
+		q.recordDemand(1)
 	}
 	if q.admissible(f, &r) {
-		f.ask(&r)
-		q.grant(f, &r, f.cost(&r), c.fluid.virtual)
+		f.addDemand(&r)
+		q.grant(f, &r, f.cost(&r), c.fluid.virtualTime)
 		return Granted
 	}
 	if f.waiting >= q.cfg.MaxQueue {
 		return QueueFull
 	}
-	if r.Deadline <= now || !q.cfg.Patient && now+q.expectedWait(q.aheadOf(f, &r)) > r.Deadline {
+	if r.Deadline <= now || !q.cfg.KeepUntilDeadline && now+q.expectedWait(q.grantsAhead(f, &r)) > r.Deadline {
 		return TooLate
 	}
 	q.enqueue(f, r)
@@ -202,43 +213,44 @@
 }
 
 func (q *Queue) enqueue(f *flow, r Request) {
-	q.order++
-	f.ask(&r)
+	q.arrivalCount++
+	f.addDemand(&r)
 	e := &entry{
-		Request: r, order: q.order, cost: f.cost(&r), arrived: f.class.fluid.virtual, start: latestStart(&r),
-		inLine: absent, inEnds: absent,
+		Request: r, arrivalNumber: q.arrivalCount, cost: f.cost(&r), arrivalVirtual: f.class.fluid.virtualTime, latestStart: latestStart(&r),
+		subqueueIndex: notInHeap, deadlineIndex: notInHeap,
 	}
-	e.arrival = q.arrivals.PushBack(e)
+	e.arrivalElement = q.arrivals.PushBack(e)
 	q.entries[r.ID] = e
-	q.ends.push(e)
-	if r.fixed() {
-		q.fixed.waiting++
+	q.byDeadline.push(e)
+	if r.pinned() {
+		q.pinned.waiting++
 	}
-	f.add(e, timely)
+	f.enqueue(e, timely)
 }
 
-// giveUp takes a request out that is not granted.
-func (q *Queue) giveUp(e *entry) {
-	f := e.line.flow
+// discard removes a queued request that will not be granted, and its demand.
+func (q *Queue) discard(e *entry) {
+	f := e.subqueue.flow
 	q.remove(e)
 	f.class.fluid.withdraw(f, e.cost)
-	f.class.forget(f)
+	f.class.dropUnused(f)
 }
 
-// remove takes a request out that waits.
+// remove takes a request out of the queue.
 func (q *Queue) remove(e *entry) {
-	e.line.flow.drop(e)
-	q.ends.remove(e)
-	q.arrivals.Remove(e.arrival)
+	e.subqueue.flow.dequeue(e)
+	q.byDeadline.remove(e)
+	q.arrivals.Remove(e.arrivalElement)
 	delete(q.entries, e.ID)
-	if e.fixed() {
-		q.fixed.waiting--
+	if e.pinned() {
+		q.pinned.waiting--
 	}
 }
 
-// aheadOf estimates how many grants come before a new request of a flow: its own
-// queue, and as many of every other one as its share allows meanwhile.
-func (q *Queue) aheadOf(f *flow, r *Request) int {
+// grantsAhead estimates how many grants it takes until a new request of a flow is granted:
+// those to the flow's own queue, and at most as many to each other flow of the same or a
+// higher priority, since flows take turns. A connection limit of the flow scales it up.
+func (q *Queue) grantsAhead(f *flow, r *Request) int {
 	own := f.waiting + 1
 	ahead := own
 	for _, c := range q.classes {
@@ -255,65 +267,66 @@
 }
 
 func (q *Queue) expectedWait(ahead int) time.Duration {
-	return q.average * time.Duration(ahead) / time.Duration(max(q.cfg.Capacity, 1))
+	return q.meanHoldTime * time.Duration(ahead) / time.Duration(max(q.cfg.Capacity, 1))
 }
 
-// admissible reports whether a new request need not wait.
+// admissible reports whether a new request can be granted at once.
 func (q *Queue) admissible(f *flow, r *Request) bool {
 	l := laneOf(r)
-	if r.Limit > 0 && f.inUse >= r.Limit || q.held(l, r.Priority) {
+	if r.Limit > 0 && f.inUse >= r.Limit || q.paused(l, r.Priority) {
 		return false
 	}
-	return q.room()[l] && !q.waitsAhead(l, r.Priority)
+	return q.freeLanes()[l] && !q.hasQueuedAhead(l, r.Priority)
 }
 
-// waitsAhead reports whether something waits for room of a lane that comes before a new
-// request of a priority, and is held by nothing else.
-func (q *Queue) waitsAhead(l lane, priority int) bool {
+// hasQueuedAhead reports whether requests of the same or a higher priority are queued for a
+// lane and are held back neither by a pause nor by a connection limit.
+func (q *Queue) hasQueuedAhead(l lane, priority int) bool {
 	for _, c := range q.classes {
-		if c.priority <= priority && !q.held(l, c.priority) && c.lines[timely][l].len()+c.lines[late][l].len() > 0 {
+		if c.priority <= priority && !q.paused(l, c.priority) && c.subqueues[timely][l].len()+c.subqueues[late][l].len() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// room tells which lanes have room.
-func (q *Queue) room() (room [lanes]bool) {
+// freeLanes returns the lanes in which a request may be granted now.
+func (q *Queue) freeLanes() (free [lanes]bool) {
 	active := q.inUse - q.parked
 	if q.inUse >= q.cfg.Capacity || q.cfg.MaxActive > 0 && active >= q.cfg.MaxActive {
-		return room
+		return free
 	}
-	room[write] = true
-	room[fixedRead] = q.reads < q.cfg.Capacity-q.cfg.WriteReserve
-	room[flexible] = room[fixedRead] && q.leavesReserve(active)
-	return room
+	free[write] = true
+	free[pinnedRead] = q.reads < q.cfg.Capacity-q.cfg.WriteReserve
+	free[flexible] = free[pinnedRead] && q.keepsReserve(active)
+	return free
 }
 
-// open returns of the lanes that have room those that no pause holds for a priority.
-func (q *Queue) open(room [lanes]bool, priority int) [lanes]bool {
-	for l := range room {
-		room[l] = room[l] && !q.held(lane(l), priority)
+// unpausedLanes returns those of the lanes that no pause of the priority blocks.
+func (q *Queue) unpausedLanes(free [lanes]bool, priority int) [lanes]bool {
+	for l := range free {
+		free[l] = free[l] && !q.paused(lane(l), priority)
 	}
-	return room
+	return free
 }
 
 func (q *Queue) grant(f *flow, r *Request, cost, arrived float64) {
 	q.inUse++
 	f.inUse++
 	f.class.inUse++
-	f.class.noteGranted(q.now)
+	f.class.recordGrant(q.now)
 	if !r.Write {
 		q.reads++
 	}
-	if r.fixed() {
-		q.fixed.inUse++
+	if r.pinned() {
+		q.pinned.inUse++
 	}
 	f.charge(cost, arrived)
-	f.refresh()
+	f.updateHeaps()
 }
 
-// Done returns a connection that was in use for a time.
+// Done returns the connection granted for a request. held is the time for which it was in
+// use; 0 leaves the average unchanged.
 func (q *Queue) Done(r Request, held time.Duration) {
 	c := q.class(r.Priority)
 	f := c.flow(flowKey{r.Service, r.Account})
@@ -323,75 +336,75 @@
 	if !r.Write {
 		q.reads--
 	}
-	if r.fixed() {
-		q.fixed.inUse--
+	if r.pinned() {
+		q.pinned.inUse--
 	}
 	if held > 0 {
-		q.noteHeld(held)
+		q.recordHoldTime(held)
 	}
-	f.refresh()
-	c.forget(f)
+	f.updateHeaps()
+	c.dropUnused(f)
 }
 
-func (q *Queue) noteHeld(held time.Duration) {
-	if q.average == 0 {
-		q.average = held
+func (q *Queue) recordHoldTime(held time.Duration) {
+	if q.meanHoldTime == 0 {
+		q.meanHoldTime = held
 	}
-	q.average += (held - q.average) / averageSpan
+	q.meanHoldTime += (held - q.meanHoldTime) / averageSpan
 }
 
-// averageSpan is the number of grants over which the holding time is averaged.
+// averageSpan is the number of grants over which the time in use is averaged.
 const averageSpan = 16
 
-// Next grants what there is room for, in order, and gives up on requests
-// whose deadline has passed.
+// Next grants as many queued requests as possible, in order, and removes those whose
+// deadline has passed.
 func (q *Queue) Next(now time.Duration) (granted, expired []Request) {
 	q.now = now
 	expired = q.expire(now)
 	for {
-		e := q.due()
+		e := q.pickNext()
 		if e == nil {
 			return granted, expired
 		}
-		f := e.line.flow
-		if e.arrival != q.arrivals.Front() {
+		f := e.subqueue.flow
+		if e.arrivalElement != q.arrivals.Front() {
 			f.class.overtook++
 		}
 		q.remove(e)
-		q.grant(f, &e.Request, e.cost, e.arrived)
+		q.grant(f, &e.Request, e.cost, e.arrivalVirtual)
 		granted = append(granted, e.Request)
 	}
 }
 
 func (q *Queue) expire(now time.Duration) []Request {
 	var expired []Request
-	for q.ends.len() > 0 && q.ends.first().Deadline <= now {
-		e := q.ends.first()
-		q.giveUp(e)
+	for q.byDeadline.len() > 0 && q.byDeadline.first().Deadline <= now {
+		e := q.byDeadline.first()
+		q.discard(e)
 		expired = append(expired, e.Request)
 	}
 	return expired
 }
 
-// due returns the request that is to be granted next, nil when none can be.
-func (q *Queue) due() *entry {
-	room := q.room()
-	if !room[write] || len(q.entries) == 0 {
+// pickNext returns the request to grant next, nil if none can be granted.
+func (q *Queue) pickNext() *entry {
+	free := q.freeLanes()
+	if !free[write] || len(q.entries) == 0 {
 		return nil
 	}
-	next := q.inOrder(room)
-	if e := q.overdue(room); e != nil && e != next {
-		e.line.flow.class.overdueGrants++
+	next := q.pickInOrder(free)
+	if e := q.pickStarved(free); e != nil && e != next {
+		e.subqueue.flow.class.overdueGrants++
 		return e
 	}
 	return next
 }
 
-// inOrder returns the request that is due by stage and priority.
-func (q *Queue) inOrder(room [lanes]bool) *entry {
+// pickInOrder returns the next request by stage and priority, starvation aside.
+func (q *Queue) pickInOrder(free [lanes]bool) *entry {
 	for s := range stages {
 		for _, c := range q.classes {
-			if e := c.first(s, q.open(room, c.priority), q.now); e != nil {
+			if e := c.next(s, q.unpausedLanes(free, c.priority), q.now); e != nil {
 				return e
 			}
 		}
@@ -399,16 +412,16 @@
 	return nil
 }
 
-// overdue returns a request of a priority that has been granted nothing for too long. It
-// may take what is reserved.
-func (q *Queue) overdue(room [lanes]bool) *entry {
-	room[flexible] = room[fixedRead]
+// pickStarved returns a request of the highest priority that is starved, nil if none is. Such
+// a request may take the slots reserved for pinned requests.
+func (q *Queue) pickStarved(free [lanes]bool) *entry {
+	free[flexible] = free[pinnedRead]
 	for _, c := range q.classes {
-		if !c.overdue(q.now) {
+		if !c.starved(q.now) {
 			continue
 		}
 		for s := range stages {
-			if e := c.first(s, q.open(room, c.priority), q.now); e != nil {
+			if e := c.next(s, q.unpausedLanes(free, c.priority), q.now); e != nil {
 				return e
 			}
 		}
@@ -416,12 +429,12 @@
 	return nil
 }
 
-// Cancel takes a waiting request out. It reports false when it does not wait.
+// Cancel removes a queued request. It returns false if the request is not queued.
 func (q *Queue) Cancel(r Request) bool {
 	e := q.entries[r.ID]
 	if e == nil {
 		return false
 	}
-	q.giveUp(e)
+	q.discard(e)
 	return true
 }
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -20,51 +20,51 @@
 	}
 }
 
-// removedAfter is after what time without a sign of life an instance's registration is
-// removed: 31.75 s after its lease was over (package lead), on a clock that is 1% fast.
+// removedAfter is the time without a heartbeat after which an instance's registration is
+// removed: 31.75 s after the expiry of its lease (package lead), on a clock that is 1% fast.
 const removedAfter = 31430 * time.Millisecond
 
-// world is a fleet with one account, seen from outside, in true time.
+// world simulates a fleet with one account. Its times are true time unless stated otherwise.
 type world struct {
-	t     *rapid.T
-	rules Rules
-	limit account.Limit
-	now   time.Duration
-	nodes []*node
-	used  []time.Duration // operations, in order
+	t          *rapid.T
+	rules      Rules
+	limit      account.Limit
+	now        time.Duration
+	instances  []*instance
+	operations []time.Duration // times of the operations, in order
 }
 
-// node is one machine. Its process has a clock of its own.
-type node struct {
-	name       string
-	registered bool // in the store
-	settled    bool // in the store
-	alive      bool // in the store: its lease holds
-	lastAlive  time.Duration
-	up, cut    bool
-
-	rate      float64 // of the process's clock
-	started   time.Duration
-	ledger    *Ledger
-	confirmed time.Duration // on the process's clock
-	joined    time.Duration // when it registered for the first time, on the process's clock; settled: 0
-	seen      []string      // the registered instances, as it knows them
-	tokens    []heldTokens
+// instance is a simulated instance. Each of its processes has a clock that starts at 0.
+type instance struct {
+	name            string
+	registered      bool // in the store
+	settled         bool // in the store
+	alive           bool // in the store: its lease is valid
+	lastAlive       time.Duration
+	up, partitioned bool // the process runs; it cannot reach the store
+
+	rate         float64 // speed of the process's clock relative to true time
+	started      time.Duration
+	buckets      *Buckets
+	confirmed    time.Duration // time of the store snapshot, on the process's clock
+	registeredAt time.Duration // time of the first registration, on the process's clock; -1: none yet
+	snapshot     []string      // the registered instances in the snapshot
+	tokens       []heldTokens
 }
 
-// heldTokens are tokens that a node has, and until when on its clock.
+// heldTokens are tokens held by an instance, with their expiry on its clock.
 type heldTokens struct {
-	n     int
-	until time.Duration
+	n       int
+	expires time.Duration
 }
 
-func (n *node) clock(now time.Duration) time.Duration {
+func (n *instance) clock(now time.Duration) time.Duration {
 	return time.Duration(float64(now-n.started) * n.rate)
 }
 
 func (w *world) registered() []string {
 	var names []string
-	for _, n := range w.nodes {
+	for _, n := range w.instances {
 		if n.registered {
 			names = append(names, n.name)
 		}
@@ -72,45 +72,46 @@
 	return names
 }
 
-func (w *world) start(n *node) {
+func (w *world) start(n *instance) {
 	n.up, n.started = true, w.now
 	n.rate = rapid.SampledFrom([]float64{0.995, 1, 1.005}).Draw(w.t, "clock")
-	n.ledger, n.tokens, n.seen = NewLedger(n.name, w.rules), nil, nil
+	n.buckets, n.tokens, n.snapshot = NewBuckets(n.name, w.rules), nil, nil
 	n.confirmed = -time.Hour
 	if n.settled {
-		n.ledger.Settle(0)
+		n.buckets.SetSettledAt(0)
 	}
-	n.joined = -1
+	n.registeredAt = -1
 }
 
-// sync lets a node read the store, which shows it as registered and alive.
-func (w *world) sync(n *node) {
-	if !n.up || n.cut {
+// sync lets an instance write its registration and heartbeat to the store and read a
+// snapshot.
+func (w *world) sync(n *instance) {
+	if !n.up || n.partitioned {
 		return
 	}
 	local := n.clock(w.now)
-	if !n.registered || n.joined < 0 {
-		n.joined = local
+	if !n.registered || n.registeredAt < 0 {
+		n.registeredAt = local
 		if !n.settled {
-			n.ledger.Settle(local + SettleAfter)
+			n.buckets.SetSettledAt(local + SettleAfter)
 		}
 	}
 	n.registered, n.alive, n.lastAlive = true, true, w.now
-	if !n.settled && local >= n.joined+SettleAfter {
+	if !n.settled && local >= n.registeredAt+SettleAfter {
 		n.settled = true
 	}
-	if names := w.registered(); !slices.Equal(names, n.seen) {
-		n.seen = names
-		n.ledger.Register(local, NewHolders(names))
+	if names := w.registered(); !slices.Equal(names, n.snapshot) {
+		n.snapshot = names
+		n.buckets.SetHolders(local, NewHolders(names))
 	}
 	n.confirmed = local
 }
 
-// pass lets time go by. Leases of who does not renew them end after 3 s, and
-// registrations long after that.
-func (w *world) pass(d time.Duration) {
+// advance advances the time. Leases expire 3 s after the last heartbeat, and registrations
+// are removed after removedAfter.
+func (w *world) advance(d time.Duration) {
 	w.now += d
-	for _, n := range w.nodes {
+	for _, n := range w.instances {
 		if n.alive && w.now-n.lastAlive > 3*time.Second {
 			n.alive = false
 		}
@@ -120,49 +121,49 @@
 	}
 }
 
-// reserve lets one node ask another for tokens; the answer may come late.
-func (w *world) reserve(from, holder *node) {
+// reserve lets one instance request tokens from another, with a random latency each way.
+func (w *world) reserve(from, holder *instance) {
 	if !from.up || !holder.up {
 		return
 	}
 	sent := from.clock(w.now)
-	w.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way"))
-	g := holder.ledger.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, rapid.SampledFrom([]int{1, 5, 1000}).Draw(w.t, "wanted"))
-	w.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "way back"))
+	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "latency"))
+	g := holder.buckets.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, rapid.SampledFrom([]int{1, 5, 1000}).Draw(w.t, "wanted"))
+	w.advance(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 150 * time.Millisecond}).Draw(w.t, "return latency"))
 	if g.Tokens > 0 {
-		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, until: sent + time.Duration(float64(g.Life)*(1-drift))})
+		from.tokens = append(from.tokens, heldTokens{n: g.Tokens, expires: sent + time.Duration(float64(g.Lifetime)*(1-drift))})
 	}
 }
 
-// surgeLength is longer than a window and the life of a token.
+// surgeLength is longer than a window plus the lifetime of a token.
 const surgeLength = 9 * time.Second
 
-// surge lets a node take and use all that all nodes give, again and again.
-func (w *world) surge(n *node) {
+// surge lets an instance repeatedly fetch and use all tokens that all instances grant.
+func (w *world) surge(n *instance) {
 	const pause = 250 * time.Millisecond
 	for range surgeLength / pause {
-		for _, holder := range w.nodes {
+		for _, holder := range w.instances {
 			if !n.up || !holder.up {
 				continue
 			}
-			g := holder.ledger.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, 1000)
+			g := holder.buckets.Reserve(holder.clock(w.now), holder.confirmed, "a", w.limit, 1000)
 			for range g.Tokens {
-				w.used = append(w.used, w.now)
+				w.operations = append(w.operations, w.now)
 			}
 		}
-		w.pass(pause)
+		w.advance(pause)
 	}
 }
 
-// spend lets a node use all tokens that are still worth something.
-func (w *world) spend(n *node) {
+// spend lets an instance use all of its unexpired tokens.
+func (w *world) spend(n *instance) {
 	if !n.up {
 		return
 	}
 	for _, h := range n.tokens {
-		if n.clock(w.now) < h.until {
+		if n.clock(w.now) < h.expires {
 			for range h.n {
-				w.used = append(w.used, w.now)
+				w.operations = append(w.operations, w.now)
 			}
 		}
 	}
@@ -172,30 +173,31 @@
 func (w *world) check() {
 	allowed := (w.limit.Rate*w.rules.Window.Seconds()+w.limit.Burst)*(1+w.rules.Tolerance) + w.rules.Slack
 	first := 0
-	for last := range w.used {
-		for w.used[last]-w.used[first] > w.rules.Window {
+	for last := range w.operations {
+		for w.operations[last]-w.operations[first] > w.rules.Window {
 			first++
 		}
 		if n := float64(last - first + 1); n > allowed {
-			w.t.Fatalf("%v operations in the window that ends at %s, %v are allowed", n, w.used[last], allowed)
+			w.t.Fatalf("%v operations in the window that ends at %s, %v are allowed", n, w.operations[last], allowed)
 		}
 	}
 }
 
-// TestNoWindowExceedsTheLimit drives a fleet through cuts, restarts, joins and removals,
-// with callers that want all they can get, and counts every window.
+// TestNoWindowExceedsTheLimit takes a fleet through random partitions, restarts, joins and
+// removals, with clients that use every token available, and checks the number of
+// operations in every window.
 func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, rules: Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}}
 		rate := rapid.SampledFrom([]float64{0.5, 3, 20, 112}).Draw(t, "rate")
 		w.limit = account.Limit{Rate: rate, Burst: rate * rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "burst")}
 		for n := range rapid.SampledFrom([]int{1, 4, 9}).Draw(t, "first") {
-			w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", n), settled: true, registered: true})
+			w.instances = append(w.instances, &instance{name: fmt.Sprint("n", n), settled: true, registered: true})
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.instances {
 			w.start(n)
 		}
-		for _, n := range w.nodes {
+		for _, n := range w.instances {
 			w.sync(n)
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -206,41 +208,41 @@
 }
 
 func (w *world) step() {
-	n := rapid.SampledFrom(w.nodes).Draw(w.t, "node")
-	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "what") {
-	case "greed": // a node takes from all others, and uses it now or as late as it can
-		for _, holder := range w.nodes {
+	n := rapid.SampledFrom(w.instances).Draw(w.t, "instance")
+	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "event") {
+	case "greed": // an instance fetches tokens from all, and uses them at once or later
+		for _, holder := range w.instances {
 			w.reserve(n, holder)
 		}
 		if rapid.Bool().Draw(w.t, "late") {
-			w.pass(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second}).Draw(w.t, "for"))
+			w.advance(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second}).Draw(w.t, "for"))
 		}
 		w.spend(n)
-	case "surge": // all that all give, for longer than a window
+	case "surge": // an instance uses all tokens of all instances for longer than a window
 		w.surge(n)
 	case "pass":
-		w.pass(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}).Draw(w.t, "for"))
-	case "leap": // long enough for pictures and registrations to end, while some hear of the store
+		w.advance(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}).Draw(w.t, "for"))
+	case "leap": // longer than snapshots stay valid and registrations last, while the instances that reach the store sync
 		for range 8 {
-			w.pass(4 * time.Second)
-			for _, other := range w.nodes {
+			w.advance(4 * time.Second)
+			for _, other := range w.instances {
 				w.sync(other)
 			}
 		}
 	case "sync":
 		w.sync(n)
 	case "cut":
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case "kill":
 		n.up = false
 	case "restart":
 		w.start(n)
-		n.cut = false
+		n.partitioned = false
 		w.sync(n)
 	case "join":
-		if len(w.nodes) < 14 {
-			fresh := &node{name: fmt.Sprint("n", len(w.nodes))}
-			w.nodes = append(w.nodes, fresh)
+		if len(w.instances) < 14 {
+			fresh := &instance{name: fmt.Sprint("n", len(w.instances))}
+			w.instances = append(w.instances, fresh)
 			w.start(fresh)
 			w.sync(fresh)
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,8 +13,9 @@
 
 var rules = Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}
 
-// In a window and the life of a token before it, as many tokens come as operations are
-// allowed in the window; an account gets its rate, and buckets hold a token at least.
+// In a window plus one token lifetime no more tokens are granted than operations are
+// allowed in the window. The limit's sustained rate is refilled, and the bucket is deep
+// enough for one token per holder unless the limit is very small.
 func TestBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules Rules
@@ -24,15 +25,15 @@
 		"large":                {rules, account.Limit{Rate: 112, Burst: 112}, 274 * time.Millisecond},
 		"small":                {rules, account.Limit{Rate: 3, Burst: 3}, 2978 * time.Millisecond},
 		"no burst":             {rules, account.Limit{Rate: 50}, 400 * time.Millisecond},
-		"no rate":              {rules, account.Limit{Burst: 10}, maxLife},
-		"no tolerance":         {Rules{Window: 5 * time.Second}, account.Limit{Rate: 20, Burst: 5}, minLife},
-		"neither, nor a burst": {Rules{Window: time.Second}, account.Limit{Rate: 20}, minLife},
+		"no rate":              {rules, account.Limit{Burst: 10}, maxLifetime},
+		"no tolerance":         {Rules{Window: 5 * time.Second}, account.Limit{Rate: 20, Burst: 5}, minLifetime},
+		"neither, nor a burst": {Rules{Window: time.Second}, account.Limit{Rate: 20}, minLifetime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := c.rules.Budget(c.limit)
-			must.Less(t, float64(time.Millisecond), math.Abs(float64(b.Life-c.life)))
+			must.Less(t, float64(time.Millisecond), math.Abs(float64(b.Lifetime-c.life)))
 			allowed := (c.limit.Rate*c.rules.Window.Seconds()+c.limit.Burst)*(1+c.rules.Tolerance) + c.rules.Slack
-			must.LessEq(t, allowed, b.Depth+b.Refill*(c.rules.Window+b.Life).Seconds())
+			must.LessEq(t, allowed, b.Depth+b.Refill*(c.rules.Window+b.Lifetime).Seconds())
 			must.GreaterEq(t, min(allowed/2, holdersPerAccount), b.Depth)
 		})
 	}
@@ -49,8 +50,9 @@
 	return names
 }
 
-// Few instances hold shares of any account, and one more or less changes few.
-func TestHoldersAreFewAndStay(t *testing.T) {
+// The holders of all accounts are a small part of the instances, and adding or removing an
+// instance changes the holders of few accounts.
+func TestHoldersAreFewAndStable(t *testing.T) {
 	all, fewer := NewHolders(names(550)), NewHolders(names(549))
 	holding := make(map[string]bool)
 	changed := 0
@@ -69,33 +71,34 @@
 	must.Len(t, 2, NewHolders(names(2)).Of("a"))
 }
 
-// fleetOf returns a meter before some holders that are all alive.
-func fleetOf(n int) (*Meter, map[string]*Ledger) {
-	m := NewMeter("front-000", "dc")
+// fleetOf returns a token cache and the buckets of n holders, all of which are alive.
+func fleetOf(n int) (*TokenCache, map[string]*Buckets) {
+	m := NewTokenCache("front-000", "dc")
 	holders := NewHolders(names(n))
-	centres, ledgers := make(map[string]string), make(map[string]*Ledger)
+	centres, ledgers := make(map[string]string), make(map[string]*Buckets)
 	for _, name := range names(n) {
 		centres[name] = "dc"
-		ledgers[name] = NewLedger(name, rules)
-		ledgers[name].Settle(0)
-		ledgers[name].Register(0, holders)
+		ledgers[name] = NewBuckets(name, rules)
+		ledgers[name].SetSettledAt(0)
+		ledgers[name].SetHolders(0, holders)
 	}
-	m.Register(holders, centres)
+	m.SetHolders(holders, centres)
 	return m, ledgers
 }
 
-// operate plays operations of one account at a steady pace, each question answered in a
-// millisecond, and returns how many ran at once, had to ask first, and were refused.
-func operate(m *Meter, ledgers map[string]*Ledger, limit account.Limit, pause, length time.Duration) (atOnce, asked, refused int) {
-	const way = time.Millisecond
+// operate simulates operations of one account at regular intervals, with a latency of one
+// millisecond to the holders. It returns how many ran at once, how many had to fetch a
+// token first, and how many were rejected.
+func operate(m *TokenCache, ledgers map[string]*Buckets, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
+	const latency = time.Millisecond
 	ask := func(now time.Duration, d Decision) {
-		m.Granted(now, now+way, "a", d.Holder, ledgers[d.Holder].Reserve(now+way, now, "a", limit, d.Wanted))
+		m.ApplyGrant(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
 	}
 	for now := time.Minute; now < time.Minute+length; now += pause {
 		waited := false
 		for {
 			d := m.Take(now, "a")
-			if d.Verdict == Ask {
+			if d.Verdict == Fetch {
 				waited = true
 				ask(now, d)
 				continue
@@ -104,131 +107,133 @@
 			case d.Verdict == Refuse:
 				refused++
 			case waited:
-				asked++
+				fetched++
 			default:
-				atOnce++
+				immediate++
 			}
 			for d.Verdict == Run && d.Holder != "" {
 				ask(now, d)
-				d.Holder, d.Wanted = m.Ahead(now, "a")
+				d.Holder, d.Wanted = m.Prefetch(now, "a")
 			}
 			break
 		}
 	}
-	return atOnce, asked, refused
+	return immediate, fetched, refused
 }
 
-// An account that stays within its limit, as accounts do but for bursts, waits for no
-// question: 0.62 of the rate, steadily, at one instance.
+// The operations of an account at 0.62 of its limit's rate, the usual load, through one
+// instance find prefetched tokens: almost none waits for a round trip.
 func TestOperationsWithinTheLimitDoNotWait(t *testing.T) {
 	for _, rate := range []float64{2, 20, 200} {
 		m, ledgers := fleetOf(71)
-		atOnce, asked, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
+		immediate, fetched, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
 		must.Zero(t, refused)
-		must.LessEq(t, 3, asked)
-		must.Positive(t, atOnce)
+		must.LessEq(t, 3, fetched)
+		must.Positive(t, immediate)
 	}
 }
 
-// An account that asks ten times its limit gets its limit, whichever holders are asked.
+// An account that demands ten times its limit gets its limit.
 func TestOperationsBeyondTheLimitGetTheLimit(t *testing.T) {
 	m, ledgers := fleetOf(71)
 	limit := account.Limit{Rate: 50, Burst: 50}
 	const length = time.Minute
-	atOnce, asked, _ := operate(m, ledgers, limit, time.Millisecond*2, length)
-	ran := float64(atOnce + asked)
-	allowed := limit.Rate + limit.Burst/rules.Window.Seconds() // a second, window after window
+	immediate, fetched, _ := operate(m, ledgers, limit, time.Millisecond*2, length)
+	ran := float64(immediate + fetched)
+	allowed := limit.Rate + limit.Burst/rules.Window.Seconds() // operations per second, sustained
 	must.GreaterEq(t, 0.95*allowed*length.Seconds(), ran)
 	must.LessEq(t, 1.05*allowed*length.Seconds()+rules.Budget(limit).Depth, ran)
 }
 
-// The limit is at hand while two of the six that share it are away.
-func TestTwoHoldersMayBeAway(t *testing.T) {
+// Under the usual load no operation is rejected while two of the six holders are down.
+func TestTwoHoldersMayBeDown(t *testing.T) {
 	m, ledgers := fleetOf(71)
 	for _, holder := range m.holders.Of("a")[:2] {
-		delete(m.centres, holder)
+		delete(m.dataCentres, holder)
 	}
 	const rate = 50
 	_, _, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
 	must.Zero(t, refused)
 }
 
-// A refusal says when to come back, and that is true where nobody else asks.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// A rejection advises a retry delay, after which a token is available if no other instance
+// has fetched it.
+func TestRefusalAdvisesRetryDelay(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 0}
 	now := time.Minute
 	var refusal Decision
 	for refusal.Verdict != Refuse {
 		refusal = m.Take(now, "a")
-		if refusal.Verdict == Ask {
-			m.Granted(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
+		if refusal.Verdict == Fetch {
+			m.ApplyGrant(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
 		}
 	}
-	must.Positive(t, refusal.Shortage.ComeBack)
-	d := m.Take(now+refusal.Shortage.ComeBack, "a")
-	must.Eq(t, Ask, d.Verdict)
-	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.ComeBack, now, "a", limit, 1).Tokens)
+	must.Positive(t, refusal.Shortage.RetryAfter)
+	d := m.Take(now+refusal.Shortage.RetryAfter, "a")
+	must.Eq(t, Fetch, d.Verdict)
+	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.RetryAfter, now, "a", limit, 1).Tokens)
 }
 
-// A registration that ended while its instance was cut off, and began anew, gives no
-// shares back at once: their buckets may have been held by others meanwhile.
-func TestShareBeginsEmptyAfterARegistrationThatEnded(t *testing.T) {
-	l := NewLedger("front-000", rules)
-	l.Settle(0)
+// An instance whose registration was removed while it was partitioned, and that registers
+// again, holds no share until it has settled, and then starts with an empty bucket: other
+// instances may have held its shares meanwhile.
+func TestBucketStartsEmptyAfterNewRegistration(t *testing.T) {
+	l := NewBuckets("front-000", rules)
+	l.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	l.Register(0, NewHolders(names(1)))
+	l.SetHolders(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Tokens)
-	l.Register(time.Minute, NewHolders([]string{"front-001"}))
+	l.SetHolders(time.Minute, NewHolders([]string{"front-001"}))
 	must.False(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Holder)
-	l.Settle(2 * time.Minute)
-	l.Register(time.Minute, NewHolders(names(1)))
+	l.SetSettledAt(2 * time.Minute)
+	l.SetHolders(time.Minute, NewHolders(names(1)))
 	must.False(t, l.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).Holder)
 	must.Zero(t, l.Reserve(2*time.Minute, 2*time.Minute, "a", limit, 1).Tokens)
 	must.Positive(t, l.Reserve(2*time.Minute+time.Second, 2*time.Minute+time.Second, "a", limit, 1).Tokens)
 }
 
-// A registration that is written again, as after its lease was lost, fills no bucket.
-func TestSettlingAgainGivesNothing(t *testing.T) {
-	l := NewLedger("front-000", rules)
-	l.Settle(0)
+// Renewing a registration, as after the loss of a lease, does not refill any bucket.
+func TestRenewedRegistrationRefillsNothing(t *testing.T) {
+	l := NewBuckets("front-000", rules)
+	l.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	l.Register(0, NewHolders(names(1)))
+	l.SetHolders(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
-	l.Settle(0)
+	l.SetSettledAt(0)
 	must.Zero(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
 }
 
-// A holder that does not answer is asked again soon after the first time, since it may
-// have just started, and then more and more seldom. What it might have is not known.
-func TestSilentHolderIsAskedAgain(t *testing.T) {
+// A holder that does not answer is asked again with exponential backoff, which starts short
+// since the holder may have just started. It does not count as having no token.
+func TestUnresponsiveHolderIsAskedAgainWithBackoff(t *testing.T) {
 	m, _ := fleetOf(1)
-	now, pause := time.Minute, firstPause
+	now, pause := time.Minute, minBackoff
 	for range 5 {
-		m.Failed(now, "front-000")
+		m.RecordFailure(now, "front-000")
 		d := m.Take(now, "a")
 		must.Eq(t, Refuse, d.Verdict)
-		must.False(t, d.Shortage.Empty())
-		must.Eq(t, pause, d.Shortage.ComeBack)
+		must.False(t, d.Shortage.AtLimit())
+		must.Eq(t, pause, d.Shortage.RetryAfter)
 		now += pause
-		must.Eq(t, Ask, m.Take(now, "a").Verdict)
-		pause = min(2*pause, awayPause)
+		must.Eq(t, Fetch, m.Take(now, "a").Verdict)
+		pause = min(2*pause, maxBackoff)
 	}
-	m.Granted(now, now, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
-	m.Failed(now, "front-000")
-	must.Eq(t, Ask, m.Take(now+time.Second, "a").Verdict)
+	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
+	m.RecordFailure(now, "front-000")
+	must.Eq(t, Fetch, m.Take(now+time.Second, "a").Verdict)
 }
 
-// After a restart of all, holders say that they cannot tell yet: they are asked again soon,
-// and nobody concludes that the account is at its limit.
-func TestHolderThatHasJustStartedIsNotEmpty(t *testing.T) {
+// After a restart of all instances, holders without a store snapshot cannot serve accounts
+// yet. They are asked again soon, and the account does not count as being at its limit.
+func TestRestartedHolderDoesNotCountAsOutOfTokens(t *testing.T) {
 	m, ledgers := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	m.Granted(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-Validity-1, "a", limit, 1))
-	d := m.Take(firstPause-1, "a")
+	m.ApplyGrant(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-MaxSnapshotAge-1, "a", limit, 1))
+	d := m.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
-	must.False(t, d.Shortage.Empty())
-	must.Eq(t, Ask, m.Take(firstPause, "a").Verdict)
-	m.Granted(0, 0, "a", "front-000", Grant{Holder: true, ComeBack: time.Second})
-	must.True(t, m.Take(0, "a").Shortage.Empty())
+	must.False(t, d.Shortage.AtLimit())
+	must.Eq(t, Fetch, m.Take(minBackoff, "a").Verdict)
+	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
+	must.True(t, m.Take(0, "a").Shortage.AtLimit())
 }
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -54,12 +54,12 @@
 	Return(account string, t quota.Token)
 	// Admit reports whether an operation may be passed to a carrier, or after what time its
 	// caller is to come back.
-	Admit(v quota.Visit) (time.Duration, bool)
+	Admit(v quota.Operation) (time.Duration, bool)
 	// Refused takes in that an operation, passed on some time ago, was refused since its
 	// account has no rights for a while. It returns when its caller is to come back; 0: not known.
-	Refused(v quota.Visit, ago, empty time.Duration) time.Duration
+	RecordRejection(v quota.Operation, ago, empty time.Duration) time.Duration
 	// Ran takes in that an operation, passed on some time ago, was not refused for that.
-	Ran(v quota.Visit, ago time.Duration)
+	RecordSuccess(v quota.Operation, ago time.Duration)
 }
 
 // tokenShare is the part of its objective for which a statement may wait for the right to
@@ -82,14 +82,14 @@
 		s.dueBack = 0
 		return token, nil
 	}
-	if shortage.Empty() {
-		s.accountEmpty = shortage.ComeBack
+	if shortage.AtLimit() {
+		s.accountEmpty = shortage.RetryAfter
 	}
 	if !s.carried {
-		s.promise(shortage.ComeBack)
+		s.promise(shortage.RetryAfter)
 	}
 	r.logAtLimit(account, route.Database, shortage)
-	return token, atLimit(shortage.ComeBack)
+	return token, atLimit(shortage.RetryAfter)
 }
 
 func atLimit(comeBack time.Duration) *statement.Error {
@@ -113,17 +113,17 @@
 func (s *session) noteCarried(route topology.Route, sent time.Duration, reply *relaypb.CarryReply) {
 	visit, ago := s.visit(s.account, route), s.relay.now()-sent
 	if reply.Code == 0 {
-		s.relay.limiter.Ran(visit, ago)
+		s.relay.limiter.RecordSuccess(visit, ago)
 		return
 	}
 	empty := time.Duration(min(max(0, reply.AccountEmptyUs), math.MaxInt64/int64(time.Microsecond))) * time.Microsecond
-	if comeBack := s.relay.limiter.Refused(visit, ago, empty); comeBack > 0 {
+	if comeBack := s.relay.limiter.RecordRejection(visit, ago, empty); comeBack > 0 {
 		reply.RetryAfterUs = s.promise(comeBack).Microseconds()
 	}
 }
 
-func (s *session) visit(account string, route topology.Route) quota.Visit {
-	return quota.Visit{Account: account, Returning: s.dueBack > 0 && s.relay.now() >= s.dueBack, Horizon: route.Timeout}
+func (s *session) visit(account string, route topology.Route) quota.Operation {
+	return quota.Operation{Account: account, IsRetry: s.dueBack > 0 && s.relay.now() >= s.dueBack, MaxDelay: route.Timeout}
 }
 
 // promise remembers when the caller was told to come back.
@@ -137,8 +137,8 @@
 func (r *Relay) logAtLimit(account, database string, shortage quota.Shortage) {
 	if leftOut, ok := r.sampler.Allow("limit" + account); ok {
 		r.log.WithFields(logrus.Fields{
-			"account": account, "database": database, "come_back_ms": shortage.ComeBack.Milliseconds(), "left_out": leftOut,
-			"holders_without": shortage.Without, "holders_silent": shortage.Silent, "holders_gone": shortage.Gone,
+			"account": account, "database": database, "come_back_ms": shortage.RetryAfter.Milliseconds(), "left_out": leftOut,
+			"holders_without": shortage.OutOfTokens, "holders_silent": shortage.Unresponsive, "holders_gone": shortage.Gone,
 		}).Info("relay: an account is at its limit, or those that hold it could not be asked")
 	}
 }
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -149,11 +149,13 @@
 
 func (unlimited) Return(string, quota.Token) {}
 
-func (unlimited) Admit(quota.Visit) (time.Duration, bool) { return 0, true }
+func (unlimited) Admit(quota.Operation) (time.Duration, bool) { return 0, true }
 
-func (unlimited) Refused(quota.Visit, time.Duration, time.Duration) time.Duration { return 0 }
+func (unlimited) RecordRejection(quota.Operation, time.Duration, time.Duration) time.Duration {
+	return 0
+}
 
-func (unlimited) Ran(quota.Visit, time.Duration) {}
+func (unlimited) RecordSuccess(quota.Operation, time.Duration) {}
 
 // fixedRights is a Limiter that gives a number of rights.
 type fixedRights struct {
@@ -165,7 +167,7 @@
 
 func (r *fixedRights) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	r.left--
-	return quota.Token{}, quota.Shortage{ComeBack: comeBackLater, Without: 1}, r.left >= 0
+	return quota.Token{}, quota.Shortage{RetryAfter: comeBackLater, OutOfTokens: 1}, r.left >= 0
 }
 
 func (r *fixedRights) Return(string, quota.Token) { r.left++ }
@@ -225,7 +227,7 @@
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
 	before := b.relay.upstreams.get("m2")
-	must.Eq(t, 1, before.pool.Open())
+	must.Eq(t, 1, before.pool.NumOpen())
 	state := topology.New(0, 0)
 	state.SetConfig(b.relay.snapshot().Config)
 	for _, id := range []string{"m1", "m2"} {
@@ -238,7 +240,7 @@
 	b.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1), "")
 	after := b.relay.upstreams.get("m2")
 	must.False(t, before == after)
-	must.Zero(t, after.pool.Open())
+	must.Zero(t, after.pool.NumOpen())
 	must.True(t, after.position.IsZero())
 	_, err := before.pool.Acquire(t.Context(), pool.Request{Service: "s"}, nil)
 	must.ErrorIs(t, err, connpool.ErrClosed)
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -37,7 +37,7 @@
 
 // silent returns for how long the member has not answered although it was asked. The
 // caller holds mu.
-func (up *upstream) silent(now time.Duration) time.Duration { return up.health.SilentFor(now) }
+func (up *upstream) silent(now time.Duration) time.Duration { return up.health.UnresponsiveFor(now) }
 
 // request returns what admission needs to know of the statement. One that arrives late,
 // since others could not run it, is treated as its caller's next attempt would be.
@@ -82,11 +82,11 @@
 func (up *upstream) backlog(level int, work admission.Work) admission.Backlog {
 	b := up.pool.Backlog(level)
 	if work == admission.OnReplica {
-		b.Slots = b.Flexible
+		b.Slots = b.FlexibleSlots
 	} else {
 		b.PausedUntil = 0 // a pause holds flexible requests only
 	}
-	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, Held: b.Held, Paused: b.PausedUntil}
+	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, Held: b.MeanHoldTime, Paused: b.PausedUntil}
 }
 
 // waitForPrimary has the statement wait for the primary if that is worth it. A statement that
@@ -299,5 +299,5 @@
 }
 
 func (a *attempt) giveUpUnknown() statement.Answer {
-	return statement.Failure(statement.Idle, statement.Unknown, "it may have run: %s", a.why)
+	return statement.Failure(statement.Idle, statement.OutcomeUnknown, "it may have run: %s", a.why)
 }
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -61,10 +61,10 @@
 		Priority:  a.route.Priority,
 		Work:      a.group.usual(kindOf(a.route)),
 		Objective: a.arrived + a.route.LatencyObjective,
-		Elsewhere: !a.needsPrimary(),
+		Flexible:  !a.needsPrimary(),
 		Write:     !a.reads,
 		Deadline:  max(waitUntil, a.now()),
-	}, func(c *member.Shared) int { return c.Match(a.s.values) })
+	}, func(c *member.PooledConn) int { return c.Match(a.s.values) })
 	queued.leave(err == nil)
 	defer queued.shown()
 	if err != nil {
@@ -77,7 +77,7 @@
 		a.why = "the primary is being changed"
 		return statement.Answer{}, noRoom
 	}
-	if err := lease.Conn.Prepare(a.s.values, a.needed); err != nil {
+	if err := lease.Conn.ApplySession(a.s.values, a.needed); err != nil {
 		held.release()
 		up.noteBroken(err)
 		up.noteMiss(a.now())
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -97,10 +97,10 @@
 		c.health[address] = h
 	}
 	if answered {
-		h.Answered(c.now())
+		h.RecordAnswer(c.now())
 		return
 	}
-	h.Missed(c.now())
+	h.RecordNoAnswer(c.now())
 	// What waits on its streams is told by their own watch; those that wait for
 	// nothing may hang on a connection that is dead.
 	for _, s := range c.idle[address] {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -25,7 +25,7 @@
 	address string
 	born    int64 // the member's start that all this is of
 	madeAt  time.Duration
-	pool    *connpool.Pool[*member.Shared]
+	pool    *connpool.Pool[*member.PooledConn]
 
 	mu       sync.Mutex // guards the rest
 	draining bool
@@ -43,11 +43,11 @@
 	lagged   int            // reads in a row that it could not serve
 	lagSince time.Duration  // when the first of them was
 	recent   tally
-	window   pacing.Window
-	room     pacing.Room // beyond share
-	share    int         // statements outside transactions that this instance may have running there
-	most     int         // that all together may
-	mayRun   int         // of which this instance makes use: its share and the room
+	window   pacing.Throttle
+	room     pacing.SpareCapacity // beyond share
+	share    int                  // statements outside transactions that this instance may have running there
+	most     int                  // that all together may
+	mayRun   int                  // of which this instance makes use: its share and the room
 	levels   [admission.Works][lowestPriority + 1]admission.Level
 	probing  bool // a statement is on its way that will show whether the member is there
 }
@@ -67,7 +67,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if share != up.share || most != up.most {
-		up.share, up.most, up.room, up.mayRun = share, most, pacing.Room{}, share
+		up.share, up.most, up.room, up.mayRun = share, most, pacing.SpareCapacity{}, share
 		up.pool.SetMaxActive(share)
 	}
 }
@@ -76,7 +76,7 @@
 func (up *upstream) noteAnswer(asked, now time.Duration, p group.Position) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.health.Answered(now)
+	up.health.RecordAnswer(now)
 	up.failing.Answered()
 	up.answered++
 	up.recent.answered++
@@ -90,7 +90,7 @@
 func (up *upstream) noteMiss(now time.Duration) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.health.Missed(now)
+	up.health.RecordNoAnswer(now)
 	up.failing.Failed()
 	up.recent.unheard++
 }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -125,20 +125,20 @@
 func (u *Upstreams) newUpstream(m topology.Member) *upstream {
 	up := &upstream{id: m.ID, group: m.Group, address: m.Address, born: m.Born, draining: m.Draining, behind: -1, madeAt: u.now()}
 	cfg := connpool.Config{
-		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, Patient: true},
+		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, KeepUntilDeadline: true},
 		Dials:       concurrentDials,
 		DialTimeout: dialTimeout,
-		Patience:    patience,
+		ReuseWait:   patience,
 		MinBackoff:  minDialBackoff,
 		MaxBackoff:  maxDialBackoff,
-		Full:        isFull,
+		IsFull:      isFull,
 	}
-	up.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.Shared, error) {
+	up.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.PooledConn, error) {
 		conn, err := u.dialer.Dial(ctx, m, account)
 		if err != nil {
 			return nil, err
 		}
-		return member.NewShared(conn), nil
+		return member.NewPooledConn(conn), nil
 	}, u.now)
 	return up
 }
@@ -175,7 +175,7 @@
 	defer u.mu.Unlock()
 	g := u.groups[name]
 	if g == nil {
-		g = &groupState{name: name, works: make(map[workKind]*pacing.Work), samples: routing.NewSamples(sampleCount, sampleSpacing)}
+		g = &groupState{name: name, works: make(map[workKind]*pacing.Baseline), samples: routing.NewSamples(sampleCount, sampleSpacing)}
 		u.groups[name] = g
 	}
 	return g
@@ -193,7 +193,7 @@
 	}
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return up.health.Doubtful()
+	return up.health.HasUnansweredAttempt()
 }
 
 // Heard returns how long ago a member answered.
@@ -224,7 +224,7 @@
 		}
 		up.mu.Lock()
 		if id == primary {
-			full = up.window.Full()
+			full = up.window.Saturated()
 		} else {
 			replicas++
 		}
@@ -262,13 +262,13 @@
 		if recent == (tally{}) {
 			continue
 		}
-		waits := newWaits(up.pool.Waits())
+		waits := newWaits(up.pool.WaitStats())
 		log.WithFields(logrus.Fields{
 			"waiting_by_priority": waits.numbers(waitingNow), "overtook": waits.numbers(overtook), "overdue": waits.numbers(overdue),
 			"group": up.group, "member": id, "distance": distance.String(), "answered": recent.answered, "lagging": recent.lagging,
 			"unheard": recent.unheard, "mean_ms": (recent.took / time.Duration(max(1, recent.answered))).Milliseconds(),
 			"longest_ms": recent.longest.Milliseconds(), "behind_ms": behind.Milliseconds(),
-			"share": math.Round(100*share) / 100, "may_run": mayRun, "failing": math.Round(100*failing) / 100, "connections": up.pool.Open(), "in_use": up.pool.InUse(), "waiting": up.pool.Waiting(),
+			"share": math.Round(100*share) / 100, "may_run": mayRun, "failing": math.Round(100*failing) / 100, "connections": up.pool.NumOpen(), "in_use": up.pool.InUse(), "waiting": up.pool.Waiting(),
 		}).Info("relay: a member since the last report")
 	}
 }
@@ -283,10 +283,10 @@
 		up.mu.Unlock()
 		labels := `{group="` + up.group + `",member="` + id + `"}`
 		metrics.WriteCounterUint64(w, `stackspindle_member_answers_total{group="`+up.group+`",member="`+id+`",distance="`+distance.String()+`"}`, answered)
-		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(up.pool.Open()))
+		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(up.pool.NumOpen()))
 		metrics.WriteGaugeUint64(w, "stackspindle_member_in_use"+labels, uint64(up.pool.InUse()))
 		metrics.WriteGaugeUint64(w, "stackspindle_member_waiting"+labels, uint64(up.pool.Waiting()))
-		newWaits(up.pool.Waits()).write(w, up.group, id)
+		newWaits(up.pool.WaitStats()).write(w, up.group, id)
 	}
 }
 
@@ -303,7 +303,7 @@
 			continue
 		}
 		up.pool.DropIdle()
-		if up.pool.Open() == 0 && up.unheardFor(now) >= forgetAfter {
+		if up.pool.NumOpen() == 0 && up.unheardFor(now) >= forgetAfter {
 			up.pool.Close()
 			delete(u.members, id)
 		}
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -28,11 +28,11 @@
 	defer g.mu.Unlock()
 	w := g.works[kind]
 	if w == nil {
-		w = &pacing.Work{}
+		w = &pacing.Baseline{}
 		g.works[kind] = w
 	}
-	w.Took(d)
-	return w.Usual()
+	w.Record(d)
+	return w.Latency()
 }
 
 // usual returns what a statement of a kind usually takes, 0 while that is not known.
@@ -40,7 +40,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w := g.works[kind]; w != nil {
-		return w.Usual()
+		return w.Latency()
 	}
 	return 0
 }
@@ -53,15 +53,15 @@
 	usual := g.took(kindOf(route), took)
 	waiting := up.pool.Waiting() > 0
 	up.mu.Lock()
-	pause := up.window.Answered(took, usual)
+	pause := up.window.RecordAnswer(took, usual)
 	before := up.mayRun
-	up.mayRun = up.share + up.room.Answered(&up.window, waiting, up.share, up.most)
+	up.mayRun = up.share + up.room.RecordAnswer(&up.window, waiting, up.share, up.most)
 	if up.mayRun != before {
 		up.pool.SetMaxActive(up.mayRun)
 	}
 	up.mu.Unlock()
 	if pause > 0 {
 		span := r.snapshot().Priorities[g.name]
-		up.pool.Pause(pacing.Level(route.Priority, span.Top, span.Last), pause)
+		up.pool.Pause(pacing.PauseLevel(route.Priority, span.Top, span.Last), pause)
 	}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,7 +9,7 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-func TestOnlyWhatDidNotRunIsRepeated(t *testing.T) {
+func TestOnlyIdempotentOrUnsentRequestsAreRetried(t *testing.T) {
 	second := time.Second
 	cases := []struct {
 		name string
@@ -20,13 +20,13 @@
 		{"not owner", Outcome{Refusal: peerpb.Refusal_REFUSAL_NOT_OWNER, Left: second}, true},
 		{"no primary", Outcome{Refusal: peerpb.Refusal_REFUSAL_NO_PRIMARY, Left: second}, true},
 		{"unknown", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Left: second}, false},
-		{"unknown with a key", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Keyed: true, Left: second}, true},
+		{"unknown with a key", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Idempotent: true, Left: second}, true},
 		{"broken", Outcome{Broken: true, Left: second}, false},
-		{"broken with a key", Outcome{Broken: true, Keyed: true, Left: second}, true},
-		{"partly delivered", Outcome{Broken: true, Keyed: true, Delivered: true, Left: second}, false},
+		{"broken with a key", Outcome{Broken: true, Idempotent: true, Left: second}, true},
+		{"partly delivered", Outcome{Broken: true, Idempotent: true, Delivered: true, Left: second}, false},
 		{"queue full", Outcome{Refusal: peerpb.Refusal_REFUSAL_QUEUE_FULL, Left: second}, false},
 		{"lost writes", Outcome{Refusal: peerpb.Refusal_REFUSAL_LOST_WRITES, Left: second}, false},
-		{"key mismatch", Outcome{Refusal: peerpb.Refusal_REFUSAL_KEY_MISMATCH, Keyed: true, Left: second}, false},
+		{"key mismatch", Outcome{Refusal: peerpb.Refusal_REFUSAL_KEY_MISMATCH, Idempotent: true, Left: second}, false},
 		{"no time left", Outcome{NotSent: true}, false},
 		{"less time left than the delay", Outcome{NotSent: true, Left: time.Millisecond, Jitter: 0.9}, false},
 	}
@@ -38,18 +38,18 @@
 	}
 }
 
-// Retries stay within a fifth of the requests at short delays; beyond that they
-// wait for the longest one.
-func TestBudgetBoundsTheRate(t *testing.T) {
+// The number of retries with a short delay is at most a fifth of the requests plus the
+// initial budget. All further retries wait for the longest delay.
+func TestBudgetBoundsFastRetries(t *testing.T) {
 	b := NewBudget()
 	short := 0
 	for range 1000 {
 		b.Earn()
 		d := Next(Outcome{NotSent: true, Attempt: 1, Left: time.Second, Jitter: 0.5}, b)
 		must.True(t, d.Retry)
-		if d.After < maxDelay/2 {
+		if d.Delay < maxDelay/2 {
 			short++
 		}
 	}
-	must.LessEq(t, 1000*earned+maxTokens, float64(short))
+	must.LessEq(t, 1000*earnedPerAttempt+maxTokens, float64(short))
 }
