--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -11,21 +11,21 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// follow has one mirror ask another as instances do, and returns how many items were sent.
+// follow has one mirror poll another as instances do. It returns the number of items sent.
 func follow(from, to *Mirror) int {
-	p, _ := from.Changes(to.Revision())
-	sent := len(p.Events)
-	if !to.Completes(p) {
-		p, _ = from.Changes(0)
-		sent += len(p.Events)
+	u, _ := from.Changes(to.Revision())
+	sent := len(u.Events)
+	if !to.Completes(u) {
+		u, _ = from.Changes(0)
+		sent += len(u.Events)
 	}
-	to.Take(p)
+	to.Take(u)
 	return sent
 }
 
-// Whoever follows a mirror by changes and digests ends with what the store holds, as with
-// whole pictures.
-func TestFollowersOfChangesSeeWhatTheStoreHolds(t *testing.T) {
+// A mirror that follows others by changes and digests ends with the contents of the store, as one
+// that follows by snapshots does.
+func TestDigestFollowersConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := make(map[string]int64)
 		var history []kv.Event
@@ -37,20 +37,20 @@
 			case 0, 1:
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
 				revision++
-				if _, there := store[key]; there && rapid.Bool().Draw(t, "remove") {
+				if _, exists := store[key]; exists && rapid.Bool().Draw(t, "remove") {
 					delete(store, key)
 					history = append(history, removal(key, revision))
 				} else {
 					store[key] = revision
 					history = append(history, put(key, revision))
 				}
-			case 2: // one reads the store anew
-				whole := Picture{Whole: true, Revision: revision}
+			case 2: // a mirror reads the store again
+				snapshot := Picture{Whole: true, Revision: revision}
 				for key, at := range store {
-					whole.Events = append(whole.Events, put(key, at))
+					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
-				pick("who").Take(whole)
-			case 3: // one watches the store
+				pick("who").Take(snapshot)
+			case 3: // a mirror watches the store
 				m := pick("who")
 				if m.Revision() == 0 {
 					continue
@@ -62,7 +62,7 @@
 					}
 				}
 				m.Take(changes)
-			default: // one follows another
+			default: // a mirror polls another
 				from, to := pick("from"), pick("to")
 				if from.Revision() > 0 && from != to {
 					follow(from, to)
@@ -77,7 +77,7 @@
 			var digest uint64
 			for key, item := range m.items {
 				held[key] = item.Revision
-				digest ^= digestOf(item)
+				digest ^= itemDigest(item)
 			}
 			if !maps.Equal(store, held) || digest != m.digest {
 				t.Fatalf("held %v, in the store %v, digest %x instead of %x", held, store, m.digest, digest)
@@ -86,10 +86,10 @@
 	})
 }
 
-// A start: instances begin one after another, each reads the store and registers, and
-// each asks others, whichever it knows, for what is new. What is sent to one grows as the fleet, not
-// as its square: no more than three times what there is to know.
-func TestAStartSendsChanges(t *testing.T) {
+// At a start, instances begin one after another, each reads the store and registers, and polls any
+// others that it knows. What is sent to one instance must grow in proportion to the fleet, not to
+// its square: at most three times the number of items in the store.
+func TestSimultaneousStartTrafficIsLinear(t *testing.T) {
 	for _, n := range []int{30, 100, 300} {
 		var items []kv.Event
 		var running []*Mirror
@@ -111,22 +111,22 @@
 	}
 }
 
-// The failure: more than half of a large fleet is lost at once, with its keys. Those that follow are
-// told of each removal, not of everything again.
-func TestRemovalsOfHalfAFleetAreTold(t *testing.T) {
+// When a fault takes more than half of a large fleet with its keys at once, followers get each
+// removal instead of a full snapshot.
+func TestMassRemovalIsSentAsDelta(t *testing.T) {
 	const keys = 4 * minTombstones
 	mirror := NewMirror()
-	whole := Picture{Whole: true, Revision: keys}
+	snapshot := Picture{Whole: true, Revision: keys}
 	for n := range int64(keys) {
-		whole.Events = append(whole.Events, put(fmt.Sprint("k", n), n+1))
+		snapshot.Events = append(snapshot.Events, put(fmt.Sprint("k", n), n+1))
 	}
-	mirror.Take(whole)
-	gone := Picture{Revision: keys + keys/2}
+	mirror.Take(snapshot)
+	removals := Picture{Revision: keys + keys/2}
 	for n := range int64(keys / 2) {
-		gone.Events = append(gone.Events, kv.Event{Item: kv.Item{Key: fmt.Sprint("k", n), Revision: keys + n + 1}, Deleted: true})
+		removals.Events = append(removals.Events, kv.Event{Item: kv.Item{Key: fmt.Sprint("k", n), Revision: keys + n + 1}, Deleted: true})
 	}
-	mirror.Take(gone)
-	p, _ := mirror.Changes(keys)
-	must.False(t, p.Whole)
-	must.Len(t, keys/2, p.Events)
+	mirror.Take(removals)
+	u, _ := mirror.Changes(keys)
+	must.False(t, u.Whole)
+	must.Len(t, keys/2, u.Events)
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -25,9 +25,9 @@
 	return kv.Event{Item: kv.Item{Key: key, Revision: revision}, Deleted: true}
 }
 
-// Whoever follows a mirror, from whatever it knew and through whichever others,
-// ends with what the store holds.
-func TestFollowersSeeWhatTheStoreHolds(t *testing.T) {
+// A mirror that follows others ends with the contents of the store, whatever it held before and
+// whichever mirrors it polls.
+func TestFollowersConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := make(map[string]int64)
 		var history []kv.Event
@@ -38,20 +38,20 @@
 			case 0, 1:
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
 				revision++
-				if _, there := store[key]; there && rapid.Bool().Draw(t, "remove") {
+				if _, exists := store[key]; exists && rapid.Bool().Draw(t, "remove") {
 					delete(store, key)
 					history = append(history, removal(key, revision))
 				} else {
 					store[key] = revision
 					history = append(history, put(key, revision))
 				}
-			case 2: // one reads the store anew
-				whole := Picture{Whole: true, Revision: revision}
+			case 2: // a mirror reads the store again
+				snapshot := Picture{Whole: true, Revision: revision}
 				for key, at := range store {
-					whole.Events = append(whole.Events, put(key, at))
+					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
-				mirrors[rapid.IntRange(0, 2).Draw(t, "who")].Take(whole)
-			case 3: // one watches the store
+				mirrors[rapid.IntRange(0, 2).Draw(t, "who")].Take(snapshot)
+			case 3: // a mirror watches the store
 				m := mirrors[rapid.IntRange(0, 2).Draw(t, "who")]
 				if m.Revision() == 0 {
 					continue
@@ -63,11 +63,11 @@
 					}
 				}
 				m.Take(changes)
-			case 4: // one follows another
+			case 4: // a mirror polls another
 				from, to := mirrors[rapid.IntRange(0, 2).Draw(t, "from")], mirrors[rapid.IntRange(0, 2).Draw(t, "to")]
 				if from.Revision() > 0 {
-					p, _ := from.Since(to.Revision())
-					to.Take(p)
+					u, _ := from.Since(to.Revision())
+					to.Take(u)
 				}
 			}
 		}
@@ -86,19 +86,19 @@
 	})
 }
 
-func TestOlderPictureTakesNothingBack(t *testing.T) {
+func TestOlderSnapshotDoesNotRevert(t *testing.T) {
 	m := NewMirror()
 	m.Take(Picture{Whole: true, Revision: 5, Events: []kv.Event{put("a", 5)}, Confirmed: time.Second})
-	news := m.Take(Picture{Whole: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, Confirmed: 2 * time.Second})
-	must.False(t, news.Whole)
+	added := m.Take(Picture{Whole: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, Confirmed: 2 * time.Second})
+	must.False(t, added.Whole)
 	must.Eq(t, 5, m.Revision())
-	p, _ := m.Since(0)
-	must.True(t, p.Whole)
-	must.Eq(t, int64(5), p.Events[len(p.Events)-1].Revision)
-	must.Eq(t, 2*time.Second, p.Confirmed, must.Sprint("it did show that there was nothing newer"))
+	u, _ := m.Since(0)
+	must.True(t, u.Whole)
+	must.Eq(t, int64(5), u.Events[len(u.Events)-1].Revision)
+	must.Eq(t, 2*time.Second, u.Confirmed, must.Sprint("the older snapshot still confirms that nothing was newer"))
 }
 
-func TestManyRemovalsAreForgotten(t *testing.T) {
+func TestRemovalHistoryIsBounded(t *testing.T) {
 	m := NewMirror()
 	m.Take(Picture{Whole: true, Revision: 1})
 	for n := int64(1); n <= minTombstones+1; n++ {
@@ -106,41 +106,41 @@
 		m.Take(Picture{Revision: 2*n + 1, Events: []kv.Event{removal(fmt.Sprint("k", n), 2*n+1)}})
 	}
 	must.LessEq(t, minTombstones, len(m.removed))
-	p, _ := m.Since(2)
-	must.True(t, p.Whole)
-	p, _ = m.Since(m.Revision() - 1)
-	must.True(t, p.Whole || len(p.Events) > 0)
+	u, _ := m.Since(2)
+	must.True(t, u.Whole)
+	u, _ = m.Since(m.Revision() - 1)
+	must.True(t, u.Whole || len(u.Events) > 0)
 }
 
-// client asks a server of the same process.
+// client calls a server in the same process.
 type client struct{ server *Server }
 
 func (c client) Follow(ctx context.Context, req *feedpb.FollowRequest, _ ...grpc.CallOption) (*feedpb.FollowReply, error) {
 	return c.server.Follow(ctx, req)
 }
 
-// The time that a follower takes for confirmed never lies after the sending of the
-// store call, whatever the two clocks say.
-func TestConfirmationIsNeverTooLate(t *testing.T) {
+// The confirmation time that a follower computes is never later than the sending of the store call,
+// whatever the offset between the two clocks.
+func TestConfirmationTimeIsNeverTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := rapid.Int64Range(0, int64(10*time.Second))
 		offset := time.Duration(span.Draw(t, "offset of the sender's clock"))
-		asked := time.Duration(span.Draw(t, "asked"))
-		arrived := asked + time.Duration(span.Draw(t, "way"))
+		sent := time.Duration(span.Draw(t, "asked"))
+		arrived := sent + time.Duration(span.Draw(t, "way"))
 		stored := time.Duration(span.Draw(t, "store call"))
 		mirror := NewMirror()
 		mirror.Take(Picture{Whole: true, Revision: 1, Confirmed: stored + offset})
 		server := NewServer(mirror, func() time.Duration { return arrived + offset })
-		p, err := Ask(context.Background(), client{server}, 0, 0, asked)
+		u, err := Ask(context.Background(), client{server}, 0, 0, sent)
 		must.NoError(t, err)
-		must.LessEq(t, stored, p.Confirmed)
+		must.LessEq(t, stored, u.Confirmed)
 	})
 }
 
-// Two instances that the store turns away follow each other, and must not take each
-// other's word for news. On a hunted day of ftrb-rosters two did for 6 s, and a third
-// that could have asked the store followed them.
-func TestCircleHasNoNews(t *testing.T) {
+// Two instances that the store rejects poll each other. Neither may count the other as a live
+// source. When they did, they stayed without updates for 6 s, and so did a third instance that
+// polled them although it could have asked the store.
+func TestPollingCircleIsNotLive(t *testing.T) {
 	now := time.Duration(0)
 	clock := func() time.Duration { return now }
 	one, other := NewMirror(), NewMirror()
@@ -163,13 +163,13 @@
 	must.True(t, IsLive(now, p.Live))
 }
 
-func TestInstanceThatKnowsNothingTellsNothing(t *testing.T) {
+func TestEmptyMirrorReturnsError(t *testing.T) {
 	server := NewServer(NewMirror(), func() time.Duration { return 0 })
 	_, err := Ask(context.Background(), client{server}, 0, time.Second, 0)
 	must.Error(t, err)
 }
 
-func TestFollowerIsToldAtOnce(t *testing.T) {
+func TestPollReturnsOnChange(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Take(Picture{Whole: true, Revision: 1})
 	server := NewServer(mirror, func() time.Duration { return 0 })
@@ -192,16 +192,16 @@
 	return list
 }
 
-// withTwo is how many instances a data centre with two watchers has at the least.
-const withTwo = 2 * instancesPerWatcher
+// twoWatchers is the least number of instances in a data centre with two watchers.
+const twoWatchers = 2 * instancesPerWatcher
 
 func TestWatchers(t *testing.T) {
-	for n, want := range map[int]int{0: 0, 1: 1, 3: 1, 25: 1, withTwo: 2, 92: 3} {
+	for n, want := range map[int]int{0: 0, 1: 1, 3: 1, 25: 1, twoWatchers: 2, 92: 3} {
 		must.Len(t, want, Watchers(instances("a", n), "a"), must.Sprint(n))
 	}
 }
 
-// follower returns an instance of the first data centre that does not watch.
+// follower returns an instance of the first instance's data centre that is not a watcher.
 func follower(alive []ownership.Instance) ownership.Instance {
 	watchers := Watchers(alive, alive[0].DataCentre)
 	for _, i := range alive {
@@ -212,111 +212,111 @@
 	panic("every instance watches")
 }
 
-// A follower goes through its sources as they fail, and back as they answer.
-func TestSources(t *testing.T) {
-	alive := append(instances("a", withTwo), instances("b", withTwo)...)
-	near, far := Watchers(alive, "a"), Watchers(alive, "b")
+// A follower moves through its sources in order of preference as they fail, and back as they
+// recover.
+func TestSourceFailover(t *testing.T) {
+	alive := append(instances("a", twoWatchers), instances("b", twoWatchers)...)
+	local, remote := Watchers(alive, "a"), Watchers(alive, "b")
 	s := NewSources(follower(alive))
 	first := s.Next(0, alive).Name
-	must.SliceContains(t, near, first)
-	must.Eq(t, first, s.Next(0, alive).Name, must.Sprint("it stays with the one that answers"))
+	must.SliceContains(t, local, first)
+	must.Eq(t, first, s.Next(0, alive).Name, must.Sprint("it stays with a source that answers"))
 	must.True(t, s.Failed(0, first, Silent))
 	must.False(t, s.Failed(0, first, Silent))
 	second := s.Next(0, alive).Name
-	must.SliceContainsAll(t, near, []string{first, second})
+	must.SliceContainsAll(t, local, []string{first, second})
 	s.Failed(0, second, Silent)
-	must.Eq(t, Store, s.Next(0, alive).Name, must.Sprint("the cut may be around this instance"))
+	must.Eq(t, Store, s.Next(0, alive).Name, must.Sprint("the partition may be around this instance alone"))
 	s.Failed(0, Store, Silent)
-	must.SliceContains(t, far, s.Next(0, alive).Name)
-	s.Failed(0, far[0], Silent)
-	s.Failed(0, far[1], Silent)
+	must.SliceContains(t, remote, s.Next(0, alive).Name)
+	s.Failed(0, remote[0], Silent)
+	s.Failed(0, remote[1], Silent)
 	last := s.Next(0, alive).Name
-	must.SliceNotContains(t, slices.Concat(near, far, []string{Store}), last, must.Sprint("any other that may hear the store"))
-	must.Eq(t, Choice{Name: Store, Rest: minStorePause}, s.Next(0, alive), must.Sprint("none is left: the first that may be asked again"))
-	must.NotEq(t, last, s.Next(lastResortPause, alive).Name, must.Sprint("the last resort is another each time"))
+	must.SliceNotContains(t, slices.Concat(local, remote, []string{Store}), last, must.Sprint("any other instance that may have contact to the store"))
+	must.Eq(t, Choice{Name: Store, Rest: minStorePause}, s.Next(0, alive), must.Sprint("no source is left: the one whose pause ends first"))
+	must.NotEq(t, last, s.Next(lastResortPause, alive).Name, must.Sprint("the last resort is a different instance each time"))
 	must.True(t, s.Answered(second))
 	must.False(t, s.Answered(second))
 	must.Eq(t, Choice{Name: second}, s.Next(0, alive))
 }
 
-// While the store is away for all, instances that do not watch ask it seldom, and do
-// not ask hundreds of others in a row. On trouble-3 of swancoast-dispatch-grown 72
-// instances made some 900 refused calls in 6 s.
-func TestFollowersAskAnAbsentStoreSeldom(t *testing.T) {
+// While the store is unavailable to all, instances that do not watch it call it rarely and do not
+// poll hundreds of others in a row. Without the pauses 72 instances made some 900 rejected calls in
+// 6 s.
+func TestFollowersRarelyPollUnavailableStore(t *testing.T) {
 	const outage = 6 * time.Second
 	alive := instances("a", 70)
 	s := NewSources(follower(alive))
-	asked := make(map[string]int)
+	polls := make(map[string]int)
 	for now := time.Duration(0); now < outage; now += time.Millisecond {
 		choice := s.Next(now, alive)
 		now += choice.Rest
-		asked[choice.Name]++
-		how := Stale
+		polls[choice.Name]++
+		failure := Stale
 		if choice.Name == Store {
-			how = Silent
+			failure = Silent
 		}
-		s.Failed(now, choice.Name, how)
+		s.Failed(now, choice.Name, failure)
 	}
-	must.LessEq(t, 5, asked[Store])
+	must.LessEq(t, 5, polls[Store])
 	total := 0
-	for _, n := range asked {
+	for _, n := range polls {
 		total += n
 	}
 	must.LessEq(t, 60, total)
 }
 
-func TestWatcherAsksTheStoreFirst(t *testing.T) {
-	alive := instances("a", withTwo)
+func TestWatcherPrefersStore(t *testing.T) {
+	alive := instances("a", twoWatchers)
 	watchers := Watchers(alive, "a")
 	s := NewSources(ownership.Instance{Name: watchers[0], DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, alive).Name)
 	s.Failed(0, Store, Silent)
-	must.Eq(t, watchers[1], s.Next(0, alive).Name, must.Sprint("turned away, it follows others"))
+	must.Eq(t, watchers[1], s.Next(0, alive).Name, must.Sprint("rejected by the store, it polls another watcher"))
 	must.Eq(t, Store, s.Next(minWatcherStorePause, alive).Name)
 }
 
-// With one watcher a data centre those that follow it ask the store when it fails, and
-// it follows a watcher elsewhere when the store turns it away.
-func TestOnlyWatcherOfADataCentre(t *testing.T) {
+// In a data centre with one watcher, followers call the store when the watcher fails, and the
+// watcher polls one in another data centre when the store rejects it.
+func TestSingleWatcherFailover(t *testing.T) {
 	alive := append(instances("a", 3), instances("b", 3)...)
-	near, far := Watchers(alive, "a"), Watchers(alive, "b")
+	local, remote := Watchers(alive, "a"), Watchers(alive, "b")
 	s := NewSources(follower(alive))
-	must.Eq(t, near[0], s.Next(0, alive).Name)
-	s.Failed(0, near[0], Silent)
+	must.Eq(t, local[0], s.Next(0, alive).Name)
+	s.Failed(0, local[0], Silent)
 	must.Eq(t, Store, s.Next(0, alive).Name)
 	s.Failed(0, Store, Silent)
-	must.Eq(t, far[0], s.Next(0, alive).Name)
-	watcher := NewSources(ownership.Instance{Name: near[0], DataCentre: "a"})
+	must.Eq(t, remote[0], s.Next(0, alive).Name)
+	watcher := NewSources(ownership.Instance{Name: local[0], DataCentre: "a"})
 	watcher.Failed(0, Store, Silent)
-	must.Eq(t, far[0], watcher.Next(0, alive).Name)
+	must.Eq(t, remote[0], watcher.Next(0, alive).Name)
 }
 
-func TestFirstInstanceAsksTheStore(t *testing.T) {
+func TestFirstInstanceUsesStore(t *testing.T) {
 	s := NewSources(ownership.Instance{Name: "x", DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, nil).Name)
 }
 
-// On scale-1 of swancoast-dispatch-grown both watchers of a data centre were cut off
-// from the store, and their followers, which were not, kept asking the two in turn.
-// Between two questions to any one source all that are preferred to the last resort
-// have their turn, however long a question takes.
-func TestNoSourceIsAskedAgainBeforeTheOthers(t *testing.T) {
-	const question = 900 * time.Millisecond
-	alive := append(instances("a", withTwo), instances("b", withTwo)...)
-	near := Watchers(alive, "a")
+// The failure: both watchers of a data centre are cut off from the store, and their followers,
+// which are not, poll these two in turn without trying the store. Between two polls of one source,
+// every source that is preferred to the last resort must be tried, however long a poll takes.
+func TestAllSourcesAreTriedBeforeRetry(t *testing.T) {
+	const pollTime = 900 * time.Millisecond
+	alive := append(instances("a", twoWatchers), instances("b", twoWatchers)...)
+	local := Watchers(alive, "a")
 	s := NewSources(follower(alive))
 	now := time.Duration(0)
 	for range 2 {
 		name := s.Next(now, alive).Name
-		must.SliceContains(t, near, name)
-		now += question
+		must.SliceContains(t, local, name)
+		now += pollTime
 		s.Failed(now, name, Silent)
 	}
 	must.Eq(t, Choice{Name: Store}, s.Next(now, alive))
 }
 
-// An instance whose news fail tells those that wait for some at once.
-func TestFollowerIsToldOfFailureAtOnce(t *testing.T) {
+// A server whose instance loses its live source answers waiting polls at once.
+func TestPollReturnsWhenSourceFails(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Take(Picture{Whole: true, Revision: 1})
 	mirror.NoteWatch(0, true)
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -1,7 +1,15 @@
-// Package feed spreads what the store holds over the fleet. A few instances in
-// each data centre watch the store; the others follow those, and an instance that
-// the store turns away follows others too. Whoever follows learns the same as from
-// the store itself: the changes, and a time at which nothing newer existed.
+// Package feed distributes the contents of the store to all instances. A few instances in each data
+// centre watch the store; the others, and an instance that the store rejects, poll those. A poll
+// returns the same as a watch of the store: the changes, and a time at which the store held nothing
+// newer.
+//
+// A Mirror holds this instance's copy of the store, Server serves it to other instances (gRPC
+// service Feed), and Selector chooses what the instance polls next. Revisions that a Mirror reports
+// never go back, and its confirmation times are never later than the sending of the store call that
+// they stem from.
+//
+// An instance has a live update source while its own watch of the store works, or while it polls an
+// instance that has a live source.
 package feed
 
 import (
@@ -16,56 +24,59 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// liveFor is for how long an instance may have had no news on their way to it before
-// those that follow it turn elsewhere: longer than one question to another instance
-// takes (0.9 s). Instances that follow each other in a circle have none.
+// liveFor is how long after an instance last had a live update source its answers still count as
+// current. It is longer than one poll of another instance takes (0.9 s). Instances that poll each
+// other in a circle have no live source, so their followers switch to another source after this
+// time.
 const liveFor = 1500 * time.Millisecond
 
-// IsLive reports whether news that were on their way until a time still count.
+// IsLive reports whether a sender that last had a live update source at the given time still counts
+// as current.
 func IsLive(now, live time.Duration) bool { return now-live < liveFor }
 
-// minTombstones is how many removed keys are remembered at least, and as many as there are keys
-// where that is more, since a fault may take any part of a fleet with its keys. Who follows from
-// before that is sent everything.
+// minTombstones is the least number of removed keys that a mirror remembers. It remembers as many
+// removals as there are keys where that is more, since a fault may take any part of a fleet with
+// its keys. A follower whose revision is older than the remembered removals gets a full snapshot.
 const minTombstones = 1024
 
-// Picture is what the store held at one time, or what changed up to it.
+// Picture is a snapshot of the store, or the changes (a delta) since the revision that was asked
+// for.
 type Picture struct {
-	Whole  bool // Events holds every key; else those changed since the revision asked for
+	Whole  bool // Events holds every key; otherwise only those changed since the revision asked for
 	Events []kv.Event
-	// Unsure says that keys may have been removed since the revision asked for of which
-	// who told it does not know. Whoever has taken the changes in holds the same keys as
-	// the teller, at the same revisions, when its Digest is the same.
+	// Unsure says that keys may have been removed after the revision asked for without the sender
+	// knowing. Once the receiver has applied the changes, it holds the same keys at the same
+	// revisions as the sender if its digest equals Digest.
 	Unsure    bool
 	Digest    uint64
 	Revision  int64
 	Confirmed time.Duration // a time at which the store held nothing newer
-	Live      time.Duration // until when news of the store were on their way to who told it
+	Live      time.Duration // when the sender last had a live update source
 }
 
-// Items returns the keys of a whole picture.
-func (p Picture) Items() []kv.Item {
-	items := make([]kv.Item, 0, len(p.Events))
-	for _, e := range p.Events {
+// Items returns the keys of a snapshot.
+func (u Picture) Items() []kv.Item {
+	items := make([]kv.Item, 0, len(u.Events))
+	for _, e := range u.Events {
 		items = append(items, e.Item)
 	}
 	return items
 }
 
-// Mirror holds what this instance knows of the store, for others to follow. It is
-// safe for concurrent use.
+// Mirror is this instance's copy of the store, which it also serves to its followers. It is safe
+// for concurrent use.
 type Mirror struct {
-	mu        sync.Mutex // guards all below
-	items     map[string]kv.Item
-	removed   map[string]int64 // revision by key
-	history   []keyChange      // of items and removed, in the order of revisions, with outdated ones among them
-	digest    uint64           // of items, see digestOf
-	revision  int64            // 0: nothing is known yet
-	horizon   int64            // removals up to this revision are forgotten
-	confirmed time.Duration
-	changed   chan struct{} // closed, and replaced, with each new revision, and when news fail
-	watching  bool          // a watch of the store waits, or has just brought news
-	live      time.Duration // until when news were on their way otherwise
+	mu          sync.Mutex // guards the fields below
+	items       map[string]kv.Item
+	removed     map[string]int64 // revision of the removal, by key
+	history     []keyChange      // of items and removed, by ascending revision; may hold outdated changes
+	digest      uint64           // of items, see itemDigest
+	revision    int64            // 0: nothing was read yet
+	horizon     int64            // removals up to this revision are forgotten
+	confirmedAt time.Duration
+	changed     chan struct{} // closed and replaced with each new revision, and when this instance's watch fails
+	watching    bool          // this instance's watch of the store is waiting or was just answered
+	liveAt      time.Duration // last time at which there was a live update source, while not watching
 }
 
 // keyChange is a change of a key. It is outdated once the key has changed again.
@@ -74,133 +85,134 @@
 	key      string
 }
 
-// NewMirror returns a mirror of which nothing is known.
+// NewMirror returns an empty mirror.
 func NewMirror() *Mirror {
 	return &Mirror{items: make(map[string]kv.Item), removed: make(map[string]int64), changed: make(chan struct{})}
 }
 
-// Revision returns the revision that is known, 0: nothing is.
+// Revision returns the revision of the contents, 0 if nothing was read yet.
 func (m *Mirror) Revision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// Len returns how many keys are known.
+// Len returns the number of keys.
 func (m *Mirror) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.items)
 }
 
-// digestOf is an item's part of a digest, which is the exclusive or of all.
-func digestOf(i kv.Item) uint64 {
+// itemDigest returns one item's part of a digest. A digest is the exclusive or of the parts of all
+// items.
+func itemDigest(i kv.Item) uint64 {
 	var d xxhash.Digest
 	_, _ = d.WriteString(i.Key) // a Digest never fails
 	_, _ = d.Write(binary.LittleEndian.AppendUint64(nil, uint64(i.Revision)))
 	return d.Sum64()
 }
 
-// set and unset change an item. The caller holds mu.
+// set stores an item, replacing an earlier value. The caller holds mu.
 func (m *Mirror) set(i kv.Item) {
 	m.unset(i.Key)
 	m.items[i.Key] = i
-	m.digest ^= digestOf(i)
-	m.note(i.Key, i.Revision)
+	m.digest ^= itemDigest(i)
+	m.addHistory(i.Key, i.Revision)
 }
 
-// setRemoved notes that a key was removed. The caller holds mu.
+// setRemoved records the removal of a key. The caller holds mu.
 func (m *Mirror) setRemoved(key string, revision int64) {
 	m.unset(key)
 	m.removed[key] = revision
-	m.note(key, revision)
+	m.addHistory(key, revision)
 }
 
-// note adds a change to the history. The caller holds mu.
-func (m *Mirror) note(key string, revision int64) {
+// addHistory adds a change to the history. The caller holds mu.
+func (m *Mirror) addHistory(key string, revision int64) {
 	at := len(m.history)
 	if at > 0 && m.history[at-1].revision > revision {
-		at, _ = slices.BinarySearchFunc(m.history, revision+1, byHistory) // told late
+		at, _ = slices.BinarySearchFunc(m.history, revision+1, compareRevision) // arrived out of order
 	}
 	m.history = slices.Insert(m.history, at, keyChange{revision: revision, key: key})
 	if len(m.history) > 2*(len(m.items)+len(m.removed))+minTombstones {
-		m.history = slices.DeleteFunc(m.history, m.outdated)
+		m.history = slices.DeleteFunc(m.history, m.isOutdated)
 	}
 }
 
-func byHistory(c keyChange, revision int64) int { return cmp.Compare(c.revision, revision) }
+func compareRevision(c keyChange, revision int64) int { return cmp.Compare(c.revision, revision) }
 
-// outdated reports whether a key has changed again since, or its removal is forgotten. The caller
+// isOutdated reports whether a key has changed again since, or its removal is forgotten. The caller
 // holds mu.
-func (m *Mirror) outdated(c keyChange) bool {
+func (m *Mirror) isOutdated(c keyChange) bool {
 	return m.items[c.key].Revision != c.revision && m.removed[c.key] != c.revision
 }
 
 func (m *Mirror) unset(key string) {
-	if known, ok := m.items[key]; ok {
-		m.digest ^= digestOf(known)
+	if old, ok := m.items[key]; ok {
+		m.digest ^= itemDigest(old)
 		delete(m.items, key)
 	}
 }
 
-// Completes reports whether a picture that its teller is not sure of makes what is known
-// here the same as what the teller knows. Other pictures do by themselves.
-func (m *Mirror) Completes(p Picture) bool {
-	if !p.Unsure {
+// Completes reports whether applying an update makes this mirror hold the same as the sender's. It
+// compares digests if the sender may have missed removals; any other update is complete by itself.
+func (m *Mirror) Completes(u Picture) bool {
+	if !u.Unsure {
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	digest := m.digest
-	for _, e := range p.Events {
-		if known, ok := m.items[e.Key]; ok {
-			digest ^= digestOf(known)
+	for _, e := range u.Events {
+		if old, ok := m.items[e.Key]; ok {
+			digest ^= itemDigest(old)
 		}
 		if !e.Deleted {
-			digest ^= digestOf(e.Item)
+			digest ^= itemDigest(e.Item)
 		}
 	}
-	return digest == p.Digest
+	return digest == u.Digest
 }
 
-// Take takes in a picture and returns what this instance did not know yet. An
-// older one than known changes nothing but the time of confirmation.
-func (m *Mirror) Take(p Picture) Picture {
+// Take applies an update and returns the part of it that is new to this instance. An update older
+// than the mirror changes only the times of confirmation and liveness.
+func (m *Mirror) Take(u Picture) Picture {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.confirmed = max(m.confirmed, p.Confirmed)
-	m.live = max(m.live, p.Live)
+	m.confirmedAt = max(m.confirmedAt, u.Confirmed)
+	m.liveAt = max(m.liveAt, u.Live)
 	if m.revision == 0 {
-		m.horizon = p.Revision // what was removed before is not known
+		m.horizon = u.Revision // earlier removals are not known
 	}
-	if p.Whole && p.Revision >= m.revision {
-		m.removeAllBut(p)
-		m.horizon = max(m.horizon, p.Revision) // keys that came and went unseen before it
+	if u.Whole && u.Revision >= m.revision {
+		m.removeAllBut(u)
+		m.horizon = max(m.horizon, u.Revision) // keys may have been added and removed unnoticed before it
 	}
-	if p.Unsure {
-		m.horizon = max(m.horizon, p.Revision) // what was removed since is not known here either
+	if u.Unsure {
+		m.horizon = max(m.horizon, u.Revision) // removals since the last revision are not known here either
 	}
-	news := Picture{Whole: p.Whole && p.Revision >= m.revision, Revision: max(m.revision, p.Revision), Confirmed: p.Confirmed}
-	for _, e := range p.Events {
-		if m.apply(e) || news.Whole {
-			news.Events = append(news.Events, e)
+	added := Picture{Whole: u.Whole && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), Confirmed: u.Confirmed}
+	for _, e := range u.Events {
+		if m.applyEvent(e) || added.Whole {
+			added.Events = append(added.Events, e)
 		}
 	}
-	m.forget()
-	if p.Revision > m.revision {
-		m.revision = p.Revision
+	m.pruneRemovals()
+	if u.Revision > m.revision {
+		m.revision = u.Revision
 		m.wake()
 	}
-	return news
+	return added
 }
 
-// NoteWatch records whether this instance's own watch of the store brings news now.
-// Those that follow are told at once when it does not.
+// NoteWatch records whether this instance's own watch of the store works. If it does not, polls
+// that wait for a change are answered at once.
 func (m *Mirror) NoteWatch(now time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ok {
-		m.live = max(m.live, now)
+		m.liveAt = max(m.liveAt, now)
 	}
 	m.watching = ok
 	if !ok {
@@ -208,38 +220,38 @@
 	}
 }
 
-// Live returns until when news of the store were on their way to this instance.
+// Live returns the last time at which this instance had a live update source.
 func (m *Mirror) Live(now time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.watching {
 		return now
 	}
-	return m.live
+	return m.liveAt
 }
 
-// wake has those that wait for a change look again. The caller holds mu.
+// wake wakes the polls that wait for a change. The caller holds mu.
 func (m *Mirror) wake() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// removeAllBut notes the removal of every key that a whole picture does not show.
-// The caller holds mu.
-func (m *Mirror) removeAllBut(p Picture) {
-	present := make(map[string]bool, len(p.Events))
-	for _, e := range p.Events {
+// removeAllBut records the removal of every key that a snapshot does not contain. The caller holds
+// mu.
+func (m *Mirror) removeAllBut(snapshot Picture) {
+	present := make(map[string]bool, len(snapshot.Events))
+	for _, e := range snapshot.Events {
 		present[e.Key] = true
 	}
 	for key := range m.items {
 		if !present[key] {
-			m.setRemoved(key, p.Revision)
+			m.setRemoved(key, snapshot.Revision)
 		}
 	}
 }
 
-// apply takes in one change and reports whether it was new. The caller holds mu.
-func (m *Mirror) apply(e kv.Event) bool {
+// applyEvent applies one change and reports whether it was new. The caller holds mu.
+func (m *Mirror) applyEvent(e kv.Event) bool {
 	if e.Revision <= max(m.items[e.Key].Revision, m.removed[e.Key]) {
 		return false
 	}
@@ -252,8 +264,8 @@
 	return true
 }
 
-// forget drops the removals when there are too many. The caller holds mu.
-func (m *Mirror) forget() {
+// pruneRemovals drops all recorded removals when there are too many. The caller holds mu.
+func (m *Mirror) pruneRemovals() {
 	if len(m.removed) <= max(minTombstones, len(m.items)) {
 		return
 	}
@@ -263,48 +275,49 @@
 	clear(m.removed)
 }
 
-// Since returns what has changed after a revision, with a channel that is closed
-// when there may be more to tell. Who knows nothing, or too little, gets everything.
+// Since returns the changes after a revision, and a channel that is closed when there may be
+// further changes. A follower that has nothing yet, or whose revision is too old, gets a snapshot.
 func (m *Mirror) Since(after int64) (Picture, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := Picture{Revision: m.revision, Confirmed: m.confirmed, Whole: after < m.horizon}
+	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, Whole: after < m.horizon}
 	if after >= m.revision {
-		return p, m.changed
+		return u, m.changed
 	}
-	if p.Whole {
-		p.Events = slices.DeleteFunc(m.since(0), func(e kv.Event) bool { return e.Deleted })
-		return p, m.changed
+	if u.Whole {
+		u.Events = slices.DeleteFunc(m.changesSince(0), func(e kv.Event) bool { return e.Deleted })
+		return u, m.changed
 	}
-	p.Events = m.since(after)
-	return p, m.changed
+	u.Events = m.changesSince(after)
+	return u, m.changed
 }
 
-// Changes is Since for one that can check a digest: who knows so little that removals
-// since are not known here gets the changes as well, with the digest by which it sees
-// whether it must ask for everything.
+// Changes is Since for a follower that can check a digest. If the follower's revision is so old
+// that removals after it are not remembered here, it gets the changes with a digest, by which it
+// finds out whether it must ask for a snapshot.
 //
-// It answers the pattern of a start: each of many instances has read the store at a revision
-// of its own, nothing was removed, and each follows others that read it later. 300 that
-// sent one another everything then had 24 MB a second to send where one was asked
-// most; the changes are some 0.2 KB each.
+// This serves instances that start together: each has read the store at a revision of its own,
+// nothing was removed, and each polls others that read the store later. When 300 such instances
+// sent each other snapshots, the most polled one sent 24 MB a second; the changes are about 0.2 KB
+// each.
 func (m *Mirror) Changes(after int64) (Picture, <-chan struct{}) {
 	m.mu.Lock()
-	unsure := after > 0 && after < m.horizon && after < m.revision
-	if !unsure {
+	mayMissRemovals := after > 0 && after < m.horizon && after < m.revision
+	if !mayMissRemovals {
 		m.mu.Unlock()
 		return m.Since(after)
 	}
 	defer m.mu.Unlock()
-	p := Picture{Revision: m.revision, Confirmed: m.confirmed, Unsure: true, Digest: m.digest}
-	p.Events = m.since(after)
-	return p, m.changed
+	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, Unsure: true, Digest: m.digest}
+	u.Events = m.changesSince(after)
+	return u, m.changed
 }
 
-// since returns the changes after a revision, in their order. It costs what has changed, not
-// what the store holds: hundreds may ask at each change. The caller holds mu.
-func (m *Mirror) since(after int64) []kv.Event {
-	first, _ := slices.BinarySearchFunc(m.history, after+1, byHistory)
+// changesSince returns the changes after a revision, in order. Its cost grows with the number of
+// changes, not with the size of the store, since hundreds of followers may poll at each change. The
+// caller holds mu.
+func (m *Mirror) changesSince(after int64) []kv.Event {
+	first, _ := slices.BinarySearchFunc(m.history, after+1, compareRevision)
 	var events []kv.Event
 	for _, c := range m.history[first:] {
 		if item, ok := m.items[c.key]; ok && item.Revision == c.revision {
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -16,71 +16,71 @@
 )
 
 const (
-	// packFrom is the least size of the values of an answer whose items are passed on compressed.
-	// Below it, what compressing costs is more than what is saved.
-	packFrom = 4 << 10
-	// packedKept is how many packed answers are kept. Those that follow one watcher ask alike:
-	// for what came last, or, when they have just started, for everything.
-	packedKept = 4
-	// wholeKept is for how long a packed answer that holds everything serves those that know
-	// nothing yet. They ask for what is missing next.
-	wholeKept = 500 * time.Millisecond
+	// minPackedBytes is the least total size of keys and values from which an answer's items are
+	// compressed. Below it, compression costs more than it saves.
+	minPackedBytes = 4 << 10
+	// maxPackedAnswers is how many packed answers are cached. The followers of one watcher ask for
+	// the same: the latest change or, if they have just started, a snapshot.
+	maxPackedAnswers = 4
+	// snapshotTTL is how long a packed snapshot is served to instances that have nothing yet. They
+	// ask for the changes after it next.
+	snapshotTTL = 500 * time.Millisecond
 )
 
-// packer compresses the items of answers, each once however many ask for the same. It is safe for
-// concurrent use.
+// packer compresses the items of answers and caches the result, so that each answer is compressed
+// once for all followers that ask for it. It is safe for concurrent use.
 type packer struct {
 	mu     sync.Mutex     // guards recent
-	recent []packedAnswer // the latest last
+	recent []packedAnswer // oldest first
 }
 
-// packedAnswer is a picture whose events are packed.
+// packedAnswer is an update whose events are packed.
 type packedAnswer struct {
-	Picture // without events
-	after   int64
-	packed  []byte
-	madeAt  time.Duration
+	Picture   // without events
+	after     int64
+	packed    []byte
+	createdAt time.Duration
 }
 
-// whole returns a packed picture of everything that was made a moment ago.
-func (p *packer) whole(now time.Duration) (packedAnswer, bool) {
+// cachedSnapshot returns a packed snapshot that is not older than snapshotTTL.
+func (p *packer) cachedSnapshot(now time.Duration) (packedAnswer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range slices.Backward(p.recent) {
-		if a.Whole && now-a.madeAt < wholeKept {
+		if a.Whole && now-a.createdAt < snapshotTTL {
 			return a, true
 		}
 	}
 	return packedAnswer{}, false
 }
 
-// pack returns the events of a picture for one who knows a revision, packed; nil when they are to
-// be passed on as they are.
-func (p *packer) pack(now time.Duration, after int64, picture Picture) []byte {
-	if sizeOf(picture.Events) < packFrom {
+// pack returns the packed events of an update for a follower at revision after. It returns nil if
+// the events are to be sent uncompressed.
+func (p *packer) pack(now time.Duration, after int64, update Picture) []byte {
+	if payloadSize(update.Events) < minPackedBytes {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.recent {
-		if a.after == after && a.Whole == picture.Whole && a.Revision == picture.Revision {
+		if a.after == after && a.Whole == update.Whole && a.Revision == update.Revision {
 			return a.packed
 		}
 	}
-	raw, err := proto.Marshal(&feedpb.Items{Items: encodeItems(picture.Events)})
+	raw, err := proto.Marshal(&feedpb.Items{Items: encodeItems(update.Events)})
 	if err != nil {
-		return nil // as for keys that are no text; as they are, the call tells
+		return nil // for example a key that is not valid UTF-8; sending the items uncompressed then reports the error
 	}
-	a := packedAnswer{Picture: picture, after: after, packed: deflate(raw), madeAt: now}
+	a := packedAnswer{Picture: update, after: after, packed: deflate(raw), createdAt: now}
 	a.Events = nil
-	if len(p.recent) == packedKept {
+	if len(p.recent) == maxPackedAnswers {
 		p.recent = slices.Delete(p.recent, 0, 1)
 	}
 	p.recent = append(p.recent, a)
 	return a.packed
 }
 
-func sizeOf(events []kv.Event) int {
+func payloadSize(events []kv.Event) int {
 	size := 0
 	for _, e := range events {
 		size += len(e.Key) + len(e.Value)
@@ -96,9 +96,9 @@
 	return items
 }
 
-// unpack returns packed items.
+// unpack decompresses and decodes packed items.
 func unpack(packed []byte) ([]*feedpb.Item, error) {
-	raw, err := inflate(packed, maxAnswer)
+	raw, err := inflate(packed, maxAnswerBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -117,15 +117,15 @@
 	return b.Bytes()
 }
 
-// inflate returns what was compressed. More than is left of what an answer may hold is an
-// error.
-func inflate(deflated []byte, left int) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(deflated)), int64(left)+1))
+// inflate decompresses a value. A result of more than maxBytes, the part of maxAnswerBytes that the
+// answer has left, is an error.
+func inflate(deflated []byte, maxBytes int) ([]byte, error) {
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(deflated)), int64(maxBytes)+1))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("a compressed value: %w", err)
-	case len(value) > left:
-		return nil, fmt.Errorf("compressed values of more than %d bytes in one answer", maxAnswer)
+		return nil, fmt.Errorf("decompress value: %w", err)
+	case len(value) > maxBytes:
+		return nil, fmt.Errorf("compressed values of one answer exceed %d bytes", maxAnswerBytes)
 	}
 	return value, nil
 }
--- a/internal/feed/pack_test.go
+++ b/internal/feed/pack_test.go
@@ -15,9 +15,9 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// large returns the event of a key whose value is passed on compressed.
+// large returns the event of a key whose value is sent compressed.
 func large(revision int64) kv.Event {
-	value := bytes.Repeat([]byte(`{"name":"r-68k7b2e","service":"huvo11a"},`), packFrom/20)
+	value := bytes.Repeat([]byte(`{"name":"r-68k7b2e","service":"huvo11a"},`), minPackedBytes/20)
 	return kv.Event{Item: kv.Item{Key: "config", Value: value, Revision: revision}}
 }
 
@@ -28,9 +28,9 @@
 	return reply
 }
 
-// The load: a configuration that grows with the fleet, of which each version is passed on to all
-// that follow. It is compressed once, and all have what the store holds.
-func TestLargeAnswersArePassedOnCompressed(t *testing.T) {
+// The configuration grows with the fleet, and each version is sent to all followers. It must be
+// compressed only once, and all followers must get the contents of the store.
+func TestLargeAnswersAreCompressedOnce(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Take(Picture{Whole: true, Revision: 7, Events: []kv.Event{large(7), put("a", 3)}})
 	s := NewServer(mirror, func() time.Duration { return 0 })
@@ -42,46 +42,46 @@
 		if first == nil {
 			first = reply.Packed
 		}
-		must.True(t, &first[0] == &reply.Packed[0], must.Sprint("compressed again"))
-		p, err := decode(reply, 0)
+		must.True(t, &first[0] == &reply.Packed[0], must.Sprint("the answer was compressed again"))
+		u, err := decode(reply, 0)
 		must.NoError(t, err)
-		must.True(t, p.Whole)
-		must.Len(t, 2, p.Events)
-		must.Eq(t, put("a", 3), p.Events[0])
-		must.True(t, bytes.Equal(large(7).Value, p.Events[1].Value))
+		must.True(t, u.Whole)
+		must.Len(t, 2, u.Events)
+		must.Eq(t, put("a", 3), u.Events[0])
+		must.True(t, bytes.Equal(large(7).Value, u.Events[1].Value))
 	}
 	mirror.Take(Picture{Revision: 8, Events: []kv.Event{large(8)}})
-	p, err := decode(ask(t, s, &feedpb.FollowRequest{After: 7, Unpacks: true}), 0)
+	u, err := decode(ask(t, s, &feedpb.FollowRequest{After: 7, Unpacks: true}), 0)
 	must.NoError(t, err)
-	must.Len(t, 1, p.Events)
-	must.True(t, bytes.Equal(large(8).Value, p.Events[0].Value))
+	must.Len(t, 1, u.Events)
+	must.True(t, bytes.Equal(large(8).Value, u.Events[0].Value))
 }
 
-// The load: hundreds of instances start together and know nothing, while the store changes all the
-// time. They get what was packed a moment ago, with the revision and the time that it is of, and
-// ask for the rest; later ones get everything as it is then.
-func TestThoseThatStartShareAPicture(t *testing.T) {
+// Hundreds of instances start together with nothing while the store keeps changing. They share a
+// cached snapshot, with its own revision and confirmation time, and poll for the changes after it.
+// Later ones get a new snapshot.
+func TestStartingInstancesShareSnapshot(t *testing.T) {
 	mirror, now := NewMirror(), time.Second
 	s := NewServer(mirror, func() time.Duration { return now })
 	mirror.Take(Picture{Whole: true, Revision: 7, Events: []kv.Event{large(7)}, Confirmed: now})
 	ask(t, s, &feedpb.FollowRequest{Unpacks: true})
-	now += wholeKept / 2
+	now += snapshotTTL / 2
 	mirror.Take(Picture{Revision: 9, Events: []kv.Event{put("b", 9)}, Confirmed: now})
-	p, err := decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
+	u, err := decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
 	must.NoError(t, err)
-	must.Eq(t, 7, p.Revision)
-	must.Eq(t, time.Second, p.Confirmed)
-	p, err = decode(ask(t, s, &feedpb.FollowRequest{After: p.Revision, Unpacks: true}), now)
+	must.Eq(t, 7, u.Revision)
+	must.Eq(t, time.Second, u.Confirmed)
+	u, err = decode(ask(t, s, &feedpb.FollowRequest{After: u.Revision, Unpacks: true}), now)
 	must.NoError(t, err)
-	must.Eq(t, []kv.Event{put("b", 9)}, p.Events)
-	now += wholeKept
-	p, err = decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
+	must.Eq(t, []kv.Event{put("b", 9)}, u.Events)
+	now += snapshotTTL
+	u, err = decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
 	must.NoError(t, err)
-	must.Eq(t, 9, p.Revision)
+	must.Eq(t, 9, u.Revision)
 }
 
-// The load: those that follow have not all heard the same. Few answers are kept, whatever is asked.
-func TestFewPackedAnswersAreKept(t *testing.T) {
+// Followers poll from different revisions. The number of cached answers stays bounded.
+func TestPackedAnswerCacheIsBounded(t *testing.T) {
 	var events []kv.Event
 	for n := range 200 {
 		e := large(int64(n + 1))
@@ -92,15 +92,15 @@
 	mirror.Take(Picture{Whole: true, Revision: 200, Events: events})
 	s := NewServer(mirror, func() time.Duration { return 0 })
 	for n := range int64(20) {
-		p, err := decode(ask(t, s, &feedpb.FollowRequest{After: 180 + n, Checks: true, Unpacks: true}), 0)
+		u, err := decode(ask(t, s, &feedpb.FollowRequest{After: 180 + n, Checks: true, Unpacks: true}), 0)
 		must.NoError(t, err)
-		must.Len(t, int(20-n), p.Events)
+		must.Len(t, int(20-n), u.Events)
 	}
-	must.Len(t, packedKept, s.packer.recent)
+	must.Len(t, maxPackedAnswers, s.packer.recent)
 }
 
-// An instance of the version before cannot unpack, and does not say that it can.
-func TestOlderVersionsGetAnswersAsTheyAre(t *testing.T) {
+// An instance of the previous version does not announce that it can unpack, and gets plain items.
+func TestOlderVersionsGetUncompressedAnswers(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Take(Picture{Whole: true, Revision: 7, Events: []kv.Event{large(7)}})
 	reply := ask(t, NewServer(mirror, func() time.Duration { return 0 }), &feedpb.FollowRequest{Inflates: true})
@@ -108,27 +108,27 @@
 	must.SliceEmpty(t, reply.Packed)
 }
 
-// One of the version before passes on large values that are compressed one by one.
+// An instance of the previous version may send large values compressed one by one.
 func TestCompressedValuesOfOlderVersions(t *testing.T) {
 	item := &feedpb.Item{Key: "config", Revision: 1, Deflated: deflate(large(1).Value)}
-	p, err := decode(&feedpb.FollowReply{Revision: 1, Items: []*feedpb.Item{item}}, 0)
+	u, err := decode(&feedpb.FollowReply{Revision: 1, Items: []*feedpb.Item{item}}, 0)
 	must.NoError(t, err)
-	must.True(t, bytes.Equal(large(1).Value, p.Events[0].Value))
+	must.True(t, bytes.Equal(large(1).Value, u.Events[0].Value))
 }
 
-// The failure: what another instance tells is cut short, is not compressed, holds no items, or would
-// take more memory than an answer may. The question has failed then, and nothing is taken in.
-func TestBrokenCompressedAnswers(t *testing.T) {
+// An answer that is truncated, not compressed, without items, or larger than allowed when
+// decompressed is an error, and nothing of it is applied.
+func TestInvalidCompressedAnswers(t *testing.T) {
 	noise := make([]byte, 1000)
 	random := rand.NewChaCha8([32]byte{1})
 	_, _ = random.Read(noise)
 	raw, err := proto.Marshal(&feedpb.Items{Items: encodeItems([]kv.Event{large(1)})})
 	must.NoError(t, err)
-	whole := deflate(raw)
+	valid := deflate(raw)
 	for name, deflated := range map[string][]byte{
-		"cut short": whole[:len(whole)/2],
+		"cut short": valid[:len(valid)/2],
 		"noise":     noise,
-		"too large": deflate(make([]byte, maxAnswer+1)),
+		"too large": deflate(make([]byte, maxAnswerBytes+1)),
 		"no items":  deflate(noise),
 	} {
 		_, err := decode(&feedpb.FollowReply{Revision: 1, Packed: deflated}, 0)
--- a/internal/feed/regions_test.go
+++ b/internal/feed/regions_test.go
@@ -10,9 +10,9 @@
 	"github.com/stackspindle/stackspindle/internal/ownership"
 )
 
-// The failure: the watcher of a data centre is gone, and the store does not answer. Those that
-// followed it turn to a watcher of their own region before they cross to another one.
-func TestSourcesInTheOwnRegionFirst(t *testing.T) {
+// The only watcher of a data centre fails and the store does not answer. The watcher's followers
+// must poll a watcher of their own region before one of another region.
+func TestSourcesInOwnRegionFirst(t *testing.T) {
 	alive := append(append(instances("a", 3), instances("b", 3)...), instances("c", 3)...)
 	s := NewSources(follower(alive))
 	s.Locate(locality.New(map[string]string{"a": "x", "b": "y", "c": "x"}))
@@ -24,9 +24,9 @@
 	must.Eq(t, Watchers(alive, "b")[0], s.Next(0, alive).Name)
 }
 
-// The load: a data centre has few strong instances among many weak ones. The strong ones watch the
-// store, fewer of them than of weak ones would have to, and share those that follow.
-func TestStrongInstancesWatch(t *testing.T) {
+// A data centre has few instances of high capacity among many of low capacity. The watchers are
+// high-capacity instances, fewer than there would be low-capacity ones, and share the followers.
+func TestHighCapacityInstancesWatch(t *testing.T) {
 	alive := instances("a", 200)
 	for n := range alive {
 		alive[n].Weight = 1
@@ -44,10 +44,10 @@
 	}
 	must.MapLen(t, len(watchers), followers)
 	for name, n := range followers {
-		must.LessEq(t, mostPerWatcher*3/2, n, must.Sprint(name))
+		must.LessEq(t, maxPerWatcher*3/2, n, must.Sprint(name))
 		at := slices.IndexFunc(alive, func(i ownership.Instance) bool { return i.Name == name })
 		must.Eq(t, 8, alive[at].Weight)
 	}
 	weak := slices.DeleteFunc(alive, func(i ownership.Instance) bool { return i.Weight > 1 })
-	must.Len(t, len(weak)/instancesPerWatcher, Watchers(weak, "a"), must.Sprint("all strong ones are lost"))
+	must.Len(t, len(weak)/instancesPerWatcher, Watchers(weak, "a"), must.Sprint("all high-capacity instances are lost"))
 }
--- a/internal/feed/seed_test.go
+++ b/internal/feed/seed_test.go
@@ -9,7 +9,7 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// The seed is the one that showed the fault of TestRemovalBeforeAWholePicture.
+// The seed reproduces the fault that TestRemovalBeforeSnapshot guards against.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "11499380903517595110", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -18,16 +18,16 @@
 	}
 }
 
-// A watcher reads the store anew and does not learn of a key that came and went
-// meanwhile. One that follows it, and has seen the key come, must be told that it is gone.
-func TestRemovalBeforeAWholePicture(t *testing.T) {
+// A watcher reads the store again and misses a key that was added and removed in between. A
+// follower that has the key must get its removal.
+func TestRemovalBeforeSnapshot(t *testing.T) {
 	watcher, follower := NewMirror(), NewMirror()
 	watcher.Take(Picture{Whole: true, Revision: 1, Events: []kv.Event{put("a", 1)}})
 	follower.Take(Picture{Whole: true, Revision: 2, Events: []kv.Event{put("a", 1), put("b", 2)}})
-	watcher.Take(Picture{Whole: true, Revision: 4, Events: []kv.Event{put("a", 4)}}) // b went at 3
+	watcher.Take(Picture{Whole: true, Revision: 4, Events: []kv.Event{put("a", 4)}}) // b was removed at 3
 
-	news, _ := watcher.Since(follower.Revision())
-	follower.Take(news)
+	update, _ := watcher.Since(follower.Revision())
+	follower.Take(update)
 	held, _ := follower.Since(0)
 	must.Len(t, 1, held.Events)
 	must.Eq(t, "a", held.Events[0].Key)
