--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -1,5 +1,6 @@
-// Package peerconn holds the connections of one instance to others, by address.
-// They are opened when they are first needed.
+// Package peerconn holds the gRPC connections of one instance to the others, by address, and counts
+// their traffic. A connection is opened on first use, and replaced if it stops answering without an
+// error.
 package peerconn
 
 import (
@@ -21,46 +22,45 @@
 
 // Settings of the connections.
 const (
-	connectBackoff = 50 * time.Millisecond  // an instance that restarts is asked again soon
-	maxBackoff     = 500 * time.Millisecond // of one that stays away
-	connectTimeout = 500 * time.Millisecond // links have delays of milliseconds
-	// linger is for how long a connection that was given up serves what is under way
-	// on it. It is longer than operators let a statement take; a connection that
-	// lingers costs a descriptor.
-	linger = 30 * time.Second
-	// minRenewal is the least time after which the connection to an address, which was
-	// given up as silent, is given up again. It doubles with each time, up to maxRenewal,
-	// and is forgotten after forgetRenewals. An instance that is busy, as all are that
-	// start together, answers late: connections that were given up after each such call and
-	// opened anew, 95 a second on each of 100 instances, left them no time for anything
-	// else.
-	minRenewal     = 500 * time.Millisecond
-	maxRenewal     = 8 * time.Second
-	forgetRenewals = 4 * maxRenewal
-	// bufferSize is the size of the buffer in which a connection is read, and of the
-	// one in which it is written, which the connections that write nothing now do without. A
-	// statement or an answer has some 400 bytes, a picture of the store more. With the
-	// library's 32 KB a fleet of 295 instances has 37 MB of them on each.
+	connectBackoff = 50 * time.Millisecond  // short, since an instance that restarts is back soon
+	maxBackoff     = 500 * time.Millisecond // while an instance stays unreachable
+	connectTimeout = 500 * time.Millisecond // network latencies are milliseconds
+	// closeDelay is how long a replaced connection stays open for the calls in flight on it. It is
+	// longer than the statement timeouts that operators set; an open connection costs a file
+	// descriptor.
+	closeDelay = 30 * time.Second
+	// minReplaceInterval is the least time between two replacements of the unresponsive connection
+	// to an address. It doubles with each replacement, up to maxReplaceInterval, and is reset after
+	// replaceReset without one. An overloaded instance answers late, as all do that start together:
+	// when connections were replaced after each late call, 95 a second on each of 100 instances,
+	// the instances had no time for anything else.
+	minReplaceInterval = 500 * time.Millisecond
+	maxReplaceInterval = 8 * time.Second
+	replaceReset       = 4 * maxReplaceInterval
+	// bufferSize is the size of a connection's read buffer, and of its write buffer, which idle
+	// connections release. A statement or an answer has some 400 bytes, a snapshot of the store
+	// more. With the library's default of 32 KB, each instance of a fleet of 295 would hold 37 MB
+	// of buffers.
 	bufferSize = 4 << 10
 )
 
-// Settings of the connections that an instance accepts. A transaction that another has
-// open here holds one of the few connections to a member, so its end must be noticed soon.
-// The operating system asks, which wakes neither process; the library's own question to
-// each of 295 instances every 2 s would wake one 150 times a second.
+// TCP keep-alive settings of the connections that an instance accepts. A transaction that a peer
+// has open here holds one of the few connections to a member, so the loss of the peer must be
+// noticed soon. Keep-alive probes of the operating system wake neither process; gRPC keep-alives to
+// each of 295 instances every 2 s would wake a process 150 times a second.
 const (
-	peerIdle    = 2 * time.Second // without a word, after which the other side is asked
-	peerAsk     = 500 * time.Millisecond
-	peerSilence = 2 // questions without an answer
+	keepAliveIdle     = 2 * time.Second // without traffic before the first probe
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 2 // unanswered probes before the connection is closed
 )
 
-// Listen opens the listener for other instances.
+// Listen opens the listener for other instances, with keep-alive probes.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: peerIdle, Interval: peerAsk, Count: peerSilence}}
+	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}}
 	return config.Listen(ctx, "tcp", address)
 }
 
-// ServerOptions are the options of a server to which such connections lead.
+// ServerOptions returns the options of the gRPC server for other instances.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize)}
 }
@@ -68,41 +68,41 @@
 // Conns holds the connections. It is safe for concurrent use.
 type Conns struct {
 	now     func() time.Time
-	traffic *Traffic // nil: nothing is counted
+	traffic *Traffic // nil: traffic is not counted
 
-	mu       sync.Mutex // guards the maps
-	conns    map[string]*grpc.ClientConn
-	renewals map[string]*renewal // by address
+	mu           sync.Mutex // guards the maps
+	conns        map[string]*grpc.ClientConn
+	replacements map[string]*replacement // by address
 }
 
-// renewal is when the connection to an address was last given up as silent.
-type renewal struct {
+// replacement records when the connection to an address was last replaced.
+type replacement struct {
 	at    time.Time
-	pause time.Duration // before the next
+	pause time.Duration // before the next replacement
 }
 
-// due reports whether a connection on which a call got no answer in time is to be
-// given up, and takes it that it is.
-func (r *renewal) due(now time.Time) bool {
+// allow reports whether an unresponsive connection may be replaced now. If so, it records the
+// replacement.
+func (r *replacement) allow(now time.Time) bool {
 	since := now.Sub(r.at)
 	switch {
-	case r.at.IsZero() || since >= forgetRenewals:
-		r.pause = minRenewal
+	case r.at.IsZero() || since >= replaceReset:
+		r.pause = minReplaceInterval
 	case since < r.pause:
 		return false
 	default:
-		r.pause = min(2*r.pause, maxRenewal)
+		r.pause = min(2*r.pause, maxReplaceInterval)
 	}
 	r.at = now
 	return true
 }
 
-// New returns an empty set.
+// New returns an empty set of connections.
 func New() *Conns {
-	return &Conns{now: time.Now, conns: make(map[string]*grpc.ClientConn), renewals: make(map[string]*renewal)}
+	return &Conns{now: time.Now, conns: make(map[string]*grpc.ClientConn), replacements: make(map[string]*replacement)}
 }
 
-// Count has the calls counted. It is called before the first connection is used.
+// Count sets where traffic is counted. It must be called before the first connection is opened.
 func (c *Conns) Count(t *Traffic) { c.traffic = t }
 
 // Get returns the connection to an address.
@@ -120,7 +120,7 @@
 		}),
 		grpc.WithContextDialer(dial),
 		grpc.WithReadBufferSize(bufferSize), grpc.WithWriteBufferSize(bufferSize),
-		grpc.WithUnaryInterceptor(c.renewSilent(address)),
+		grpc.WithUnaryInterceptor(c.replaceUnresponsive(address)),
 	)
 	conn, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
@@ -130,50 +130,50 @@
 	return conn, nil
 }
 
-// dial opens a connection on which bytes that are not acknowledged are noticed.
+// dial opens a connection with a bound on how long sent bytes may stay unacknowledged.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Control: socket.Options}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// renewSilent gives a connection up on which a call got no answer in time, although
-// it is established: it may have gone silent without a reset, while new ones work.
-// The next use opens another.
-func (c *Conns) renewSilent(address string) grpc.UnaryClientInterceptor {
+// replaceUnresponsive replaces an established connection on which a call timed out: the network may
+// drop its packets without a reset while new connections work. The next call opens the new
+// connection.
+func (c *Conns) replaceUnresponsive(address string) grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, req, reply any, conn *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 		err := invoker(ctx, method, req, reply, conn, opts...)
 		if status.Code(err) == codes.DeadlineExceeded && conn.GetState() == connectivity.Ready {
-			c.giveUp(address, conn)
+			c.replace(address, conn)
 		}
 		return err
 	}
 }
 
-// giveUp forgets a connection and closes it once what is under way has had its time.
-func (c *Conns) giveUp(address string, conn *grpc.ClientConn) {
+// replace drops a connection and closes it after closeDelay, when the calls in flight are over.
+func (c *Conns) replace(address string, conn *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[address] != conn {
 		return
 	}
-	r := c.renewals[address]
+	r := c.replacements[address]
 	if r == nil {
-		r = &renewal{}
-		c.renewals[address] = r
+		r = &replacement{}
+		c.replacements[address] = r
 	}
-	if !r.due(c.now()) {
+	if !r.allow(c.now()) {
 		return
 	}
 	delete(c.conns, address)
-	time.AfterFunc(linger, func() { _ = conn.Close() }) // nothing that matters is under way by then
+	time.AfterFunc(closeDelay, func() { _ = conn.Close() }) // no call of interest is in flight by then
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Conns) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conn := range c.conns {
-		_ = conn.Close() // nothing is under way on it
+		_ = conn.Close() // the process stops, nobody waits for the calls in flight
 		delete(c.conns, address)
 	}
 }
--- a/internal/peerconn/replacement_test.go
+++ b/internal/peerconn/replacement_test.go
@@ -7,27 +7,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// The load: an instance that answers late, asked over and over. One connection after
-// another to it would cost both what they need to answer in time.
-func TestBusyInstanceIsNotConnectedOverAndOver(t *testing.T) {
-	r, now, renewals := &renewal{}, time.Unix(0, 0), 0
-	for range 100 { // calls of 0.3 s, for half a minute
+// Repeated calls to an overloaded instance that answers late must not open one connection after
+// another: that would cost both sides the time that they need to answer.
+func TestReplacementBackoff(t *testing.T) {
+	r, now, replacements := &replacement{}, time.Unix(0, 0), 0
+	for range 100 { // calls of 0.3 s each, for 30 s
 		now = now.Add(300 * time.Millisecond)
-		if r.due(now) {
-			renewals++
+		if r.allow(now) {
+			replacements++
 		}
 	}
-	must.Eq(t, 7, renewals)
+	must.Eq(t, 7, replacements)
 }
 
-// A connection that has gone silent for good is given up with the first call, also when that
-// happened before, long ago.
-func TestSilentConnectionIsGivenUpAtOnce(t *testing.T) {
-	r := &renewal{}
-	must.True(t, r.due(time.Unix(1, 0)))
-	must.False(t, r.due(time.Unix(1, 0).Add(minRenewal-1)))
-	must.True(t, r.due(time.Unix(1, 0).Add(minRenewal)))
-	later := time.Unix(2, 0).Add(forgetRenewals)
-	must.True(t, r.due(later))
-	must.True(t, r.due(later.Add(minRenewal)))
+// An unresponsive connection is replaced after the first call that times out, also if the
+// connection to that address was replaced before, long ago.
+func TestUnresponsiveConnectionIsReplacedAtOnce(t *testing.T) {
+	r := &replacement{}
+	must.True(t, r.allow(time.Unix(1, 0)))
+	must.False(t, r.allow(time.Unix(1, 0).Add(minReplaceInterval-1)))
+	must.True(t, r.allow(time.Unix(1, 0).Add(minReplaceInterval)))
+	later := time.Unix(2, 0).Add(replaceReset)
+	must.True(t, r.allow(later))
+	must.True(t, r.allow(later.Add(minReplaceInterval)))
 }
--- a/internal/peerconn/traffic.go
+++ b/internal/peerconn/traffic.go
@@ -12,15 +12,15 @@
 	"github.com/stackspindle/stackspindle/internal/locality"
 )
 
-// Traffic counts the messages of calls to other instances, and their bytes, by method and by
-// how far the other instance is. Only the side that calls counts, both ways. It is safe for
+// Traffic counts the messages and bytes of calls to other instances, by method and by the distance
+// to the other instance. Only the calling side counts, in both directions. It is safe for
 // concurrent use.
 type Traffic struct {
 	set      *metrics.Set
 	distance func(address string) locality.Distance
 
 	mu     sync.Mutex // guards counts
-	counts map[trafficKey]traffic
+	counts map[trafficKey]counters
 }
 
 type trafficKey struct {
@@ -28,57 +28,57 @@
 	distance locality.Distance
 }
 
-// traffic is what is counted of the calls of one method to one distance.
-type traffic struct {
+// counters count the calls of one method to instances at one distance.
+type counters struct {
 	messages, bytes *metrics.Counter
 }
 
-// NewTraffic returns what counts in a set. distance tells how far the instance at an
-// address is; it is asked when a connection is opened.
+// NewTraffic returns traffic counters in a metrics set. distance returns how far away the instance
+// at an address is; it is called when a connection is opened.
 func NewTraffic(set *metrics.Set, distance func(address string) locality.Distance) *Traffic {
-	return &Traffic{set: set, distance: distance, counts: make(map[trafficKey]traffic)}
+	return &Traffic{set: set, distance: distance, counts: make(map[trafficKey]counters)}
 }
 
-// of returns the counters of a method and a distance.
-func (t *Traffic) of(key trafficKey) traffic {
+// countersFor returns the counters of a method and a distance.
+func (t *Traffic) countersFor(key trafficKey) counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counted, ok := t.counts[key]
+	c, ok := t.counts[key]
 	if !ok {
 		labels := `{method="` + key.method + `",distance="` + key.distance.String() + `"}`
-		counted = traffic{
+		c = counters{
 			messages: t.set.NewCounter("stackspindle_peer_messages_total" + labels),
 			bytes:    t.set.NewCounter("stackspindle_peer_bytes_total" + labels),
 		}
-		t.counts[key] = counted
+		t.counts[key] = c
 	}
-	return counted
+	return c
 }
 
-// Tally is what has passed in the calls of one method.
+// Tally is the total traffic of the calls of one method.
 type Tally struct {
 	Messages, Bytes uint64
 }
 
-// Sub returns what has passed since an earlier tally.
+// Sub returns the traffic since an earlier total.
 func (t Tally) Sub(earlier Tally) Tally {
 	return Tally{Messages: t.Messages - earlier.Messages, Bytes: t.Bytes - earlier.Bytes}
 }
 
-// To returns what has passed to instances at a distance and back, by method.
+// To returns the traffic with instances at a distance, by method.
 func (t *Traffic) To(distance locality.Distance) map[string]Tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	passed := make(map[string]Tally)
-	for key, counted := range t.counts {
+	totals := make(map[string]Tally)
+	for key, c := range t.counts {
 		if key.distance == distance {
-			passed[key.method] = Tally{Messages: counted.messages.Get(), Bytes: counted.bytes.Get()}
+			totals[key.method] = Tally{Messages: c.messages.Get(), Bytes: c.bytes.Get()}
 		}
 	}
-	return passed
+	return totals
 }
 
-// options returns the options by which the connection to an address is counted.
+// options returns the dial options that count the traffic of a connection.
 func (t *Traffic) options(address string) []grpc.DialOption {
 	if t == nil {
 		return nil
@@ -86,7 +86,7 @@
 	return []grpc.DialOption{grpc.WithStatsHandler(meter{traffic: t, distance: t.distance(address)})}
 }
 
-// meter counts what passes on one connection.
+// meter counts the traffic of one connection.
 type meter struct {
 	traffic  *Traffic
 	distance locality.Distance
@@ -98,24 +98,24 @@
 
 // TagRPC implements stats.Handler.
 func (m meter) TagRPC(ctx context.Context, info *stats.RPCTagInfo) context.Context {
-	return context.WithValue(ctx, callKey{}, m.traffic.of(trafficKey{method: path.Base(info.FullMethodName), distance: m.distance}))
+	return context.WithValue(ctx, callKey{}, m.traffic.countersFor(trafficKey{method: path.Base(info.FullMethodName), distance: m.distance}))
 }
 
 // HandleRPC implements stats.Handler.
 func (m meter) HandleRPC(ctx context.Context, event stats.RPCStats) {
-	counted, ok := ctx.Value(callKey{}).(traffic)
+	c, ok := ctx.Value(callKey{}).(counters)
 	if !ok {
 		return
 	}
 	switch e := event.(type) {
 	case *stats.OutPayload:
-		counted.add(e.WireLength)
+		c.add(e.WireLength)
 	case *stats.InPayload:
-		counted.add(e.WireLength)
+		c.add(e.WireLength)
 	}
 }
 
-func (t traffic) add(bytes int) {
+func (t counters) add(bytes int) {
 	t.messages.Inc()
 	t.bytes.Add(bytes)
 }
--- a/internal/peerconn/traffic_test.go
+++ b/internal/peerconn/traffic_test.go
@@ -14,21 +14,21 @@
 	"github.com/stackspindle/stackspindle/internal/relay/relaypb"
 )
 
-// pinged answers pings only.
-type pinged struct {
+// pingServer answers pings only.
+type pingServer struct {
 	relaypb.UnimplementedCarrierServer
 }
 
-func (pinged) Ping(context.Context, *relaypb.PingRequest) (*relaypb.PingReply, error) {
+func (pingServer) Ping(context.Context, *relaypb.PingRequest) (*relaypb.PingReply, error) {
 	return &relaypb.PingReply{}, nil
 }
 
-// A question and its answer count as two messages, by how far the other side is.
-func TestMessagesAreCounted(t *testing.T) {
+// A request and its answer count as two messages, at the distance of the other instance.
+func TestTrafficIsCounted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer(ServerOptions()...)
-	relaypb.RegisterCarrierServer(server, pinged{})
+	relaypb.RegisterCarrierServer(server, pingServer{})
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(server.Stop)
 	set := metrics.NewSet()
@@ -43,8 +43,8 @@
 	var text bytes.Buffer
 	set.WritePrometheus(&text)
 	must.StrContains(t, text.String(), `stackspindle_peer_messages_total{method="Ping",distance="other_region"} 2`)
-	passed := traffic.To(locality.OtherRegion)["Ping"]
-	must.Eq(t, 2, passed.Messages)
-	must.Greater(t, 0, passed.Bytes)
+	total := traffic.To(locality.OtherRegion)["Ping"]
+	must.Eq(t, 2, total.Messages)
+	must.Greater(t, 0, total.Bytes)
 	must.MapEmpty(t, traffic.To(locality.SameRegion))
 }
