--- a/internal/fleet/accounts_test.go
+++ b/internal/fleet/accounts_test.go
@@ -17,7 +17,7 @@
 	unknownKey = "qzwxunknownkeyqzwx"
 )
 
-// accountsDecoder declares one client account beside what the documents hold.
+// accountsDecoder adds one client account to the decoded configuration.
 type accountsDecoder struct{ jsonDecoder }
 
 func (d accountsDecoder) Config(raw []byte) (topology.Config, error) {
@@ -46,9 +46,9 @@
 	return bytes.Contains(o.buf.Bytes(), []byte(text))
 }
 
-// Callers prove who they are at every instance, carrier or not; members are told the
-// account, and no key stands in the logs, down to the most talkative level, or in the metrics.
-func TestKeysStayWithTheirCallers(t *testing.T) {
+// Clients are authenticated at every instance, carrier or not; members get the account's name, and
+// no key appears in the logs, at any level, or in the metrics.
+func TestAccountKeysDoNotLeak(t *testing.T) {
 	var logs output
 	config := testConfig()
 	config.Groups[0].MaxConnections = scarce
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -12,17 +12,17 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// memberGrace is how long a member whose entry has vanished is still used.
-// Entries that lapse while the store is away, or while their member cannot
-// reach it, come back; work for one that is gone must end within 7 s.
+// memberGrace is how long a member is still used after its entry was removed from the store.
+// Entries come back if they expired during a store outage or while their member could not reach the
+// store. Work for a member that has left must end within 7 s.
 const memberGrace = 4 * time.Second
 
-// departedMemory is for how long an instance that does not hear of the store reckons
-// with the return of a member: as long as it may use a primary then.
+// departedMemory is how long an instance without contact to the store expects that a departed
+// member may return. It covers the time for which such an instance may use a primary.
 const departedMemory = 2 * lead.VerifiableFor
 
-// control holds the control state: it takes in what the follower learned,
-// publishes snapshots, and looks at what is due.
+// control owns the control state. It applies the follower's updates, publishes snapshots of the
+// topology, and runs the periodic checks.
 func (i *Instance) control() error {
 	state := topology.New(memberGrace, departedMemory)
 	ticker := time.NewTicker(tickInterval)
@@ -34,28 +34,28 @@
 	for {
 		select {
 		case c := <-i.changes:
-			i.takeIn(state, c)
-			close(c.taken)
+			i.applyChange(state, c)
+			close(c.applied)
 		case <-ticker.C:
 			ticker.Reset(i.tickPause())
 			expired := state.Expire(i.now())
 			if expired {
-				i.publish(state)
+				i.publishTopology(state)
 			}
-			if expired || i.placeLater {
-				i.share(state)
+			if expired || i.placementDue {
+				i.updatePlacement(state)
 			}
 		case <-shrink.C:
 			i.upstreams.Shrink()
 			continue
 		case <-report.C:
 			i.upstreams.Report(i.part("relay"))
-			i.reportCrossing()
+			i.reportCrossRegionTraffic()
 		case <-i.ctx.Done():
 			return nil
 		}
 		i.relay.ReportFailures(false)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+		i.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(abortDelay) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
 			i.attest()
@@ -63,74 +63,74 @@
 	}
 }
 
-// idleTick is the pause between two looks of an instance that neither leads a group nor uses
-// one. What is due there is to forget members, within seconds, and to take part in
-// what the others attest.
+// idleTick is the tick interval of an instance that neither leads nor serves a group. It only has
+// to expire members, within seconds, and to ask for attestations.
 const idleTick = 200 * time.Millisecond
 
-// lookPerGroup is the pause before the next look for each group that the instance carries or
-// leads, which bounds the part of a core that the looks take.
-const lookPerGroup = 200 * time.Microsecond
+// tickPerGroup is the tick interval per group that the instance serves or leads. It bounds the
+// share of a core that the ticks take.
+const tickPerGroup = 200 * time.Microsecond
 
-// tickPause returns the pause before the next look.
+// tickPause returns the pause before the next tick.
 func (i *Instance) tickPause() time.Duration {
 	groups := len(i.relay.Carried()) + len(i.view.Load().Led(i.self.Name, i.self.Incarnation))
 	if groups == 0 {
 		return idleTick
 	}
-	return min(max(tickInterval, time.Duration(groups)*lookPerGroup), idleTick)
+	return min(max(tickInterval, time.Duration(groups)*tickPerGroup), idleTick)
 }
 
-// Settings of the questions to the other instances.
+// Settings of the attestation rounds, in which the other instances are asked to confirm the grants.
 const (
-	// attestAfter is for how long the store must not have confirmed the grants before
-	// the other instances are asked: more than passes between two confirmations where
-	// the store answers, and little less than grants are confirmed for.
+	// attestAfter is how long the store must not have confirmed the grants before a round starts.
+	// It is longer than the time between two confirmations while the store answers, and slightly
+	// shorter than the validity of a grant.
 	attestAfter = lead.GrantValidity - 300*time.Millisecond
-	// attestLater is the same where few instances use each group. The members verify for
-	// them meanwhile, a question to each that all statements share. A store that has
-	// forgotten its history leaves grants unconfirmed for a while: if all carriers asked
-	// then, at once, too few would be answered in time, and statements would wait.
-	attestLater = lead.GrantValidity + 1500*time.Millisecond
-	// attestEvery is the pause after a round that found a quorum: there is time for
-	// two more before what it has attested lapses.
-	attestEvery = lead.GrantValidity / 2
-	// minAttestAgain is the pause after one that did not, which doubles with each
-	// further one: with the grant unconfirmed the members verify what is
-	// done meanwhile, and instances that are too busy to answer get time to.
-	minAttestAgain     = 300 * time.Millisecond
+	// attestAfterPlaced is the same where each group is served by few instances. Until then the
+	// members verify answers, with one question to each member that all statements share. A store
+	// whose history was compacted leaves grants unconfirmed for a while: if all carriers started a
+	// round at once, too few questions would be answered in time, and statements would wait.
+	attestAfterPlaced = lead.GrantValidity + 1500*time.Millisecond
+	// attestInterval is the pause after a round that reached a quorum. There is time for two more
+	// rounds before the attestation expires.
+	attestInterval = lead.GrantValidity / 2
+	// minAttestRetry is the pause after a round without a quorum. It doubles with each further one,
+	// up to maxAttestDoublings times. With the grant unconfirmed the members verify answers, and
+	// overloaded instances get time to recover.
+	minAttestRetry     = 300 * time.Millisecond
 	maxAttestDoublings = 3 // up to 2.4 s
-	// mostAttesting is up to how many registered instances a quorum of them is asked: each that
-	// asks connects to it. In a larger fleet the members alone verify what is done while the store
-	// is silent, which costs a question to each member of a group, however many instances there
-	// are.
-	mostAttesting = 320
-	// attestIdle is the pause of an instance that uses no primary. It asks only to know
-	// that it is not cut off, and may call itself ready: three times before that lapses.
-	attestIdle = readyWithout / 3
+	// maxAttestInstances is the largest number of registered instances with which rounds are run,
+	// since each instance connects to the others for a round. In a larger fleet the members alone
+	// verify answers while the store is unavailable, which costs one question to each member of a
+	// group, however many instances there are.
+	maxAttestInstances = 320
+	// attestIdleInterval is the pause of an instance that uses no primary. It runs rounds only to
+	// learn that it is not partitioned, so that it may stay ready: three rounds before that lapses.
+	attestIdleInterval = readyWithoutConfirmation / 3
 )
 
-// attest has the other instances stand in for the store while it is silent.
+// attest starts a round of attestations by the other instances if the store has not confirmed the
+// grants for long enough.
 func (i *Instance) attest() {
 	now := i.now()
-	heard, asked := time.Duration(i.heardAt.Load()), time.Duration(i.askedAt.Load())
-	pause, after := attestEvery, attestAfter
+	confirmed, started := time.Duration(i.grantsConfirmedAt.Load()), time.Duration(i.attestStartedAt.Load())
+	pause, minAge := attestInterval, attestAfter
 	if !i.relay.AllShared() {
-		after = attestLater
+		minAge = attestAfterPlaced
 	}
 	switch {
-	case !i.carriesAny():
-		pause = attestIdle
-	case time.Duration(i.attestAt.Load()) < asked:
-		pause = minAttestAgain << min(i.attestFailures.Load(), maxAttestDoublings)
+	case !i.servesAnyGroup():
+		pause = attestIdleInterval
+	case time.Duration(i.attestedAt.Load()) < started:
+		pause = minAttestRetry << min(i.attestFailures.Load(), maxAttestDoublings)
 	}
-	if !i.registeredOnce.Load() || now-heard < after || now-asked < pause {
+	if !i.registeredOnce.Load() || now-confirmed < minAge || now-started < pause {
 		return
 	}
-	if i.view.Load().CountRegistered(now) > mostAttesting || i.attesting.Swap(true) {
+	if i.view.Load().CountRegistered(now) > maxAttestInstances || i.attesting.Swap(true) {
 		return
 	}
-	i.askedAt.Store(int64(now))
+	i.attestStartedAt.Store(int64(now))
 	i.spawn(func() {
 		defer i.attesting.Store(false)
 		sent, ok := i.controller.Attest(i.ctx)
@@ -139,48 +139,48 @@
 			return
 		}
 		i.attestFailures.Store(0)
-		i.attestAt.Store(int64(sent))
+		i.attestedAt.Store(int64(sent))
 	})
 }
 
-// carriesAny reports whether this instance uses the primary of any group.
-func (i *Instance) carriesAny() bool {
+// servesAnyGroup reports whether this instance holds connections to the members of any group.
+func (i *Instance) servesAnyGroup() bool {
 	return i.placements.Placed() == nil || len(i.placements.Placed().Carried()) > 0
 }
 
-// takeIn puts a change in force.
-func (i *Instance) takeIn(state *topology.State, c change) {
+// applyChange puts an update from the follower into force.
+func (i *Instance) applyChange(state *topology.State, c change) {
 	view, err := i.applyView(c)
 	if err != nil {
-		i.part("control").WithError(err).Error("control: an entry of our own could not be read and is left out")
+		i.part("control").WithError(err).Error("control: an entry written by an instance cannot be decoded; ignoring it")
 	}
 	if i.applyTopology(state, c) {
-		i.publish(state)
+		i.publishTopology(state)
 	}
 	if c.Whole || len(c.Events) > 0 {
-		before := i.view.Swap(view)
+		previous := i.view.Swap(view)
 		i.relay.Gates(func(group string, g *lead.Gate) {
 			if record, revision := view.Record(group); revision > 0 {
 				g.Learn(record, revision)
 			}
 		})
-		i.share(state)
-		if !view.SameInstances(before) {
+		i.updatePlacement(state)
+		if !view.SameInstances(previous) {
 			i.limiter.Learn(view.Names(), view.Alive())
 		}
 	}
-	i.pictureAt.Store(max(i.pictureAt.Load(), int64(c.Confirmed)))
-	i.inForce.Store(max(i.inForce.Load(), c.Revision))
+	i.snapshotConfirmedAt.Store(max(i.snapshotConfirmedAt.Load(), int64(c.Confirmed)))
+	i.appliedRevision.Store(max(i.appliedRevision.Load(), c.Revision))
 	if c.Whole {
-		i.readOnce.Do(func() { close(i.readStore) })
+		i.storeReadOnce.Do(func() { close(i.storeRead) })
 	}
 	if view.IsAlive(i.self.Name, i.self.Incarnation) && !i.stopping.Load() {
 		if !i.registeredOnce.Load() {
-			i.registeredAt.Store(int64(i.now())) // first, since others read it once the other is set
+			i.registeredAt.Store(int64(i.now())) // set first, since others read it once registeredOnce is set
 			i.registeredOnce.Store(true)
 		}
 		i.relay.StartCarrying()
-		i.heardAt.Store(int64(c.Confirmed))
+		i.grantsConfirmedAt.Store(int64(c.Confirmed))
 		i.limiter.Confirm(c.Confirmed)
 		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
 	}
@@ -196,8 +196,8 @@
 	return i.view.Load().Apply(i.now(), c.Events)
 }
 
-// applyTopology takes in configuration and members, and reports whether anything
-// changed.
+// applyTopology applies the changes of the configuration and the members, and reports whether there
+// were any.
 func (i *Instance) applyTopology(state *topology.State, c change) bool {
 	changed := false
 	i.changedMembers = i.changedMembers[:0]
@@ -215,14 +215,14 @@
 	return changed
 }
 
-// memberLines is how many members that have changed together are logged one by one. More
-// change where a fleet starts or the store was away.
-const memberLines = 32
+// maxMemberLogLines is how many members that have changed together are logged one by one. More
+// change when a fleet starts or after a store outage.
+const maxMemberLogLines = 32
 
-// logMembers logs the members that a change of the picture has changed.
+// logMembers logs the members that the current update has changed.
 func (i *Instance) logMembers() {
 	log := i.part("control")
-	if len(i.changedMembers) > memberLines {
+	if len(i.changedMembers) > maxMemberLogLines {
 		log.WithField("members", len(i.changedMembers)).Info("control: the entries of many members have changed")
 		return
 	}
@@ -233,13 +233,13 @@
 	}
 }
 
-// isMember reports whether an entry names a member.
+// isMember reports whether an entry is a valid member entry.
 func (i *Instance) isMember(id string, e kv.Event) bool {
 	_, err := i.platform.Decoder.Member(id, e.Value)
 	return err == nil
 }
 
-func (i *Instance) applyKey(state *topology.State, e kv.Event, listed bool) bool {
+func (i *Instance) applyKey(state *topology.State, e kv.Event, fromSnapshot bool) bool {
 	decoder := i.platform.Decoder
 	log := func() *logrus.Entry {
 		return i.part("control").WithFields(logrus.Fields{"key": e.Key, "revision": e.Revision})
@@ -247,7 +247,7 @@
 	if decoder.IsConfig(e.Key) && !e.Deleted {
 		config, err := decoder.Config(e.Value)
 		if err != nil {
-			log().WithError(err).Error("control: the configuration cannot be read; the one before stays in force")
+			log().WithError(err).Error("control: the configuration cannot be decoded; the previous one stays in force")
 			return false
 		}
 		if !state.SetConfig(config) {
@@ -261,29 +261,30 @@
 		return false
 	}
 	if e.Deleted {
-		log().WithField("member", id).Info("control: a member's entry has vanished")
+		log().WithField("member", id).Info("control: a member's entry was removed")
 		state.DropMember(i.now(), id)
 		return false
 	}
 	m, err := decoder.Member(id, e.Value)
 	if err != nil {
-		log().WithError(err).Warn("control: an entry is no member's and names none to use")
+		log().WithError(err).Warn("control: ignoring an entry that is not a valid member entry")
 		state.DropMember(i.now(), id)
 		return false
 	}
 	m.Revision = e.Revision
-	if state.SetMember(i.now(), m, listed) {
+	if state.SetMember(i.now(), m, fromSnapshot) {
 		i.changedMembers = append(i.changedMembers, m)
 		return true
 	}
 	return false
 }
 
-// publish makes the picture known to the traffic.
-func (i *Instance) publish(state *topology.State) { i.topology.Store(state.Snapshot()) }
+// publishTopology makes the current topology visible to the data path.
+func (i *Instance) publishTopology(state *topology.State) { i.topology.Store(state.Snapshot()) }
 
-// share decides which instances hold connections to which groups, and how many.
-func (i *Instance) share(state *topology.State) {
+// updatePlacement computes which instances hold connections to the members of which groups, and how
+// many.
+func (i *Instance) updatePlacement(state *topology.State) {
 	snap, view := i.topology.Load(), i.view.Load()
 	for _, name := range state.TakeChanged() {
 		if g, declared := relay.GroupOf(snap, name); declared {
@@ -292,60 +293,59 @@
 			i.placements.Remove(name)
 		}
 	}
-	i.place(view, len(snap.Groups))
+	i.placeGroups(view, len(snap.Groups))
 	i.upstreams.Update(snap, i.placements.Placed(), i.self.DataCentre)
 }
 
-// placePerGroup is the pause between two placements for each group that there is. Where hundreds
-// of instances start, or go, at once, each batch of them would place most groups anew; until the
-// next placement the carriers that are left serve.
-const placePerGroup = 300 * time.Microsecond
+// placementPausePerGroup is the least time between two placements, per group. When hundreds of
+// instances start or stop at once, each batch of them would move most groups; until the next
+// placement the remaining carriers serve.
+const placementPausePerGroup = 300 * time.Microsecond
 
-// place has the groups placed on the instances as they are now, unless they were a moment ago:
-// then the next look does.
-func (i *Instance) place(view *lead.View, groups int) {
+// placeGroups assigns the groups to the current instances. If the last placement is too recent it
+// leaves this to a later tick.
+func (i *Instance) placeGroups(view *lead.View, groups int) {
 	now := i.now()
-	i.placeLater = i.placements.Placed() != nil && now-i.placedAt < time.Duration(groups)*placePerGroup
-	if i.placeLater {
+	i.placementDue = i.placements.Placed() != nil && now-i.placedAt < time.Duration(groups)*placementPausePerGroup
+	if i.placementDue {
 		return
 	}
 	i.placedAt = now
-	if i.placedOn == nil || !view.SameInstances(i.placedOn) {
-		i.placedOn = view
+	if i.placedView == nil || !view.SameInstances(i.placedView) {
+		i.placedView = view
 		i.placements.SetInstances(view.Alive())
 	}
 	i.placements.Update(view.CountRegistered(now), i.reportPlacement)
 	i.relay.SetCarriers(i.placements.Placed())
 }
 
-// known returns what the store holds of a group's record, as far as this instance knows. The
-// time of the confirmation is read first, so that the view is as new at least.
-func (i *Instance) known(group string) relay.Known {
-	confirmed := time.Duration(i.heardAt.Load())
+// storedRecord returns a group's record as this instance last read it from the store. The
+// confirmation time is read first, so that the view is at least as new as that.
+func (i *Instance) storedRecord(group string) relay.Known {
+	confirmed := time.Duration(i.grantsConfirmedAt.Load())
 	record, revision := i.view.Load().Record(group)
 	return relay.Known{Record: record, Revision: revision, Confirmed: confirmed}
 }
 
-// surroundings gives the controller its picture of the instance.
-type surroundings struct{ i *Instance }
+// environment implements lead.Environment for the controller.
+type environment struct{ i *Instance }
 
-func (s surroundings) Topology() *topology.Snapshot { return s.i.topology.Load() }
-func (s surroundings) View() *lead.View             { return s.i.view.Load() }
-func (s surroundings) Gate(group string) *lead.Gate { return s.i.relay.Gate(group) }
+func (s environment) Topology() *topology.Snapshot { return s.i.topology.Load() }
+func (s environment) View() *lead.View             { return s.i.view.Load() }
+func (s environment) Gate(group string) *lead.Gate { return s.i.relay.Gate(group) }
 
-// leadAfterPerGroup is for how long after its registration an instance leaves groups without
-// a leader to others, for each group that there is. Instances that start together do not know
-// of one another at once; each would try to lead all groups meanwhile, and the store takes
-// fewer writes a second than that.
-const leadAfterPerGroup = 2 * time.Millisecond
+// leadDelayPerGroup is how long after its registration an instance leaves groups without a leader
+// to others, per group. Instances that start together do not know each other at once; each would
+// try to lead all groups, which would take more writes per second than the store accepts.
+const leadDelayPerGroup = 2 * time.Millisecond
 
-// mayLead reports whether an instance that has been registered for a time takes over groups
+// mayLead reports whether an instance that has been registered for a time may take over groups
 // without a leader.
 func mayLead(registeredFor time.Duration, groups int) bool {
-	return registeredFor >= time.Duration(groups)*leadAfterPerGroup
+	return registeredFor >= time.Duration(groups)*leadDelayPerGroup
 }
 
-func (s surroundings) Lease() kv.LeaseID {
+func (s environment) Lease() kv.LeaseID {
 	registeredFor := s.i.now() - time.Duration(s.i.registeredAt.Load())
 	if !mayLead(registeredFor, len(s.i.topology.Load().Groups)) {
 		return 0
@@ -356,24 +356,24 @@
 	return kv.LeaseID(s.i.lease.Load())
 }
 
-func (s surroundings) Heard(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
-func (s surroundings) Doubtful(id string) bool               { return s.i.upstreams.Doubtful(id) }
-func (s surroundings) Carries(group string) bool             { return s.i.relay.Carries(group) }
-func (s surroundings) Carried() []string                     { return s.i.relay.Carried() }
+func (s environment) Heard(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
+func (s environment) Doubtful(id string) bool               { return s.i.upstreams.Doubtful(id) }
+func (s environment) Carries(group string) bool             { return s.i.relay.Carries(group) }
+func (s environment) Carried() []string                     { return s.i.relay.Carried() }
 
-func (s surroundings) Rank(group string, most int) int {
+func (s environment) Rank(group string, limit int) int {
 	carriers := s.i.relay.CarriersOf(group)
 	if rank, ok := carriers.Rank(s.i.self.Name); ok {
-		return min(rank, most)
+		return min(rank, limit)
 	}
-	before := len(carriers.Names)
-	if before >= most {
-		return most
+	carrierCount := len(carriers.Names)
+	if carrierCount >= limit {
+		return limit
 	}
-	return before + s.i.view.Load().RankUpTo(group, s.i.self.Name, most-before)
+	return carrierCount + s.i.view.Load().RankUpTo(group, s.i.self.Name, limit-carrierCount)
 }
 
-func (s surroundings) Users(group string) []lead.Instance {
+func (s environment) Users(group string) []lead.Instance {
 	carriers := s.i.relay.CarriersOf(group)
 	if carriers.Everybody || len(carriers.Others) == 0 {
 		return s.i.view.Load().Registered(s.i.now())
@@ -381,12 +381,12 @@
 	return carriers.Others
 }
 
-func (s surroundings) Alone(group, primary string) bool {
+func (s environment) Alone(group, primary string) bool {
 	return s.i.upstreams.Alone(group, primary)
 }
 
-func (s surroundings) Behind(name string, p group.Position) time.Duration {
-	return s.i.upstreams.Behind(name, p)
+func (s environment) Behind(name string, position group.Position) time.Duration {
+	return s.i.upstreams.Behind(name, position)
 }
 
-func (s surroundings) NoteAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
+func (s environment) NoteAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
--- a/internal/fleet/cross_region.go
+++ b/internal/fleet/cross_region.go
@@ -6,8 +6,8 @@
 	"github.com/stackspindle/stackspindle/internal/locality"
 )
 
-// distanceTo returns how far the instance at an address is. One that is not known, as one that
-// has just started, counts as far away.
+// distanceTo returns the distance to the instance at an address. An unknown instance, such as one
+// that has just started, counts as being in another region.
 func (i *Instance) distanceTo(address string) locality.Distance {
 	for _, other := range i.view.Load().Alive() {
 		if other.Address == address {
@@ -17,17 +17,17 @@
 	return locality.OtherRegion
 }
 
-// reportCrossing logs what has passed to instances in other regions since the last report,
-// by what it was for.
-func (i *Instance) reportCrossing() {
-	passed := i.traffic.To(locality.OtherRegion)
-	for method, total := range passed {
-		since := total.Sub(i.crossed[method])
-		if since.Messages == 0 {
+// reportCrossRegionTraffic logs the traffic with instances in other regions since the last report,
+// by gRPC method.
+func (i *Instance) reportCrossRegionTraffic() {
+	totals := i.traffic.To(locality.OtherRegion)
+	for method, total := range totals {
+		delta := total.Sub(i.crossRegionTotals[method])
+		if delta.Messages == 0 {
 			continue
 		}
-		i.part("peers").WithFields(logrus.Fields{"method": method, "messages": since.Messages, "bytes": since.Bytes}).
+		i.part("peers").WithFields(logrus.Fields{"method": method, "messages": delta.Messages, "bytes": delta.Bytes}).
 			Info("peers: calls to other regions since the last report")
 	}
-	i.crossed = passed
+	i.crossRegionTotals = totals
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,9 +14,9 @@
 	"github.com/stackspindle/stackspindle/internal/standin/memstore"
 )
 
-func TestStatementsOfACalmDay(t *testing.T) {
+func TestStatementsWithoutFaults(t *testing.T) {
 	f := newFleet(t, 2)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	c.must("SET colour blue", "I")
 	c.must("PREPARE p WRITE shape1", "I")
 	c.must("EXECUTE p 7 data", "I")
@@ -36,9 +36,9 @@
 	}
 }
 
-func TestFailedRequestsOfCallers(t *testing.T) {
+func TestInvalidStatements(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	for text, code := range map[string]string{
 		"EXECUTE unknown 1":  "ERROR NOSTMT",
 		"COMMIT":             "ERROR MALFORMED",
@@ -53,9 +53,9 @@
 	c.must("READ 1", "I")
 }
 
-func TestSessionValuesDoNotMix(t *testing.T) {
+func TestSessionSettingsAreIsolated(t *testing.T) {
 	f := newFleet(t, 1)
-	blue, plain := f.call(0, "strict"), f.call(0, "strict")
+	blue, plain := f.startSession(0, "strict"), f.startSession(0, "strict")
 	blue.must("SET colour blue", "I")
 	for range 5 {
 		blue.must("READ blue", "I")
@@ -74,12 +74,12 @@
 	for name, reach := range map[string]membergroup.Reach{"refuses": membergroup.Dead, "silent": membergroup.Silent} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3)
-			c := f.call(0, "own")
+			c := f.startSession(0, "own")
 			c.writeUntilDone("before")
 			f.group.SetReach("m1", reach)
 			c.writeUntilDone("after")
 			must.NotEq(t, "m1", f.group.Primary())
-			f.eventually("all use the new primary", func() bool { return f.allUse(f.group.Primary()) })
+			f.eventually("all use the new primary", func() bool { return f.allUsePrimary(f.group.Primary()) })
 			must.Len(t, 1, f.group.Promotions())
 		})
 	}
@@ -87,7 +87,7 @@
 
 func TestDrainingPrimaryIsReplacedWithoutLoss(t *testing.T) {
 	f := newFleet(t, 2)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	c.writeUntilDone("before")
 	c.must("BEGIN", "T")
 	c.must("WRITE 1 x", "T")
@@ -100,43 +100,43 @@
 	must.Len(t, 3, f.group.Log())
 }
 
-func TestTrafficGoesOnWhileTheStoreIsAway(t *testing.T) {
+func TestStatementsRunDuringStoreOutage(t *testing.T) {
 	f := newFleet(t, 2)
-	for _, client := range f.clients {
+	for _, client := range f.storeClients {
 		client.Set(memstore.Faults{Refuse: true})
 	}
 	for n := range f.instances {
-		c := f.call(n, "own")
+		c := f.startSession(n, "own")
 		c.must("WRITE 1 x", "I")
 		c.must("READ 1", "I")
 	}
 }
 
-// The leader alone is turned away, its lease ends, and the primary dies: another
-// instance must take over, and the fencing token must rise.
-func TestLeaderTurnedAwayByTheStore(t *testing.T) {
+// The store rejects the leader alone, its lease expires, and the primary dies: another instance
+// must take over, with a higher fencing token.
+func TestLeaderRejectedByStore(t *testing.T) {
 	f := newFleet(t, 3)
 	first := f.leader()
 	must.NonNegative(t, first)
-	f.clients[first].Set(memstore.Faults{Refuse: true})
+	f.storeClients[first].Set(memstore.Faults{Refuse: true})
 	f.store.EndLease(leaseOf(f.instances[first]))
 	f.group.SetReach("m1", membergroup.Dead)
-	f.call(first, "own").writeUntilDone("after")
+	f.startSession(first, "own").writeUntilDone("after")
 	promotions := f.group.Promotions()
 	must.Len(t, 1, promotions)
 	must.NotEq(t, f.instances[first].self.Name, promotions[0].Instance)
 	must.Greater(t, uint64(1), promotions[0].FencingToken)
 }
 
-// Processes that start while members' entries are missing from the store, because
-// these lapsed with it, wait for the entries instead of replacing the primary.
-func TestLapsedEntriesAreAwaited(t *testing.T) {
+// Instances start while the members' entries, which expired during a store outage, are missing from
+// the store. They must wait for the entries instead of replacing the primary.
+func TestExpiredMemberEntriesAreAwaited(t *testing.T) {
 	f := newFleet(t, 2)
-	f.call(0, "own").writeUntilDone("before")
+	f.startSession(0, "own").writeUntilDone("before")
 	for n, inst := range f.instances {
 		f.store.EndLease(leaseOf(inst))
 		inst.close()
-		f.clients[n].Set(memstore.Faults{Refuse: true})
+		f.storeClients[n].Set(memstore.Faults{Refuse: true})
 	}
 	for _, id := range testMembers {
 		f.store.Delete("members/" + id)
@@ -148,22 +148,22 @@
 	for _, id := range testMembers {
 		f.putMember(id)
 	}
-	f.call(2, "own").writeUntilDone("after")
+	f.startSession(2, "own").writeUntilDone("after")
 	must.SliceEmpty(t, f.group.Promotions())
 	for _, inst := range f.instances {
-		for _, e := range inst.ring.Since(0) {
+		for _, e := range inst.events.Since(0) {
 			must.NotEq(t, "change", e.Kind, must.Sprint(e.Text))
 		}
 	}
 }
 
-// absenceOfEntries is how long the entries are missing in the test: long enough
-// for several looks of the leader, less than the two seconds that are promised.
+// absenceOfEntries is how long the entries are missing in the test: several ticks of the leader's
+// controller, but less than the two seconds for which they must be waited for.
 const absenceOfEntries = 600 * time.Millisecond
 
-func TestWriteInDoubtIsNotRepeated(t *testing.T) {
+func TestWriteWithUnknownOutcomeIsNotRetried(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "strict")
+	c := f.startSession(0, "strict")
 	c.must("WRITE 0 x", "I")
 	f.group.LoseAnswers("m1", 1)
 	line, state := c.query("WRITE 1 x")
@@ -172,9 +172,9 @@
 	must.Len(t, 2, f.group.Log())
 }
 
-func TestLostReadRunsElsewhere(t *testing.T) {
+func TestReadWithLostAnswerIsRetried(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	c.must("WRITE 0 x", "I")
 	for _, id := range testMembers[1:] {
 		f.group.LoseAnswers(id, 1)
@@ -182,11 +182,11 @@
 	c.must("READ 0", "I")
 }
 
-// A read that a member has failed runs at another. On an incident of
-// swancoast-dispatch-grown one member failed part of what it ran for five seconds.
-func TestFailedReadRunsElsewhere(t *testing.T) {
+// A read that failed at a member is retried at another. The failure: one member fails part of its
+// statements for five seconds.
+func TestFailedReadIsRetried(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	c.must("WRITE 0 x", "I")
 	for _, id := range testMembers[1:] {
 		f.group.FailStatements(id, 1)
@@ -194,10 +194,11 @@
 	c.must("READ 0", "I")
 }
 
-// One that fails everywhere is told as what it is, and a failed write is not repeated.
-func TestFailureIsTold(t *testing.T) {
+// A read that fails at all members returns the failure to the client, and a failed write is not
+// retried.
+func TestFailureIsReturned(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	c.must("WRITE 0 x", "I")
 	const always = 100
 	for _, id := range testMembers {
@@ -215,10 +216,10 @@
 	must.Len(t, 1, f.group.Log())
 }
 
-// A transaction whose connection is lost has kept nothing, and its caller hears so.
-func TestTransactionLostWithItsConnection(t *testing.T) {
+// A transaction whose connection is lost has no effect, and its client gets an error that says so.
+func TestTransactionAbortsWithItsConnection(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "strict")
+	c := f.startSession(0, "strict")
 	c.must("BEGIN", "T")
 	c.must("WRITE 0 x", "T")
 	f.group.SetReach("m1", membergroup.Dead)
@@ -228,9 +229,9 @@
 	must.SliceEmpty(t, f.group.Log())
 }
 
-func TestReadsSeeTheSessionsOwnWrites(t *testing.T) {
+func TestReadYourWrites(t *testing.T) {
 	f := newFleet(t, 1)
-	c := f.call(0, "own")
+	c := f.startSession(0, "own")
 	for _, id := range testMembers[1:] {
 		f.group.SetLagging(id, true)
 	}
@@ -241,20 +242,20 @@
 	}
 }
 
-// The answer to the write that announces a change is lost: it is settled by
-// reading back, and the change goes through once.
-func TestLostAnswersOfTheStoreDuringAChange(t *testing.T) {
+// The store's answer to the write that announces a change of the primary is lost. The leader reads
+// the record back, and the change is made once.
+func TestLostStoreAnswersDuringPrimaryChange(t *testing.T) {
 	f := newFleet(t, 2)
-	f.call(0, "own").writeUntilDone("before")
-	for _, client := range f.clients {
+	f.startSession(0, "own").writeUntilDone("before")
+	for _, client := range f.storeClients {
 		client.Set(memstore.Faults{LoseWrites: 3})
 	}
 	f.group.SetReach("m1", membergroup.Dead)
-	f.call(1, "own").writeUntilDone("after")
+	f.startSession(1, "own").writeUntilDone("after")
 	must.Len(t, 1, f.group.Promotions())
 }
 
-func TestForgottenHistoryIsReadAnew(t *testing.T) {
+func TestCompactedHistoryIsReadAgain(t *testing.T) {
 	f := newFleet(t, 1)
 	f.store.Delete("members/m3")
 	f.store.Forget()
@@ -265,17 +266,17 @@
 	f.eventually("the new configuration is in force", func() bool { return f.instances[0].topology.Load().Version == 2 })
 }
 
-// A watch that is deaf must end, and the store be read anew, within the time in
-// which a silent store must be noticed. Longer watches broke the bound on
-// configurations on scale-1 of swancoast-dispatch.
+// A watch that gets neither updates nor the notice of a compaction must end, and the store be read
+// again, within the bound on unresponsive stores. Longer watches broke the bound on how soon a
+// configuration must be in force.
 func TestWatchesEndInTime(t *testing.T) {
 	for _, silence := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
-		must.Less(t, silence, watchTime(silence)+watchSlack)
-		must.Positive(t, watchTime(silence))
+		must.Less(t, silence, watchWait(silence)+watchSlack)
+		must.Positive(t, watchWait(silence))
 	}
 }
 
-func TestOlderConfigurationIsNotTaken(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	f := newFleet(t, 1)
 	config := testConfig()
 	config.Version = 0
@@ -288,9 +289,9 @@
 	must.Eq(t, 1, f.instances[0].topology.Load().Version)
 }
 
-func TestPlannedStopAnswersEverything(t *testing.T) {
+func TestPlannedStopFinishesOpenWork(t *testing.T) {
 	f := newFleet(t, 2)
-	c := f.call(0, "strict")
+	c := f.startSession(0, "strict")
 	c.must("BEGIN", "T")
 	c.must("WRITE 1 x", "T")
 	stopped := make(chan struct{})
@@ -304,15 +305,15 @@
 	<-stopped
 	must.Len(t, 2, f.group.Log())
 	must.SliceEmpty(t, c.read())
-	f.call(1, "strict").writeUntilDone("after")
+	f.startSession(1, "strict").writeUntilDone("after")
 }
 
-// A request that has arrived when its session is about to be closed is answered.
-func TestRequestThatArrivesDuringTheStopIsAnswered(t *testing.T) {
+// A statement that arrives just before its session is closed by a planned stop is answered.
+func TestStatementDuringPlannedStopIsAnswered(t *testing.T) {
 	f := newFleet(t, 2)
-	callers := make([]*testCaller, 20)
+	callers := make([]*testClient, 20)
 	for n := range callers {
-		callers[n] = f.call(0, "strict")
+		callers[n] = f.startSession(0, "strict")
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -342,15 +343,15 @@
 	}
 }
 
-// With fewer connections than instances some instances hold them, and the others
-// have their callers' statements run there.
-func TestInstancesWithoutConnections(t *testing.T) {
+// With fewer connections than instances, some instances are carriers and hold them; the others
+// forward their clients' statements to a carrier.
+func TestInstancesForwardToCarriers(t *testing.T) {
 	config := testConfig()
 	config.Groups[0].MaxConnections = scarce
 	f := newFleetWith(t, 5, config)
 	f.eventually("the carriers are known", func() bool { return len(f.carriers()) == 2 })
 	for n := range f.instances {
-		c := f.call(n, "own")
+		c := f.startSession(n, "own")
 		c.must("SET colour blue", "I")
 		c.must("PREPARE p WRITE shape1", "I")
 		c.must("EXECUTE p 7 data", "I")
@@ -372,10 +373,11 @@
 	}
 }
 
-// The connection between an instance and a carrier goes silent while a transaction
-// is open there. The carrier must not hold the member's connection for ever: on seed
-// 107 of the soak both of its connections were lost so, and its group with them.
-func TestCarrierGivesUpTransactionsOfSilentInstances(t *testing.T) {
+// The connection between an ingress instance and a carrier stops working without an error while a
+// transaction is open on the carrier. The carrier must release the member's connection in time.
+// When it did not, both connections of the carriers were lost in this way, and the group became
+// unavailable.
+func TestCarrierAbortsTransactionsOfUnresponsiveInstances(t *testing.T) {
 	config := testConfig()
 	config.Groups[0].MaxConnections = scarce
 	f := newFleetWith(t, 5, config)
@@ -384,12 +386,12 @@
 		if f.carriers()[n] {
 			continue
 		}
-		c := f.call(n, "strict")
+		c := f.startSession(n, "strict")
 		c.must("BEGIN", "T")
 		c.must("WRITE 1 x", "T")
 	}
 	for n := range f.carriers() {
-		f.peers[n].SilenceOpen()
+		f.peerProxies[n].SilenceOpen()
 	}
 	f.eventually("no connection is held", func() bool {
 		for n := range f.carriers() {
@@ -402,35 +404,35 @@
 		}
 		return true
 	})
-	f.call(0, "strict").writeUntilDone("after")
+	f.startSession(0, "strict").writeUntilDone("after")
 }
 
-func TestCarriersThatStopOrDie(t *testing.T) {
+func TestCarrierStopAndCrash(t *testing.T) {
 	config := testConfig()
 	config.Groups[0].MaxConnections = scarce
 	f := newFleetWith(t, 5, config)
 	f.eventually("the carriers are known", func() bool { return len(f.carriers()) == 2 })
-	entry := -1
+	ingress := -1
 	for n := range f.instances {
 		if !f.carriers()[n] {
-			entry = n
+			ingress = n
 		}
 	}
-	c := f.call(entry, "own")
+	c := f.startSession(ingress, "own")
 	c.writeUntilDone("before")
 	for n := range f.carriers() {
 		if n%2 == 0 {
 			f.instances[n].Stop()
 		} else {
 			f.store.EndLease(leaseOf(f.instances[n]))
-			f.clients[n].Set(memstore.Faults{Refuse: true})
+			f.storeClients[n].Set(memstore.Faults{Refuse: true})
 			f.instances[n].close()
 		}
 	}
 	c.writeUntilDone("after")
 }
 
-// carriers returns the instances that hold connections, by place, once all agree.
+// carriers returns the indexes of the instances that serve the group.
 func (f *testFleet) carriers() map[int]bool {
 	carriers := make(map[int]bool)
 	for n, inst := range f.instances {
@@ -444,7 +446,7 @@
 func leaseOf(i *Instance) kv.LeaseID { return kv.LeaseID(i.lease.Load()) }
 
 // rows returns the rows of an answer.
-func (c *testCaller) rows(text string) []string {
+func (c *testClient) rows(text string) []string {
 	c.t.Helper()
 	c.next++
 	_, err := c.conn.Write([]byte("QUERY r" + string(rune('a'+c.next%26)) + " " + text + "\r\n"))
@@ -458,12 +460,11 @@
 	return rows
 }
 
-// An instance that the store turns away learns a new configuration from the
-// others. On trouble-1 of ftrb-rosters-grown one refused databases that had been
-// added seconds before.
-func TestConfigurationReachesAnInstanceThatTheStoreTurnsAway(t *testing.T) {
+// An instance that the store rejects gets a new configuration from the others. When it did not, it
+// refused databases that had been added seconds before.
+func TestConfigurationReachesInstanceRejectedByStore(t *testing.T) {
 	f := newFleet(t, 4)
-	for _, client := range f.clients[1:] {
+	for _, client := range f.storeClients[1:] {
 		client.Set(memstore.Faults{Refuse: true})
 	}
 	config := testConfig()
@@ -475,7 +476,7 @@
 	}
 }
 
-// Instances in the same data centre do not all watch the store.
+// Not every instance of a data centre watches the store.
 func TestFewInstancesWatchTheStore(t *testing.T) {
 	f := newFleet(t, 6)
 	config := testConfig()
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -14,112 +14,114 @@
 	"github.com/stackspindle/stackspindle/internal/ownership"
 )
 
-// Settings of the calls to the store and to those that watch it.
+// Settings of the calls to the store and to the instances that watch it.
 const (
-	// watchSlack covers the way of a watch and a slow store. One that is slower counts
-	// as silent here: the other instances and the members stand in for it.
+	// watchSlack is allowed for network latency and a slow store on top of a watch's wait. A slower
+	// store counts as unresponsive: the other instances and the members confirm grants in its
+	// place.
 	watchSlack = 700 * time.Millisecond
-	// watchMargin is kept for reading the store anew and telling those that follow.
+	// watchMargin is reserved for reading the store again and passing the changes on to followers.
 	watchMargin = 800 * time.Millisecond
-	// minWatchTime bounds how often the store is asked, however short its silence
-	// may be.
-	minWatchTime = 300 * time.Millisecond
-	// minWatchPause and maxWatchPause bound the pause after changes came. It doubles
-	// while they come in quick succession, as at a start, so that one call reads
-	// many of them; a configuration must be in force within 3 s.
+	// minWatchWait bounds how often the store is called, however small Settings.StoreSilence is.
+	minWatchWait = 300 * time.Millisecond
+	// minWatchPause and maxWatchPause bound the pause after a watch returned changes. The pause
+	// doubles while changes come in bursts, as at a start, so that one call returns many of them; a
+	// configuration must be in force within 3 s.
 	minWatchPause = 30 * time.Millisecond
 	maxWatchPause = 800 * time.Millisecond
-	// quickSuccession is how soon after a watch was sent changes must have come to
-	// count as such.
-	quickSuccession = 500 * time.Millisecond
-	// manyEvents is how many changes make an answer of the store worth its call.
-	manyEvents = 100
-	// storeTimeout bounds any other call but a list.
+	// burstInterval is how soon after a watch was sent changes must arrive to count as a burst.
+	burstInterval = 500 * time.Millisecond
+	// fullAnswerEvents is the number of changes from which an answer of the store needs no pause to
+	// gather more.
+	fullAnswerEvents = 100
+	// storeTimeout bounds any store call except a list.
 	storeTimeout = 1500 * time.Millisecond
-	// firstPicture is for how long an instance that starts leaves it to others to tell it what
-	// the store holds, and smallFleet below how many it does not: a list of so many instances and
-	// their groups is one answer of the store.
-	firstPicture = 3 * time.Second
-	smallFleet   = 64
-	// listTimeout bounds a list of all that the store holds, whose answer may be long. One
-	// that stalls ends sooner, by the store's client.
+	// initialSnapshotWait is how long a starting instance waits for a snapshot from other instances
+	// before it reads the store itself. It does so only in fleets of at least
+	// minFleetForPeerSnapshot registered instances; a list of fewer instances with their groups is a
+	// single answer of the store.
+	initialSnapshotWait     = 3 * time.Second
+	minFleetForPeerSnapshot = 64
+	// listTimeout bounds a list of the whole store, whose answer may be long. A list that stalls is
+	// ended sooner by the store's client.
 	listTimeout = 10 * time.Second
-	// followTime is how long another instance may hold a question, and followSlack
-	// covers its way. Two that are dark in turn delay a change by 1.8 s, of the 3 s
+	// pollWait is how long another instance may hold a poll open, and pollSlack is allowed for
+	// network latency on top. Two unreachable sources in a row delay a change by 1.8 s, of the 3 s
 	// within which a configuration must be in force.
-	followTime = 600 * time.Millisecond
-	// followRest is the pause of an instance of a large fleet after it was told of changes, so that
-	// the next answer holds more: each is taken in on top of a list of all instances.
-	followRest = 200 * time.Millisecond
-	// peersKept is for how long an instance of a large fleet chooses whom to ask among those that
-	// it knew, since each change of one has all of them ranked.
-	peersKept   = time.Second
-	followSlack = 300 * time.Millisecond
+	pollWait = 600 * time.Millisecond
+	// pollPause is the pause of an instance of a large fleet after a poll returned changes, so that
+	// the next answer holds more: the cost of applying an answer includes a pass over all
+	// instances.
+	pollPause = 200 * time.Millisecond
+	// peersTTL is for how long an instance of a large fleet keeps the list of instances that it
+	// polls, since each new list has to be ranked in full.
+	peersTTL  = time.Second
+	pollSlack = 300 * time.Millisecond
 )
 
-// errNoNews says that another instance gets no news of the store itself.
-var errNoNews = errors.New("the instance has had no news of the store")
+// errNoLiveSource says that the polled instance has no live update source itself.
+var errNoLiveSource = errors.New("the instance has had no news of the store")
 
-// change is what the follower learned of the store.
+// change is an update on its way to the control goroutine.
 type change struct {
 	feed.Picture
-	taken chan struct{} // closed once it is in force
+	applied chan struct{} // closed once the update is in force
 }
 
-// follow keeps the picture of the store up to date, from the store or from
-// instances that watch it.
+// follow keeps this instance's copy of the store up to date, from the store or from the instances
+// that watch it.
 func (i *Instance) follow() error {
-	rest := minWatchPause
-	i.sizeHeap(0)
+	pause := minWatchPause
+	i.setGCPercent(0)
 	sources := feed.NewSources(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
 	sources.Locate(i.settings.Places)
-	peers, peersUntil := i.firstPeers(), time.Duration(0)
-	sources.SpareStore(i.now() + firstPicture)
+	peers, peersExpiry := i.initialPeers(), time.Duration(0)
+	sources.SpareStore(i.now() + initialSnapshotWait)
 	for i.ctx.Err() == nil {
-		if view := i.view.Load(); !view.SameInstances(peers.view) && i.now() >= peersUntil {
-			peers, peersUntil = i.peersIn(view), i.now()+i.peersTime()
+		if view := i.view.Load(); !view.SameInstances(peers.view) && i.now() >= peersExpiry {
+			peers, peersExpiry = i.alivePeers(view), i.now()+i.peersValidFor()
 		}
-		source := sources.Next(i.now(), peers.candidates)
-		sleep(i.ctx, source.Rest)
-		picture, err := i.askSource(source.Name, peers.addresses[source.Name], &rest)
+		choice := sources.Next(i.now(), peers.candidates)
+		sleep(i.ctx, choice.Rest)
+		update, err := i.fetch(choice.Name, peers.addresses[choice.Name], &pause)
 		switch {
 		case i.ctx.Err() != nil:
 			return nil
 		case err == nil:
-			i.take(picture)
-			err = i.outOfDate(source.Name, picture)
+			i.applyUpdate(update)
+			err = i.checkLive(choice.Name, update)
 		}
-		i.noteSource(sources, source.Name, err)
+		i.recordResult(sources, choice.Name, err)
 		switch {
-		case err == nil && source.Name == feed.Store && restAfter(picture):
-			sleep(i.ctx, rest)
-		case err == nil && source.Name != feed.Store && len(picture.Events) > 0 && i.mirror.Len() >= largePicture:
-			sleep(i.ctx, followRest)
+		case err == nil && choice.Name == feed.Store && shouldPause(update):
+			sleep(i.ctx, pause)
+		case err == nil && choice.Name != feed.Store && len(update.Events) > 0 && i.mirror.Len() >= largeStoreKeys:
+			sleep(i.ctx, pollPause)
 		}
 	}
 	return nil
 }
 
-// restAfter reports whether a follower rests after a watch, so that the next brings more at
-// once. One that has brought much need not wait for more: the store bounds its answers, and
-// where many instances start, those that rest fall behind by seconds.
-func restAfter(p feed.Picture) bool {
-	return !p.Whole && len(p.Events) > 0 && len(p.Events) < manyEvents
+// shouldPause reports whether the follower pauses after a watch so that the next one returns more
+// changes at once. There is no pause after an answer with many changes: the store bounds its
+// answers, and where many instances start, pausing would put an instance seconds behind.
+func shouldPause(u feed.Picture) bool {
+	return !u.Whole && len(u.Events) > 0 && len(u.Events) < fullAnswerEvents
 }
 
-// peers are the instances whose lease holds.
+// peers are the instances with a valid lease.
 type peers struct {
-	view       *lead.View // of which they are
+	view       *lead.View // from which they were taken
 	addresses  map[string]string
 	candidates []ownership.Instance
 }
 
-func (i *Instance) peersIn(view *lead.View) peers { return newPeers(view, view.Alive()) }
+func (i *Instance) alivePeers(view *lead.View) peers { return newPeers(view, view.Alive()) }
 
-// peersTime returns for how long the instances that are alive need not be gone through again.
-func (i *Instance) peersTime() time.Duration {
-	if i.mirror.Len() >= largePicture {
-		return peersKept
+// peersValidFor returns how long the current list of peers is used before it is rebuilt.
+func (i *Instance) peersValidFor() time.Duration {
+	if i.mirror.Len() >= largeStoreKeys {
+		return peersTTL
 	}
 	return 0
 }
@@ -135,51 +137,51 @@
 	return p
 }
 
-// firstPeers returns the registered instances before anything else of the store is known. An
-// instance of a large fleet takes its first picture from those of them that watch the store: a
-// thousand that start together and read all of it would take its link for many seconds. In a small
-// fleet, for which none are returned, each reads the store itself.
-func (i *Instance) firstPeers() peers {
-	ctx, cancel := context.WithTimeout(i.ctx, firstPicture)
+// initialPeers returns the registered instances before anything else of the store is known. An
+// instance of a large fleet gets its first snapshot from the watchers among them: a thousand
+// instances that start together and all read the whole store would saturate its network link for
+// many seconds. For a small fleet it returns none, and the instance reads the store itself.
+func (i *Instance) initialPeers() peers {
+	ctx, cancel := context.WithTimeout(i.ctx, initialSnapshotWait)
 	defer cancel()
 	view := i.view.Load()
 	if i.settings.FirstStart {
 		select {
-		case <-i.registered: // each finds those that have registered before it
+		case <-i.registered: // each instance finds those that have registered before it
 		case <-ctx.Done():
 		}
 	}
 	items, _, err := i.platform.Store.List(ctx, lead.PrefixInstances)
 	if err != nil {
-		i.part("follower").WithError(err).Info("follower: who is registered is not known; reading the whole store")
+		i.part("follower").WithError(err).Info("follower: the registered instances cannot be listed; reading the whole store")
 		return peers{view: view}
 	}
 	registered, err := view.Replace(i.now(), items)
 	if err != nil {
-		i.part("follower").WithError(err).Error("follower: an entry of our own could not be read and is left out")
+		i.part("follower").WithError(err).Error("follower: an entry written by an instance cannot be decoded; ignoring it")
 	}
 	all := registered.Registered(i.now())
-	if len(all) < smallFleet {
+	if len(all) < minFleetForPeerSnapshot {
 		return peers{view: view}
 	}
-	i.sizeHeap(largePicture)
+	i.setGCPercent(largeStoreKeys)
 	if !slices.ContainsFunc(all, func(other lead.Instance) bool { return other.Name == i.self.Name }) {
 		all = append(all, i.self)
 	}
 	return newPeers(view, all)
 }
 
-// outOfDate returns an error for what an instance told that gets no news itself.
-func (i *Instance) outOfDate(source string, p feed.Picture) error {
-	if source == feed.Store || feed.IsLive(i.now(), p.Live) {
+// checkLive returns an error for an update from an instance that has no live source itself.
+func (i *Instance) checkLive(source string, u feed.Picture) error {
+	if source == feed.Store || feed.IsLive(i.now(), u.Live) {
 		return nil
 	}
-	return fmt.Errorf("%w for %s", errNoNews, (i.now() - p.Live).Round(time.Millisecond))
+	return fmt.Errorf("%w for %s", errNoLiveSource, (i.now() - u.Live).Round(time.Millisecond))
 }
 
-// noteSource records what came of a question. The first failure of a source, and
-// its end, are logged.
-func (i *Instance) noteSource(sources *feed.Sources, name string, err error) {
+// recordResult records the result of a poll. It logs the first failure of a source and its
+// recovery.
+func (i *Instance) recordResult(sources *feed.Sources, name string, err error) {
 	i.mirror.NoteWatch(i.now(), name == feed.Store && err == nil)
 	log := i.part("follower").WithField("source", sourceName(name)).WithField("revision", i.mirror.Revision())
 	if err == nil {
@@ -188,11 +190,11 @@
 		}
 		return
 	}
-	how := feed.Silent
-	if errors.Is(err, errNoNews) || !i.informed() {
-		how = feed.Stale // where many start at once, those that have not yet do so soon
+	failure := feed.Silent
+	if errors.Is(err, errNoLiveSource) || !i.hasReadStore() {
+		failure = feed.Stale // where many instances start at once, one that has not read the store yet soon will
 	}
-	if sources.Failed(i.now(), name, how) {
+	if sources.Failed(i.now(), name, failure) {
 		log.WithError(err).Warn("follower: a source of news does not tell how the store stands now")
 	}
 }
@@ -204,35 +206,35 @@
 	return name
 }
 
-// askSource asks the store, or the instance at an address, for what is new.
-func (i *Instance) askSource(name, address string, rest *time.Duration) (feed.Picture, error) {
+// fetch gets the next update from the store, or from the instance at an address.
+func (i *Instance) fetch(name, address string, pause *time.Duration) (feed.Picture, error) {
 	if name != feed.Store {
-		return i.askPeer(address)
+		return i.pollPeer(address)
 	}
 	after := i.mirror.Revision()
 	if after > 0 {
-		picture, err := i.watchOnce(after, rest)
+		update, err := i.watchOnce(after, pause)
 		if !errors.Is(err, kv.ErrCompacted) {
-			return picture, err
+			return update, err
 		}
-		i.part("follower").WithField("revision", after).Info("follower: the store's history is gone; reading it anew")
+		i.part("follower").WithField("revision", after).Info("follower: the store's history was compacted; reading a snapshot")
 	}
 	return i.listOnce()
 }
 
-func (i *Instance) askPeer(address string) (feed.Picture, error) {
+func (i *Instance) pollPeer(address string) (feed.Picture, error) {
 	conn, err := i.conns.Get(address)
 	if err != nil {
 		return feed.Picture{}, err
 	}
-	ctx, cancel := context.WithTimeout(i.ctx, followTime+followSlack)
+	ctx, cancel := context.WithTimeout(i.ctx, pollWait+pollSlack)
 	defer cancel()
 	client := feedpb.NewFeedClient(conn)
-	picture, err := feed.Ask(ctx, client, i.mirror.Revision(), followTime, i.now())
-	if err != nil || i.mirror.Completes(picture) {
-		return picture, err
+	update, err := feed.Ask(ctx, client, i.mirror.Revision(), pollWait, i.now())
+	if err != nil || i.mirror.Completes(update) {
+		return update, err
 	}
-	return feed.Ask(ctx, client, 0, followTime, i.now())
+	return feed.Ask(ctx, client, 0, pollWait, i.now())
 }
 
 func (i *Instance) listOnce() (feed.Picture, error) {
@@ -243,26 +245,26 @@
 	if err != nil {
 		return feed.Picture{}, err
 	}
-	picture := feed.Picture{Whole: true, Revision: revision, Confirmed: sent}
+	snapshot := feed.Picture{Whole: true, Revision: revision, Confirmed: sent}
 	for _, item := range items {
-		picture.Events = append(picture.Events, kv.Event{Item: item})
+		snapshot.Events = append(snapshot.Events, kv.Event{Item: item})
 	}
-	return picture, nil
+	return snapshot, nil
 }
 
-// watchTime returns how long the store may hold a watch when its silence must be
-// noticed within a time. A watch can be deaf: when the store forgets its history,
-// one that waits is told neither of changes nor of that. So each must end in time.
-func watchTime(silence time.Duration) time.Duration {
-	return min(max(minWatchTime, silence-watchSlack-watchMargin), lead.ConfirmEvery)
+// watchWait returns how long the store may hold a watch open if it must be noticed within a time
+// that there are no updates. When the store compacts its history, a waiting watch may be told
+// neither of changes nor of the compaction, so each watch must end in time.
+func watchWait(silence time.Duration) time.Duration {
+	return min(max(minWatchWait, silence-watchSlack-watchMargin), lead.ConfirmEvery)
 }
 
-// watchOnce waits for changes after a revision. rest is for how long the follower
-// rests after such, and is kept from one watch to the next.
-func (i *Instance) watchOnce(after int64, rest *time.Duration) (feed.Picture, error) {
-	wait := watchTime(i.settings.StoreSilence)
+// watchOnce waits for changes after a revision. pause is how long the follower pauses after a watch
+// with changes, and is carried over from one watch to the next.
+func (i *Instance) watchOnce(after int64, pause *time.Duration) (feed.Picture, error) {
+	wait := watchWait(i.settings.StoreSilence)
 	if i.watchFailed {
-		wait = time.Millisecond // an answer soon confirms the grants
+		wait = time.Millisecond // a quick answer confirms the grants sooner
 	}
 	ctx, cancel := context.WithTimeout(i.ctx, wait+watchSlack)
 	defer cancel()
@@ -274,23 +276,23 @@
 		return feed.Picture{}, err
 	}
 	if len(events) > 0 {
-		*rest = min(2**rest, maxWatchPause)
+		*pause = min(2**pause, maxWatchPause)
 	}
-	if i.now()-sent > quickSuccession {
-		*rest = minWatchPause
+	if i.now()-sent > burstInterval {
+		*pause = minWatchPause
 	}
 	return feed.Picture{Events: events, Revision: revision, Confirmed: sent}, nil
 }
 
-// take notes a picture for those that follow this instance, and has the control
-// goroutine put in force what is new in it.
-func (i *Instance) take(p feed.Picture) {
-	c := change{Picture: i.mirror.Take(p), taken: make(chan struct{})}
-	i.sizeHeap(i.mirror.Len())
+// applyUpdate applies an update to the mirror, has the control goroutine put the new part of it
+// into force, and waits until it has.
+func (i *Instance) applyUpdate(u feed.Picture) {
+	c := change{Picture: i.mirror.Take(u), applied: make(chan struct{})}
+	i.setGCPercent(i.mirror.Len())
 	select {
 	case i.changes <- c:
 		select {
-		case <-c.taken:
+		case <-c.applied:
 		case <-i.ctx.Done():
 		}
 	case <-i.ctx.Done():
--- a/internal/fleet/gc.go
+++ b/internal/fleet/gc.go
@@ -2,26 +2,26 @@
 
 import "runtime/debug"
 
-// How much the heap may grow before it is collected, in percent of what is in use.
+// Garbage collection targets: growth of the heap before a collection, in percent of the live heap.
 const (
-	// smallHeapGrowth is that of an instance that knows of little: it has 1 to 2 MB in use, is
-	// idle most of the time, and a collection takes no time of note.
+	// smallHeapGrowth applies to an instance of a small fleet. It has 1 to 2 MB in use, is idle
+	// most of the time, and a collection takes negligible time.
 	smallHeapGrowth = 20
-	// largeHeapGrowth is that of one in a large fleet. Each change there is taken in on top of
-	// megabytes that a collection goes through.
+	// largeHeapGrowth applies to an instance of a large fleet, where a collection scans megabytes
+	// and each change allocates.
 	largeHeapGrowth = 50
-	// largePicture is from how many keys of the store on a fleet is large.
-	largePicture = 1000
+	// largeStoreKeys is the number of keys in the store from which a fleet counts as large.
+	largeStoreKeys = 1000
 )
 
-// sizeHeap sets the growth of the heap for a picture of the store with some keys.
-func (i *Instance) sizeHeap(keys int) {
+// setGCPercent sets the garbage collection target for a store of the given number of keys.
+func (i *Instance) setGCPercent(keys int) {
 	growth := smallHeapGrowth
-	if keys >= largePicture {
+	if keys >= largeStoreKeys {
 		growth = largeHeapGrowth
 	}
-	if i.heapGrowth != growth {
-		i.heapGrowth = growth
+	if i.gcPercent != growth {
+		i.gcPercent = growth
 		debug.SetGCPercent(growth)
 	}
 }
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -23,12 +23,12 @@
 	"github.com/stackspindle/stackspindle/platform"
 )
 
-// The tests' fleet has one group with three members.
+// The fleet of the tests has one group with three members.
 const testGroup = "orders"
 
 var testMembers = []string{"m1", "m2", "m3"}
 
-// jsonDecoder decodes entries that are the project's own types as JSON.
+// jsonDecoder decodes entries that are JSON encodings of the project's types.
 type jsonDecoder struct{}
 
 func (jsonDecoder) IsConfig(key string) bool { return key == "config" }
@@ -49,14 +49,14 @@
 
 // testFleet is a store, a group and some instances in one process.
 type testFleet struct {
-	t         *testing.T
-	store     *memstore.Store
-	group     *membergroup.Group
-	instances []*Instance
-	clients   []*memstore.Client
-	peers     []*faultproxy.Proxy // through which the others reach an instance
-	decoder   Decoder
-	output    io.Writer // of all logs
+	t            *testing.T
+	store        *memstore.Store
+	group        *membergroup.Group
+	instances    []*Instance
+	storeClients []*memstore.Client
+	peerProxies  []*faultproxy.Proxy // by which other instances reach this one
+	decoder      Decoder
+	output       io.Writer // of all loggers
 }
 
 func encodeJSON(t *testing.T, v any) []byte {
@@ -66,7 +66,7 @@
 	return raw
 }
 
-// scarce is a limit of connections to a member for which two carriers are enough.
+// scarce is a connection limit at a member that is reached by two carriers.
 const scarce = 10
 
 func testConfig() topology.Config {
@@ -96,7 +96,7 @@
 	return newFleetOn(t, n, config, jsonDecoder{}, io.Discard)
 }
 
-// newFleetOn is newFleetWith with a decoder of the store's documents and a place for the logs.
+// newFleetOn is newFleetWith with a decoder for the store's documents and a log output.
 func newFleetOn(t *testing.T, n int, config topology.Config, decoder Decoder, output io.Writer) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, store: memstore.New(), group: membergroup.New(testGroup, testMembers...), decoder: decoder, output: output}
@@ -107,7 +107,7 @@
 	for i := range n {
 		f.start(fmt.Sprintf("instance-%d", i))
 	}
-	f.eventually("all instances know the primary", func() bool { return f.allUse("m1") })
+	f.eventually("all instances know the primary", func() bool { return f.allUsePrimary("m1") })
 	return f
 }
 
@@ -138,12 +138,12 @@
 	proxy.SetTarget(inst.peerAddr)
 	f.t.Cleanup(inst.close)
 	f.instances = append(f.instances, inst)
-	f.clients = append(f.clients, client)
-	f.peers = append(f.peers, proxy)
+	f.storeClients = append(f.storeClients, client)
+	f.peerProxies = append(f.peerProxies, proxy)
 	return inst
 }
 
-func (f *testFleet) allUse(id string) bool {
+func (f *testFleet) allUsePrimary(id string) bool {
 	for _, inst := range f.instances {
 		if inst.ctx.Err() != nil {
 			continue
@@ -155,7 +155,7 @@
 	return true
 }
 
-// leader returns the place of the instance that leads the group, -1 for none.
+// leader returns the index of the instance that leads the group, -1 for none.
 func (f *testFleet) leader() int {
 	for n, inst := range f.instances {
 		if leader, revision := inst.view.Load().Leader(testGroup); revision > 0 && leader.Incarnation == inst.self.Incarnation {
@@ -165,8 +165,8 @@
 	return -1
 }
 
-// eventually waits for a condition, with a bound that only a fault reaches.
-func (f *testFleet) eventually(what string, condition func() bool) {
+// eventually waits for a condition, up to a limit that only a fault exceeds.
+func (f *testFleet) eventually(description string, condition func() bool) {
 	f.t.Helper()
 	for range 1500 {
 		if condition() {
@@ -174,39 +174,39 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatalf("it never came about that %s", what)
+	f.t.Fatalf("condition was not reached: %s", description)
 }
 
-// testCaller speaks the line protocol.
-type testCaller struct {
+// testClient speaks the line protocol.
+type testClient struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 	next int
 }
 
-// call connects a caller to an instance.
-func (f *testFleet) call(n int, database string) *testCaller {
+// startSession connects a client to an instance and completes the startup.
+func (f *testFleet) startSession(n int, database string) *testClient {
 	f.t.Helper()
 	c := f.connect(n, database)
 	must.Eq(f.t, []string{"READY I -"}, c.read())
 	return c
 }
 
-// connect connects a caller to an instance, with what it says at the start.
-func (f *testFleet) connect(n int, start string) *testCaller {
+// connect connects a client to an instance and sends the startup message.
+func (f *testFleet) connect(n int, start string) *testClient {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.instances[n].CallerAddr())
 	must.NoError(f.t, err)
 	f.t.Cleanup(func() { conn.Close() })
-	c := &testCaller{t: f.t, conn: conn, r: bufio.NewReader(conn)}
+	c := &testClient{t: f.t, conn: conn, r: bufio.NewReader(conn)}
 	_, err = fmt.Fprintf(conn, "STARTUP %s\r\n", start)
 	must.NoError(f.t, err)
 	return c
 }
 
-// read returns the lines of one answer; none when the connection ended.
-func (c *testCaller) read() []string {
+// read returns the lines of one answer, or those received before the connection ended.
+func (c *testClient) read() []string {
 	var lines []string
 	for {
 		line, err := c.r.ReadString('\n')
@@ -221,8 +221,8 @@
 	}
 }
 
-// query runs a text and returns the words of the line before READY and the state.
-func (c *testCaller) query(text string) (line, state string) {
+// query runs a statement and returns the line before READY and the transaction state.
+func (c *testClient) query(text string) (line, state string) {
 	c.t.Helper()
 	c.next++
 	if _, err := fmt.Fprintf(c.conn, "QUERY id%d %s\r\n", c.next, text); err != nil {
@@ -236,25 +236,24 @@
 	return lines[len(lines)-2], fields[1]
 }
 
-func (c *testCaller) must(text, state string) {
+func (c *testClient) must(text, state string) {
 	c.t.Helper()
 	line, got := c.query(text)
 	must.StrHasPrefix(c.t, "COMPLETE", line, must.Sprintf("%s", text))
 	must.Eq(c.t, state, got)
 }
 
-// writeUntilDone writes until one write is acknowledged, and counts what was
-// acknowledged or left in doubt.
-func (c *testCaller) writeUntilDone(thing string) {
+// writeUntilDone repeats a write until it is acknowledged.
+func (c *testClient) writeUntilDone(key string) {
 	c.t.Helper()
 	for range 200 {
-		line, _ := c.query("WRITE " + thing + " x")
+		line, _ := c.query("WRITE " + key + " x")
 		if strings.HasPrefix(line, "COMPLETE") {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.t.Fatalf("no write of %s was acknowledged", thing)
+	c.t.Fatalf("no write of %s was acknowledged", key)
 }
 
 var _ kv.Store = (*memstore.Client)(nil)
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -1,7 +1,15 @@
-// Package fleet puts the parts of an instance on the users' platform together:
-// the picture of the surroundings that it follows in the store, its registration,
-// the groups that it leads, and the callers that it serves. It knows the platform
-// through ports only.
+// Package fleet assembles one stackspindle instance from its parts and runs it. Its goroutines are
+//
+//   - the follower, which keeps a copy of the store's contents up to date, from the store's watch
+//     or from another instance;
+//   - the control loop, which applies the follower's updates, places groups on instances, and leads
+//     groups through a lead.Controller;
+//   - the registration, which keeps the instance's entry in the store on a lease;
+//   - the servers for clients, other instances, readiness probes and metrics.
+//
+// "Fleet" is the set of all instances. A carrier is an instance that holds connections to a group's
+// members and runs the statements that other instances forward to it. The platform that the
+// instance runs on is reached through the interfaces of Platform only.
 package fleet
 
 import (
@@ -40,7 +48,7 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Decoder decodes what operators and members keep in the store.
+// Decoder decodes the documents that operators and members write to the store.
 type Decoder interface {
 	IsConfig(key string) bool
 	Config(raw []byte) (topology.Config, error)
@@ -48,15 +56,14 @@
 	Member(id string, raw []byte) (topology.Member, error)
 }
 
-// Platform is what an instance needs of the platform that it runs on.
+// Platform holds the interfaces to the platform that the instance runs on.
 type Platform struct {
 	Store    kv.Store
 	Promoter lead.Promoter
 	Dialer   member.Dialer
 	Decoder  Decoder
 	Caller   func(net.Conn) relay.Caller
-	// Ready returns the handler that tells the platform whether the instance
-	// takes callers.
+	// Ready returns the handler for the platform's readiness probe.
 	Ready func(ready func() bool) http.Handler
 }
 
@@ -64,106 +71,106 @@
 type Settings struct {
 	Name          string
 	DataCentre    string
-	Places        locality.Map // of the data centres
+	Places        locality.Map // regions of the data centres
 	Strength      placement.Strength
 	CallerListen  string
 	PeerListen    string
-	PeerAddress   string // under which others reach the instance; empty: as bound
+	PeerAddress   string // at which others reach the instance; empty: the address of the listener
 	ReadyListen   string
-	MetricsListen string        // empty: no metrics are served
-	Grace         time.Duration // after which the platform ends a process that was asked to stop
+	MetricsListen string        // empty: metrics are not served
+	Grace         time.Duration // time after which the platform kills a process that was asked to stop
 	LeaseTTL      time.Duration
-	DrainTime     time.Duration // after which no work may reach a member any more that has said it leaves
-	StoreSilence  time.Duration // within which it must be noticed that the store is silent, or a watch deaf
+	DrainTime     time.Duration // time after which no work may reach a member that has announced that it leaves
+	StoreSilence  time.Duration // bound on how long an unresponsive store, or a watch without updates, may go unnoticed
 	MaxCallers    int
-	FirstStart    bool        // the whole fleet starts for the first time
-	Limits        quota.Rules // how the use of client accounts is judged
+	FirstStart    bool        // all instances start for the first time
+	Limits        quota.Rules // how the limits of client accounts are enforced
 }
 
-// Settings of the parts.
+// Settings of the parts of an instance.
 const (
 	tickInterval    = 50 * time.Millisecond // bounds how late a fault is noticed
-	reportInterval  = 5 * time.Second       // one line a member then
+	reportInterval  = 5 * time.Second       // one log line per member in each
 	backgroundTasks = 256
-	eventsKept      = 512
-	// readyWithout is for how long an instance that hears neither of the store nor of
-	// most instances goes on to call itself ready. It serves reads of replicas for as
-	// long as it likes, and the primary as far as the members verify its grants; sending
-	// its callers elsewhere at once would burden the others for each short outage.
-	readyWithout = lead.StorelessValidity / 2
-	// enforceDrain is how long open work may outlast a grant that ended without a
-	// release: the same as a planned change gives it.
-	enforceDrain = 500 * time.Millisecond
+	maxEvents       = 512
+	// readyWithoutConfirmation is how long an instance that is confirmed neither by the store nor
+	// by a quorum of instances stays ready. It can serve reads of replicas indefinitely, and the
+	// primary as far as the members verify its grants; moving its clients elsewhere at once would
+	// burden the others in each short outage.
+	readyWithoutConfirmation = lead.StorelessValidity / 2
+	// abortDelay is how long open work may outlast a grant that ended without a release: the same
+	// time as a planned change of the primary allows.
+	abortDelay = 500 * time.Millisecond
 )
 
-// Instance is one running instance.
+// Instance is a running stackspindle instance.
 type Instance struct {
-	settings Settings
-	platform Platform
-	self     lead.Instance
-	log      *logrus.Logger
-	started  time.Time
-	set      *metrics.Set
-	ring     *timeline.Ring
-	sampler  *logs.Limiter // of log lines
-
-	topology       atomic.Pointer[topology.Snapshot]
-	view           atomic.Pointer[lead.View]
-	lease          atomic.Int64 // of the registration, 0: none
-	attesting      atomic.Bool  // a round of questions to the other instances runs
-	askedAt        atomic.Int64 // when the last round was begun
-	attestFailures atomic.Int64 // rounds in a row that no quorum answered
-	attestAt       atomic.Int64 // when the last round that a quorum answered was begun
-	pictureAt      atomic.Int64 // when the last store call was sent, by whomever, that showed nothing newer than the picture
-	heardAt        atomic.Int64 // when the last store call was sent, by whomever, that confirmed the grants
-	inForce        atomic.Int64 // revision of the store whose contents are in force here
-	registeredOnce atomic.Bool
-	registeredAt   atomic.Int64 // when this process was first seen to be registered; meaningful once it was
-	settlement     settlement   // of the registration
-	stopping       atomic.Bool
-
-	mirror     *feed.Mirror  // what is known of the store, for this instance and those that follow it
-	changes    chan change   // to the control goroutine
-	readStore  chan struct{} // closed once the store was read
-	readOnce   sync.Once
-	upstreams  *relay.Upstreams
-	limiter    *limits.Limiter
-	relay      *relay.Relay
-	callers    *relay.Server
-	carrier    *relay.CarrierServer
-	controller *lead.Controller
-	background *ants.Pool
-	peers      *grpc.Server
-	conns      *peerconn.Conns // to other instances
-	traffic    *peerconn.Traffic
-	crossed    map[string]peerconn.Tally // to other regions until the last report; of the control goroutine
-	servers    []*http.Server
-
-	callerAddr string // both set by Start
+	settings   Settings
+	platform   Platform
+	self       lead.Instance
+	log        *logrus.Logger
+	started    time.Time
+	metricsSet *metrics.Set
+	events     *timeline.Ring
+	sampler    *logs.Limiter // limits repeated log lines
+
+	topology            atomic.Pointer[topology.Snapshot]
+	view                atomic.Pointer[lead.View]
+	lease               atomic.Int64 // lease ID of the registration, 0: none
+	attesting           atomic.Bool  // an attestation round is running
+	attestStartedAt     atomic.Int64 // start of the last attestation round
+	attestFailures      atomic.Int64 // consecutive rounds without a quorum
+	attestedAt          atomic.Int64 // start of the last round that reached a quorum
+	snapshotConfirmedAt atomic.Int64 // when the last store call, of any instance, was sent that showed nothing newer than the snapshot
+	grantsConfirmedAt   atomic.Int64 // when the last store call, of any instance, was sent that confirmed the grants
+	appliedRevision     atomic.Int64 // store revision whose contents are in force here
+	registeredOnce      atomic.Bool
+	registeredAt        atomic.Int64     // when this process first saw its registration; valid if registeredOnce
+	limitEligibility    limitEligibility // of the registration goroutine
+	stopping            atomic.Bool
+
+	mirror            *feed.Mirror  // contents of the store, for this instance and its followers
+	changes           chan change   // updates, to the control goroutine
+	storeRead         chan struct{} // closed once the store was read
+	storeReadOnce     sync.Once
+	upstreams         *relay.Upstreams
+	limiter           *limits.Limiter
+	relay             *relay.Relay
+	clients           *relay.Server
+	carrier           *relay.CarrierServer
+	controller        *lead.Controller
+	background        *ants.Pool
+	peers             *grpc.Server
+	conns             *peerconn.Conns // to other instances
+	traffic           *peerconn.Traffic
+	crossRegionTotals map[string]peerconn.Tally // totals at the last report, by method; of the control goroutine
+	servers           []*http.Server
+
+	clientAddr string // callerAddr and peerAddr are set by Start
 	peerAddr   string
 
-	doubted      atomic.Bool   // a renewal of the lease got no answer since the last that did
-	registeredAs int64         // revision of the last registration; of the goroutine that registers
-	registered   chan struct{} // closed once the first registration is in the store
-	registerOnce sync.Once
+	renewalUnanswered  atomic.Bool   // the last lease renewal got no answer
+	registeredRevision int64         // revision of the last registration; of the registration goroutine
+	registered         chan struct{} // closed once the first registration is in the store
+	registerOnce       sync.Once
 
-	stopWatch atomic.Pointer[context.CancelFunc] // ends the watch under way
+	stopWatch atomic.Pointer[context.CancelFunc] // cancels the current watch
 
-	heapGrowth  int  // in percent, 0: as the runtime has it; of the follower
-	watchFailed bool // the last watch got no answer; of the follower
+	gcPercent   int  // in percent, 0: the runtime's default; of the follower
+	watchFailed bool // the last watch failed; of the follower
 
-	placements     *relay.Placements // of the control goroutine
-	placedOn       *lead.View        // whose instances the groups were last placed on; the same
-	placedAt       time.Duration     // when that was; the same
-	placeLater     bool              // it is to be done again; the same
-	changedMembers []topology.Member // by the change that is taken in; the same
+	placements     *relay.Placements // this field and the next four belong to the control goroutine
+	placedView     *lead.View        // view for whose instances the groups were last placed
+	placedAt       time.Duration     // time of the last placement
+	placementDue   bool              // a placement is due
+	changedMembers []topology.Member // members that the current update has changed
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// New returns an instance that does not run yet.
+// New returns an instance that is not running yet.
 func New(settings Settings, platform Platform, log *logrus.Logger) (*Instance, error) {
 	i := &Instance{
 		settings: settings,
@@ -174,11 +181,11 @@
 		},
 		log:        log,
 		started:    time.Now(),
-		set:        metrics.NewSet(),
-		ring:       timeline.NewRing(settings.Name, timeline.NewClock(time.Now), eventsKept),
+		metricsSet: metrics.NewSet(),
+		events:     timeline.NewRing(settings.Name, timeline.NewClock(time.Now), maxEvents),
 		mirror:     feed.NewMirror(),
 		changes:    make(chan change),
-		readStore:  make(chan struct{}),
+		storeRead:  make(chan struct{}),
 		registered: make(chan struct{}),
 		conns:      peerconn.New(),
 	}
@@ -188,28 +195,28 @@
 	i.ctx, i.cancel = context.WithCancel(context.Background())
 	var err error
 	if i.background, err = ants.NewPool(backgroundTasks, ants.WithNonblocking(true)); err != nil {
-		return nil, fmt.Errorf("background tasks: %w", err)
+		return nil, fmt.Errorf("background task pool: %w", err)
 	}
-	i.traffic = peerconn.NewTraffic(i.set, i.distanceTo)
+	i.traffic = peerconn.NewTraffic(i.metricsSet, i.distanceTo)
 	i.conns.Count(i.traffic)
 	i.upstreams = relay.NewUpstreams(platform.Dialer, i.now)
 	i.placements = relay.NewPlacements(i.self, settings.Places)
 	i.upstreams.Locate(settings.Places)
 	i.limiter = limits.New(limits.Config{
 		Self: i.self, Rules: settings.Limits, Accounts: i.accounts, Conns: i.conns,
-		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.set,
+		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.metricsSet,
 	})
 	i.relay = relay.New(relay.Config{
-		Started: i.started, Self: i.self, Places: settings.Places, Topology: i.topology.Load, Current: i.current, Known: i.known, Limiter: i.limiter,
-		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.set,
+		Started: i.started, Self: i.self, Places: settings.Places, Topology: i.topology.Load, Current: i.isCurrent, Known: i.storedRecord, Limiter: i.limiter,
+		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.metricsSet,
 	})
-	if i.callers, err = relay.NewServer(i.relay, platform.Caller, settings.MaxCallers); err != nil {
+	if i.clients, err = relay.NewServer(i.relay, platform.Caller, settings.MaxCallers); err != nil {
 		return nil, err
 	}
-	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.informed, i.now, i.upstreams.Heard)
+	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.hasReadStore, i.now, i.upstreams.Heard)
 	i.controller = lead.NewController(lead.Config{
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
-		Around: surroundings{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
+		Around: environment{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
 	})
 	i.controller.Locate(settings.Places)
 	i.peers = grpc.NewServer(peerconn.ServerOptions()...)
@@ -221,24 +228,25 @@
 	return i, nil
 }
 
-// part returns the log of a part, whose name stands in each line.
+// part returns the logger of a part of the instance.
 func (i *Instance) part(name string) *logrus.Entry {
 	return i.log.WithFields(logrus.Fields{"part": name, "instance": i.settings.Name})
 }
 
+// now returns the instance's monotonic clock: the time since the process started.
 func (i *Instance) now() time.Duration { return time.Since(i.started) }
 
-// Start opens the listeners and begins to work.
+// Start opens the listeners and starts the instance's goroutines.
 func (i *Instance) Start() error {
-	callers, err := net.Listen("tcp", i.settings.CallerListen)
+	clients, err := net.Listen("tcp", i.settings.CallerListen)
 	if err != nil {
-		return fmt.Errorf("callers: %w", err)
+		return fmt.Errorf("listen for clients: %w", err)
 	}
 	peers, err := peerconn.Listen(i.ctx, i.settings.PeerListen)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("listen for peers: %w", err)
 	}
-	i.callerAddr, i.peerAddr = callers.Addr().String(), peers.Addr().String()
+	i.clientAddr, i.peerAddr = clients.Addr().String(), peers.Addr().String()
 	if i.self.Address == "" {
 		i.self.Address = i.peerAddr
 	}
@@ -250,20 +258,20 @@
 			return err
 		}
 	}
-	i.run("callers", func() error { return i.callers.Serve(callers) })
+	i.run("callers", func() error { return i.clients.Serve(clients) })
 	i.run("peers", func() error { return i.peers.Serve(peers) })
 	i.run("control", i.control)
 	i.run("follower", i.follow)
-	i.run("registration", i.keepRegistered)
+	i.run("registration", i.maintainRegistration)
 	i.part("instance").WithFields(logrus.Fields{"incarnation": i.self.Incarnation, "callers": i.settings.CallerListen}).
 		Info("instance: started")
 	return nil
 }
 
-// CallerAddr returns the address on which callers are accepted.
-func (i *Instance) CallerAddr() string { return i.callerAddr }
+// CallerAddr returns the address of the client listener.
+func (i *Instance) CallerAddr() string { return i.clientAddr }
 
-// run runs a part until it ends. That it failed is logged.
+// run starts a goroutine for a part of the instance, and logs if it fails.
 func (i *Instance) run(part string, f func() error) {
 	i.done.Add(1)
 	go func() {
@@ -275,7 +283,7 @@
 }
 
 // Settings of the HTTP servers.
-const headerTimeout = 2 * time.Second // the platform's probes are small and near
+const headerTimeout = 2 * time.Second // probes are small and come from nearby
 
 func (i *Instance) serveHTTP(part, address string, handler http.Handler) error {
 	l, err := net.Listen("tcp", address)
@@ -293,32 +301,32 @@
 	return nil
 }
 
-// Ready reports whether the instance takes callers: it has a configuration, is
-// registered, and may use primaries, as the store or the other instances confirm, or knows
-// which instances carry them.
+// Ready reports whether the instance takes clients: it has a configuration, is registered, and
+// either its grants are confirmed by the store or a quorum of instances, or it knows which carriers
+// to forward to.
 func (i *Instance) Ready() bool {
-	confirmed := max(i.heardAt.Load(), i.attestAt.Load())
+	confirmed := max(i.grantsConfirmedAt.Load(), i.attestedAt.Load())
 	if !i.relay.AllShared() {
-		// What an instance may not run itself it passes on to those that may.
-		confirmed = max(confirmed, i.pictureAt.Load())
+		// Statements that this instance may not run itself are forwarded to carriers.
+		confirmed = max(confirmed, i.snapshotConfirmedAt.Load())
 	}
 	return !i.stopping.Load() && i.topology.Load().Version > 0 && i.registeredOnce.Load() &&
-		i.now()-time.Duration(confirmed) < readyWithout
+		i.now()-time.Duration(confirmed) < readyWithoutConfirmation
 }
 
-// accounts returns the client accounts of the configuration in force.
+// accounts returns the client accounts of the current configuration.
 func (i *Instance) accounts() *account.Directory { return i.topology.Load().Config.Accounts }
 
-// current reports whether the picture of the store was confirmed within the time in
-// which a configuration must be in force.
-func (i *Instance) current() bool {
-	return i.now()-time.Duration(i.pictureAt.Load()) < i.settings.StoreSilence
+// isCurrent reports whether the snapshot of the store was confirmed recently enough, that is within
+// the time in which a new configuration must be in force.
+func (i *Instance) isCurrent() bool {
+	return i.now()-time.Duration(i.snapshotConfirmedAt.Load()) < i.settings.StoreSilence
 }
 
-// informed reports whether the store was read.
-func (i *Instance) informed() bool {
+// hasReadStore reports whether the contents of the store are known.
+func (i *Instance) hasReadStore() bool {
 	select {
-	case <-i.readStore:
+	case <-i.storeRead:
 		return true
 	default:
 		return false
@@ -328,34 +336,34 @@
 // spawn runs a task in the background.
 func (i *Instance) spawn(task func()) {
 	if err := i.background.Submit(task); err != nil {
-		go task() // it was promised to run; there are few
+		go task() // the pool is full, but the task must run; this is rare
 	}
 }
 
-// Stop is the planned stop. It ends by itself within the platform's grace.
+// Stop stops the instance in an orderly way. It returns within the platform's grace period.
 func (i *Instance) Stop() {
 	i.stopping.Store(true)
-	i.part("instance").WithField("callers", i.callers.Callers()).Info("instance: planned stop")
-	half, cancel := context.WithTimeout(context.Background(), i.settings.Grace/2)
+	i.part("instance").WithField("callers", i.clients.Callers()).Info("instance: planned stop")
+	halfGrace, cancel := context.WithTimeout(context.Background(), i.settings.Grace/2)
 	defer cancel()
-	i.leave(half)
+	i.deregister(halfGrace)
 	i.carrier.Stop()
 	select {
-	case <-time.After(min(takenOut, i.settings.Grace/3)):
-	case <-half.Done():
+	case <-time.After(min(probeRemovalTime, i.settings.Grace/3)):
+	case <-halfGrace.Done():
 	}
-	i.callers.CloseListener()
-	i.callers.Stop(half)
+	i.clients.CloseListener()
+	i.clients.Stop(halfGrace)
 	i.close()
 }
 
-// takenOut is after what time no new callers come: the platform asks once a
-// second and takes an instance out after two misses.
-const takenOut = 2300 * time.Millisecond
+// probeRemovalTime is how long the platform keeps sending clients to an instance that is not ready:
+// it probes once a second and takes an instance out after two failures.
+const probeRemovalTime = 2300 * time.Millisecond
 
-// leave gives up the registration, and with it the groups that are led, so that
-// others take them over at once.
-func (i *Instance) leave(ctx context.Context) {
+// deregister revokes the registration's lease, and with it gives up the leadership of groups, so
+// that others take them over at once.
+func (i *Instance) deregister(ctx context.Context) {
 	id := kv.LeaseID(i.lease.Swap(0))
 	if id == 0 {
 		return
@@ -363,18 +371,18 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := i.platform.Store.Revoke(ctx, id); err != nil {
-		i.part("registration").WithError(err).Info("registration: the lease was not ended; it lapses")
+		i.part("registration").WithError(err).Info("registration: the lease could not be revoked; it will expire")
 	}
 }
 
-// close ends all parts.
+// close ends all parts of the instance.
 func (i *Instance) close() {
 	i.cancel()
 	for _, server := range i.servers {
-		_ = server.Close() // nothing on it is worth waiting for
+		_ = server.Close() // no request on it matters any more
 	}
 	i.peers.Stop()
-	i.callers.CloseListener()
+	i.clients.CloseListener()
 	i.upstreams.Close()
 	i.conns.Close()
 	i.done.Wait()
@@ -383,15 +391,14 @@
 	i.part("instance").Info("instance: stopped")
 }
 
-// serveMetrics writes the counters and histograms of the parts, and how things
-// stand now.
+// serveMetrics writes the counters and histograms of all parts and the current gauges.
 func (i *Instance) serveMetrics(w http.ResponseWriter, _ *http.Request) {
-	i.set.WritePrometheus(w)
+	i.metricsSet.WritePrometheus(w)
 	i.upstreams.WriteMetrics(w)
 	now := i.now()
-	metrics.WriteGaugeUint64(w, "stackspindle_callers", uint64(i.callers.Callers()))
+	metrics.WriteGaugeUint64(w, "stackspindle_callers", uint64(i.clients.Callers()))
 	metrics.WriteGaugeUint64(w, "stackspindle_config_version", uint64(i.topology.Load().Version))
-	metrics.WriteGaugeFloat64(w, "stackspindle_store_confirmed_seconds", (now - time.Duration(i.heardAt.Load())).Seconds())
+	metrics.WriteGaugeFloat64(w, "stackspindle_store_confirmed_seconds", (now - time.Duration(i.grantsConfirmedAt.Load())).Seconds())
 	metrics.WriteGaugeUint64(w, "stackspindle_registered", boolMetric(i.lease.Load() != 0))
 	metrics.WriteGaugeUint64(w, "stackspindle_ready", boolMetric(i.Ready()))
 	i.relay.Gates(func(group string, g *lead.Gate) {
--- a/internal/fleet/limit_eligibility.go
+++ b/internal/fleet/limit_eligibility.go
@@ -9,58 +9,59 @@
 	"github.com/stackspindle/stackspindle/internal/quota"
 )
 
-// firstStartPause is how long after its registration an instance holds shares where the
-// whole fleet starts for the first time. Nobody has held any before; within it all have
-// registered and know of one another.
-const firstStartPause = 3 * time.Second
+// firstStartDelay is how long after its registration an instance becomes eligible for limit shares
+// when all instances start for the first time. Nobody has held shares before; within this time all
+// have registered and know each other.
+const firstStartDelay = 3 * time.Second
 
-// settlement is what stands in the instance's registration about shares of the accounts'
-// limits. It belongs to the goroutine that registers.
-type settlement struct {
-	registered bool          // this process was seen to be registered
-	settled    bool          // as the registration says, or is to say
-	due        time.Duration // when it is to say so; meaningful while it does not
+// limitEligibility is the state, in this instance's registration, of whether it may hold shares of
+// the accounts' limits. It is used by the registration goroutine only.
+type limitEligibility struct {
+	registered bool          // this process has seen its registration in the store
+	eligible   bool          // as the registration says, or is about to say
+	eligibleAt time.Duration // when the registration is to say so; valid while eligible is false
 }
 
-// begin decides what a registration that is about to be written says, by what stands in
-// the store, and returns from when on the instance may hold shares. One that was settled
-// stays so. At the fleet's first start everybody is, since nobody has held shares. Else
-// the instance joins a fleet whose shares others hold, and waits.
-func (s *settlement) begin(now time.Duration, view *lead.View, name string, firstStart bool) time.Duration {
-	known, revision := view.Instance(name)
-	first := firstStart && !s.registered && now < quota.Validity
-	s.settled = revision > 0 && known.Settled || revision == 0 && first
+// prepare decides whether the registration that is about to be written says that the instance is
+// eligible, and returns from when on the instance may hold shares. An instance whose stored entry
+// says so remains eligible. At the first start of all instances each one is, since nobody has held
+// shares. Any other instance joins while others hold the shares, and has to wait until they know of
+// it.
+func (e *limitEligibility) prepare(now time.Duration, view *lead.View, name string, firstStart bool) time.Duration {
+	stored, revision := view.Instance(name)
+	isFirstStart := firstStart && !e.registered && now < quota.Validity
+	e.eligible = revision > 0 && stored.Settled || revision == 0 && isFirstStart
 	switch {
-	case s.settled && first:
-		return now + firstStartPause
-	case s.settled:
+	case e.eligible && isFirstStart:
+		return now + firstStartDelay
+	case e.eligible:
 		return 0
 	}
-	s.due = now + storeTimeout + quota.SettleAfter
-	return s.due
+	e.eligibleAt = now + storeTimeout + quota.SettleAfter
+	return e.eligibleAt
 }
 
-// entry returns what the instance's registration says.
-func (i *Instance) entry() lead.Instance {
+// registrationEntry returns the instance's entry for the store.
+func (i *Instance) registrationEntry() lead.Instance {
 	entry := i.self
-	entry.Settled, entry.Seen = i.settlement.settled, i.inForce.Load()
+	entry.Settled, entry.Seen = i.limitEligibility.eligible, i.appliedRevision.Load()
 	return entry
 }
 
-// settle has the registration say that the instance has settled, once it has. Without
-// it a process that is started again would have to wait anew.
-func (i *Instance) settle(view *lead.View, lease kv.LeaseID) {
-	s := &i.settlement
-	s.registered = true
-	if s.settled || i.now() < s.due {
+// writeEligibility writes the instance's eligibility to its registration once the wait is over, so
+// that a restarted process need not wait again.
+func (i *Instance) writeEligibility(view *lead.View, lease kv.LeaseID) {
+	e := &i.limitEligibility
+	e.registered = true
+	if e.eligible || i.now() < e.eligibleAt {
 		return
 	}
-	s.settled = true
+	e.eligible = true
 	ctx, cancel := context.WithTimeout(i.ctx, storeTimeout)
 	defer cancel()
-	if _, err := i.platform.Store.Commit(ctx, view.Registration(i.entry(), lease)); err != nil {
-		s.settled = false
-		s.due = i.now() + registerPause // or its answer was lost: then the store holds it already
-		i.part("registration").WithError(err).Info("registration: that the instance has settled was not written, or its answer was lost")
+	if _, err := i.platform.Store.Commit(ctx, view.Registration(i.registrationEntry(), lease)); err != nil {
+		e.eligible = false
+		e.eligibleAt = i.now() + registerPause // the answer may have been lost, then the store has it already
+		i.part("registration").WithError(err).Info("registration: the eligibility for limit shares was not written, or the answer was lost")
 	}
 }
--- a/internal/fleet/limit_eligibility_test.go
+++ b/internal/fleet/limit_eligibility_test.go
@@ -21,30 +21,31 @@
 	return view
 }
 
-// An instance holds shares of the limits at once where its registration says that it
-// has settled, and after a while where it joins, or joins anew.
-func TestSettlement(t *testing.T) {
+// An instance may hold shares of the limits at once if its stored registration says that it is
+// eligible, and after a delay if it joins for the first time or registers again after its entry was
+// lost.
+func TestLimitEligibility(t *testing.T) {
 	const now = 2 * time.Second
 	waits := now + storeTimeout + quota.SettleAfter
 	for name, c := range map[string]struct {
-		before     settlement
+		before     limitEligibility
 		view       *lead.View
 		now        time.Duration
 		firstStart bool
-		settled    bool
+		eligible   bool
 		from       time.Duration
 	}{
-		"a restart":                       {settlement{}, viewWith(t, lead.Instance{Name: "a", Settled: true}), now, false, true, 0},
-		"a restart before it settled":     {settlement{}, viewWith(t, lead.Instance{Name: "a"}), now, false, false, waits},
-		"a new one":                       {settlement{}, viewWith(t, lead.Instance{Name: "b", Settled: true}), now, false, false, waits},
-		"the fleet's first start":         {settlement{}, viewWith(t), now, true, true, now + firstStartPause},
-		"registered anew after it ended":  {settlement{registered: true, settled: true}, viewWith(t), now, true, false, waits},
-		"a first start that takes longer": {settlement{}, viewWith(t), time.Minute, true, false, time.Minute + storeTimeout + quota.SettleAfter},
+		"a restart":                       {limitEligibility{}, viewWith(t, lead.Instance{Name: "a", Settled: true}), now, false, true, 0},
+		"a restart before it is eligible": {limitEligibility{}, viewWith(t, lead.Instance{Name: "a"}), now, false, false, waits},
+		"a new instance":                  {limitEligibility{}, viewWith(t, lead.Instance{Name: "b", Settled: true}), now, false, false, waits},
+		"the fleet's first start":         {limitEligibility{}, viewWith(t), now, true, true, now + firstStartDelay},
+		"registered again after it ended": {limitEligibility{registered: true, eligible: true}, viewWith(t), now, true, false, waits},
+		"a first start that takes longer": {limitEligibility{}, viewWith(t), time.Minute, true, false, time.Minute + storeTimeout + quota.SettleAfter},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := c.before
-			must.Eq(t, c.from, s.begin(c.now, c.view, "a", c.firstStart))
-			must.Eq(t, c.settled, s.settled)
+			e := c.before
+			must.Eq(t, c.from, e.prepare(c.now, c.view, "a", c.firstStart))
+			must.Eq(t, c.eligible, e.eligible)
 		})
 	}
 }
--- a/internal/fleet/placement_log.go
+++ b/internal/fleet/placement_log.go
@@ -10,23 +10,22 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// reportPlacement logs that a group has other carriers than before. The first of them does it
-// for all.
-func (i *Instance) reportPlacement(group string, before, now placement.Carriers) {
-	if rank, carries := now.Rank(i.self.Name); !carries || rank > 0 || slices.Equal(before.Names, now.Names) {
+// reportPlacement logs that the carriers of a group have changed. Only the first carrier logs it.
+func (i *Instance) reportPlacement(group string, previous, current placement.Carriers) {
+	if rank, isCarrier := current.Rank(i.self.Name); !isCarrier || rank > 0 || slices.Equal(previous.Names, current.Names) {
 		return
 	}
-	leftOut, ok := i.sampler.Allow("placement")
+	suppressed, ok := i.sampler.Allow("placement")
 	if !ok {
 		return
 	}
 	alive := i.view.Load().Alive()
 	i.part("relay").WithFields(logrus.Fields{
-		"group": group, "carriers": describe(now.Names, alive), "alive": len(alive), "left_out": leftOut,
+		"group": group, "carriers": describe(current.Names, alive), "alive": len(alive), "left_out": suppressed,
 	}).Info("relay: a group has other carriers")
 }
 
-// describe returns instances with where they are and what they can bear.
+// describe returns the named instances with their data centre and announced capacity.
 func describe(names []string, alive []lead.Instance) []string {
 	var described []string
 	for _, instance := range alive {
--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -12,22 +12,23 @@
 
 // Settings of the registration.
 const (
-	// renewalsPerTTL is how often a lease is renewed within its time, and
-	// timeoutsPerTTL how many times the wait for an answer fits into it: after a
-	// renewal without an answer there is time for another. Each is charged.
+	// renewalsPerTTL is how often a lease is renewed within its TTL. timeoutsPerTTL is how many
+	// call timeouts fit into the TTL: after a renewal without an answer there is time for another.
+	// Each call is charged.
 	renewalsPerTTL = 2
 	timeoutsPerTTL = 3
-	// registerPause is the pause after a call that did not succeed; it doubles with
-	// each further one up to maxRegisterPause. Each call is charged, refused ones too.
+	// registerPause is the pause after a failed call. It doubles with each further failure, up to
+	// maxRegisterPause. Each call is charged, rejected ones too.
 	registerPause    = 150 * time.Millisecond
 	maxRegisterPause = 1200 * time.Millisecond
 )
 
-// keepRegistered keeps the instance's entry in the store, on a lease.
-func (i *Instance) keepRegistered() error {
+// maintainRegistration keeps the instance's entry in the store, on a lease, until the instance
+// stops.
+func (i *Instance) maintainRegistration() error {
 	if !i.settings.FirstStart {
 		select {
-		case <-i.readStore: // callers are sent to a registered instance, which must know whom it serves
+		case <-i.storeRead: // clients are sent to a registered instance, which must know which groups it serves
 		case <-i.ctx.Done():
 		}
 	}
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// registrationStep does what is due and returns when to come back, or false when a
-// call did not succeed.
+// registrationStep makes the call that is due: a registration or a lease renewal. It returns the
+// pause until the next step, or false if the call failed.
 func (i *Instance) registrationStep() (time.Duration, bool) {
 	if i.stopping.Load() {
 		return registerPause, true
@@ -55,7 +56,7 @@
 	id := kv.LeaseID(i.lease.Load())
 	if id == 0 || i.isMissing(view) {
 		if err := i.register(view); err != nil {
-			log.WithError(err).Info("registration: did not succeed, or its answer was lost")
+			log.WithError(err).Info("registration: could not be written, or the answer was lost")
 			return 0, false
 		}
 		log.Info("registration: the instance is registered")
@@ -66,30 +67,31 @@
 	started := i.now()
 	switch err := i.platform.Store.Renew(ctx, id); {
 	case errors.Is(err, kv.ErrNoLease):
-		i.storeAnswers()
-		log.Warn("registration: the lease is over; registering anew")
+		i.restartWatchAfterOutage()
+		log.Warn("registration: the lease has expired; registering again")
 		i.lease.CompareAndSwap(int64(id), 0)
 		return 0, true
 	case err != nil:
-		i.doubted.Store(true)
+		i.renewalUnanswered.Store(true)
 		log.WithError(err).Info("registration: the lease was not renewed")
 		return 0, false
 	}
-	i.storeAnswers()
-	i.settle(view, id)
-	i.forget(view)
+	i.restartWatchAfterOutage()
+	i.writeEligibility(view, id)
+	i.removeDeparted(view)
 	return max(registerPause, i.settings.LeaseTTL/renewalsPerTTL-(i.now()-started)), true
 }
 
-// isMissing reports whether a view that must show this process as alive does not.
+// isMissing reports whether a view that is recent enough to show this process as alive does not
+// show it.
 func (i *Instance) isMissing(view *lead.View) bool {
-	return !view.IsAlive(i.self.Name, i.self.Incarnation) && i.inForce.Load() >= i.registeredAs
+	return !view.IsAlive(i.self.Name, i.self.Incarnation) && i.appliedRevision.Load() >= i.registeredRevision
 }
 
-// storeAnswers begins the watch anew when the store answers after it did not: the
-// watch may hang on a connection that broke silently meanwhile.
-func (i *Instance) storeAnswers() {
-	if !i.doubted.Swap(false) {
+// restartWatchAfterOutage restarts the watch when the store answers a renewal again after it did
+// not: the watch may hang on a connection that broke without an error.
+func (i *Instance) restartWatchAfterOutage() {
+	if !i.renewalUnanswered.Swap(false) {
 		return
 	}
 	if stop := i.stopWatch.Load(); stop != nil {
@@ -97,8 +99,8 @@
 	}
 }
 
-// register opens a lease and writes the instance's entry, together with the sign
-// that it is alive.
+// register grants a lease and writes the instance's entry together with its liveness key, which the
+// lease removes.
 func (i *Instance) register(view *lead.View) error {
 	ctx, cancel := context.WithTimeout(i.ctx, storeTimeout)
 	defer cancel()
@@ -107,20 +109,20 @@
 		return err
 	}
 	err = i.commitRegistration(ctx, view, lease.ID)
-	if conflict := (*kv.ConflictError)(nil); errors.As(err, &conflict) && !i.informed() {
-		// A process that ended has left its entry, which this one has not read yet.
-		known, _ := view.Replace(i.now(), conflict.Items)
-		err = i.commitRegistration(ctx, known, lease.ID)
+	if conflict := (*kv.ConflictError)(nil); errors.As(err, &conflict) && !i.hasReadStore() {
+		// A previous process left its entry, and this one has not read the store yet
+		stored, _ := view.Replace(i.now(), conflict.Items)
+		err = i.commitRegistration(ctx, stored, lease.ID)
 	}
 	if err != nil {
 		return err
 	}
 	i.lease.Store(int64(lease.ID))
 	i.registerOnce.Do(func() { close(i.registered) })
-	if !i.informed() {
-		return nil // those who are asked for the first picture are found by what stands in the store
+	if !i.hasReadStore() {
+		return nil // other instances find this one by its entry in the store
 	}
-	// The watch shows the entry; until then nothing else is to be written.
+	// Waits until the watch shows the entry: before that, a further write would conflict.
 	for waited := time.Duration(0); waited < storeTimeout && i.ctx.Err() == nil; waited += registerPause / 10 {
 		if i.view.Load().IsAlive(i.self.Name, i.self.Incarnation) {
 			return nil
@@ -130,18 +132,18 @@
 	return nil
 }
 
-// commitRegistration writes the registration on top of what a view shows.
+// commitRegistration writes the registration, on condition that the entry is as the view shows it.
 func (i *Instance) commitRegistration(ctx context.Context, view *lead.View, lease kv.LeaseID) error {
-	// Before the call, since its answer may be lost.
-	i.limiter.Settle(i.settlement.begin(i.now(), view, i.self.Name, i.settings.FirstStart))
-	revision, err := i.platform.Store.Commit(ctx, view.Registration(i.entry(), lease))
-	i.registeredAs = revision
+	// Set before the call, since its answer may be lost.
+	i.limiter.Settle(i.limitEligibility.prepare(i.now(), view, i.self.Name, i.settings.FirstStart))
+	revision, err := i.platform.Store.Commit(ctx, view.Registration(i.registrationEntry(), lease))
+	i.registeredRevision = revision
 	return err
 }
 
-// forget removes the entries of instances that have been gone for long. One
-// instance does it for all.
-func (i *Instance) forget(view *lead.View) {
+// removeDeparted removes the entries of instances that have been gone for long. The first instance
+// by rank does it for all.
+func (i *Instance) removeDeparted(view *lead.View) {
 	if view.Rank("", i.self.Name) > 0 {
 		return
 	}
@@ -149,14 +151,14 @@
 		ctx, cancel := context.WithTimeout(i.ctx, storeTimeout)
 		_, err := i.platform.Store.Commit(ctx, lead.Forgetting(name, revision))
 		cancel()
-		i.part("registration").WithField("gone", name).WithError(err).Info("registration: removing the entry of an instance that is gone")
+		i.part("registration").WithField("gone", name).WithError(err).Info("registration: removing the entry of a departed instance")
 	}
 }
 
-// Event implements lead.Surroundings.
-func (s surroundings) Event(kind, group, member string, term uint64, text string) {
-	s.i.set.GetOrCreateCounter(`stackspindle_events_total{kind="` + kind + `"}`).Inc()
-	e := s.i.ring.Add(timeline.Event{Kind: kind, Group: group, Member: member, Term: term, Text: text})
+// Event implements lead.Environment. It counts the event, adds it to the timeline and logs it.
+func (s environment) Event(kind, group, member string, term uint64, text string) {
+	s.i.metricsSet.GetOrCreateCounter(`stackspindle_events_total{kind="` + kind + `"}`).Inc()
+	e := s.i.events.Add(timeline.Event{Kind: kind, Group: group, Member: member, Term: term, Text: text})
 	s.i.part("timeline").WithField("kind", e.Kind).WithField("group", e.Group).WithField("member", e.Member).
 		WithField("term", e.Term).Info("timeline: " + e.Text)
 }
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -21,9 +21,9 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// grownFleet is the store of a fleet whose database groups grow with its instances, as
-// one instance learns of it while all start.
-type grownFleet struct {
+// simulatedFleet simulates the store of a fleet whose number of groups grows with its number of
+// instances, and one instance of the fleet that applies the store's updates.
+type simulatedFleet struct {
 	inst      *Instance
 	state     *topology.State
 	revision  int64
@@ -31,8 +31,8 @@
 	groups    int
 }
 
-// newGrownFleet returns the fleet before anything is known of it.
-func newGrownFleet(tb testing.TB, instances int) *grownFleet {
+// newSimulatedFleet returns the fleet with an empty store.
+func newSimulatedFleet(tb testing.TB, instances int) *simulatedFleet {
 	tb.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -41,26 +41,26 @@
 	}, Platform{Store: memstore.New().Client(), Decoder: jsonDecoder{}}, log)
 	must.NoError(tb, err)
 	tb.Cleanup(inst.close)
-	return &grownFleet{inst: inst, state: topology.New(memberGrace, departedMemory), instances: instances, groups: instances}
+	return &simulatedFleet{inst: inst, state: topology.New(memberGrace, departedMemory), instances: instances, groups: instances}
 }
 
-// strengthOf returns what an instance can bear: one in twenty is strong.
-func strengthOf(n int) placement.Strength {
+// capacityOf returns the capacity of an instance; one in twenty is strong.
+func capacityOf(n int) placement.Strength {
 	if n%20 == 0 {
 		return placement.Strength{Cores: 1.6, LinkMbps: 1000}
 	}
 	return placement.Strength{Cores: 0.2, LinkMbps: 20}
 }
 
-// learn takes in changes, and looks at what is due.
-func (f *grownFleet) learn(events ...kv.Event) {
-	c := change{Picture: feed.Picture{Events: events, Revision: f.revision}, taken: make(chan struct{})}
-	f.inst.takeIn(f.state, c)
+// apply applies updates and runs a tick of the controller.
+func (f *simulatedFleet) apply(events ...kv.Event) {
+	c := change{Picture: feed.Picture{Events: events, Revision: f.revision}, applied: make(chan struct{})}
+	f.inst.applyChange(f.state, c)
 	f.inst.controller.Tick(context.Background())
 }
 
-// put returns the change of a key.
-func (f *grownFleet) put(tb testing.TB, key string, value any) kv.Event {
+// put returns the event of a key's new value.
+func (f *simulatedFleet) put(tb testing.TB, key string, value any) kv.Event {
 	tb.Helper()
 	f.revision++
 	raw, ok := value.([]byte)
@@ -72,20 +72,21 @@
 	return kv.Event{Item: kv.Item{Key: key, Value: raw, Revision: f.revision}}
 }
 
-// start takes in all that a start writes to the store, some entries at a time.
-func (f *grownFleet) start(tb testing.TB, batch int) {
+// start applies all that a start of the fleet writes to the store, in batches of the entries of
+// batch instances, members or groups.
+func (f *simulatedFleet) start(tb testing.TB, batch int) {
 	tb.Helper()
-	f.learn(f.put(tb, "config", f.config(1)))
+	f.apply(f.put(tb, "config", f.config(1)))
 	var events []kv.Event
-	flush := func(least int) {
-		if len(events) >= least && len(events) > 0 {
-			f.learn(events...)
+	flush := func(minEvents int) {
+		if len(events) >= minEvents && len(events) > 0 {
+			f.apply(events...)
 			events = nil
 		}
 	}
 	for i := range f.instances {
 		name := fmt.Sprintf("instance-%d", i)
-		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", i%5), Incarnation: name, Address: name, Strength: strengthOf(i)}
+		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", i%5), Incarnation: name, Address: name, Strength: capacityOf(i)}
 		events = append(events, f.put(tb, "stackspindle/instances/"+name, entry), f.put(tb, "stackspindle/alive/"+name, []byte(name)))
 		flush(2 * batch)
 	}
@@ -107,8 +108,8 @@
 	flush(0)
 }
 
-// config returns a configuration of all groups, with a route for each and a quarter more.
-func (f *grownFleet) config(version int64) topology.Config {
+// config returns a configuration of all groups, with 5/4 as many routes.
+func (f *simulatedFleet) config(version int64) topology.Config {
 	config := topology.Config{Version: version}
 	for g := range f.groups {
 		config.Groups = append(config.Groups, topology.Group{Name: fmt.Sprintf("group-%d", g), MaxConnections: 428})
@@ -121,14 +122,14 @@
 	return config
 }
 
-// changeOf returns a change of one kind, another one each time.
-func (f *grownFleet) changeOf(tb testing.TB, kind string, n int) kv.Event {
+// changeOf returns the n-th change of a kind.
+func (f *simulatedFleet) changeOf(tb testing.TB, kind string, n int) kv.Event {
 	other := 1 + n%(f.instances-1)
 	group := fmt.Sprintf("group-%d", n%f.groups)
 	name := fmt.Sprintf("instance-%d", other)
 	switch kind {
 	case "registration":
-		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", other%5), Incarnation: fmt.Sprint(n), Address: name, Strength: strengthOf(other)}
+		entry := lead.Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", other%5), Incarnation: fmt.Sprint(n), Address: name, Strength: capacityOf(other)}
 		return f.put(tb, "stackspindle/instances/"+name, entry)
 	case "loss":
 		e := f.put(tb, "stackspindle/alive/"+name, []byte(name))
@@ -143,21 +144,21 @@
 	return f.put(tb, "config", f.config(int64(n+2)))
 }
 
-// changeKinds are the kinds of changes that an instance hears of.
+// changeKinds are the kinds of changes that an instance gets.
 var changeKinds = []string{"registration", "loss", "member", "record", "config"}
 
-// The load: one change in a fleet that grows along with its groups. But for the list of instances
-// and the configuration, which all have whole, what it costs an instance that it does not concern
-// does not grow.
-func TestAChangeCostsWhatItConcerns(t *testing.T) {
+// The cost of a change, for an instance that it does not concern, must not grow with the fleet.
+// Exempt are changes of the list of instances and of the configuration, which every instance holds
+// in full.
+func TestChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	allocated := func(instances int, kind string) float64 {
-		f := newGrownFleet(t, instances)
+		f := newSimulatedFleet(t, instances)
 		f.start(t, 80)
-		f.settle()
+		f.settlePlacement()
 		n := 0
 		return testing.AllocsPerRun(20, func() {
 			n++
-			f.learn(f.changeOf(t, kind, n))
+			f.apply(f.changeOf(t, kind, n))
 		})
 	}
 	for _, kind := range []string{"member", "record"} {
@@ -166,51 +167,52 @@
 	}
 }
 
-// The load: an idle instance in a fleet that grows along with its groups. It holds pools, gates and
-// looks for what it carries, which stays the same.
-func TestAnInstanceHoldsWhatItCarries(t *testing.T) {
+// An idle instance holds pools, guards and timers only for the groups that it serves, whose number
+// does not grow with the fleet.
+func TestInstanceStateIsBoundedByServedGroups(t *testing.T) {
 	for _, instances := range []int{100, 300} {
-		f := newGrownFleet(t, instances)
+		f := newSimulatedFleet(t, instances)
 		f.start(t, 80)
-		f.settle()
+		f.settlePlacement()
 		carried := len(f.inst.relay.Carried())
 		gates := 0
 		f.inst.relay.Gates(func(string, *lead.Gate) { gates++ })
-		must.LessEq(t, mostCarried, carried, must.Sprint(instances))
+		must.LessEq(t, maxServed, carried, must.Sprint(instances))
 		must.LessEq(t, carried, gates)
 	}
 }
 
-// mostCarried is how many of as many groups as there are instances a strong instance carries at the
-// most: six places of each group, in three data centres of five, eight times as many as a weak one.
-const mostCarried = 6 * 5 / 3 * 8
+// maxServed is the largest number of groups that a strong instance serves if there are as many
+// groups as instances: six carriers for each group, in three data centres of five, and eight times
+// as many as a weak instance.
+const maxServed = 6 * 5 / 3 * 8
 
-// settle places the groups as they are, which a change leaves to a later look when the last
-// placement was a moment ago: it would count as a part of whatever is measured then.
-func (f *grownFleet) settle() {
+// settlePlacement runs a placement that was left to a later tick because the last one was too
+// recent. Otherwise it would count towards what is measured next.
+func (f *simulatedFleet) settlePlacement() {
 	f.inst.placedAt = -time.Hour
-	f.inst.share(f.state)
+	f.inst.updatePlacement(f.state)
 }
 
-// look does what the control goroutine does at each look.
-func (f *grownFleet) look() {
-	f.inst.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+// tick does what the control goroutine does at each tick.
+func (f *simulatedFleet) tick() {
+	f.inst.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(abortDelay) })
 	f.inst.controller.Tick(context.Background())
 }
 
-// The load: an idle instance looks after a thousand groups that others carry and lead. A look
-// costs no allocation for each of them.
-func TestALookAllocatesNothingForEachGroup(t *testing.T) {
+// An idle instance checks a thousand groups that others serve and lead. A tick must not allocate
+// for each of them.
+func TestTickDoesNotAllocatePerGroup(t *testing.T) {
 	allocations := func(instances int) float64 {
-		f := newGrownFleet(t, instances)
+		f := newSimulatedFleet(t, instances)
 		f.start(t, 80)
-		return testing.AllocsPerRun(5, f.look)
+		return testing.AllocsPerRun(5, f.tick)
 	}
 	must.LessEq(t, allocations(30)+10, allocations(300))
 }
 
-// The load: all instances start together, and each sees itself first. The more groups there are,
-// the longer each leaves them to those that it does not know yet.
+// All instances start together, and each sees only itself at first. The more groups there are, the
+// longer an instance leaves them to instances that it does not know yet.
 func TestMayLead(t *testing.T) {
 	must.True(t, mayLead(10*time.Millisecond, 3))
 	must.False(t, mayLead(10*time.Millisecond, 1000))
@@ -218,24 +220,25 @@
 	must.True(t, mayLead(0, 0))
 }
 
-// The load: more changes than one answer of the store holds. What is left is asked for at once.
-func TestRestAfterAWatch(t *testing.T) {
+// After an answer that is full there may be more changes, so the next watch is sent without a
+// pause.
+func TestPauseAfterWatch(t *testing.T) {
 	events := make([]kv.Event, 250)
-	must.False(t, restAfter(feed.Picture{}))
-	must.True(t, restAfter(feed.Picture{Events: events[:3]}))
-	must.False(t, restAfter(feed.Picture{Events: events}))
-	must.False(t, restAfter(feed.Picture{Events: events[:3], Whole: true}))
+	must.False(t, shouldPause(feed.Picture{}))
+	must.True(t, shouldPause(feed.Picture{Events: events[:3]}))
+	must.False(t, shouldPause(feed.Picture{Events: events}))
+	must.False(t, shouldPause(feed.Picture{Events: events[:3], Whole: true}))
 }
 
-// BenchmarkFirstPicture is what a start costs an instance that hears first of the instances, and then
-// of members that register after the others, some hundred at a time, and of the groups' leaders.
-func BenchmarkFirstPicture(b *testing.B) {
+// BenchmarkInitialSnapshot measures a start: the instance applies the other instances' entries first,
+// then those of members, some hundred at a time, and of the groups' leaders.
+func BenchmarkInitialSnapshot(b *testing.B) {
 	for _, n := range []int{300, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				f := newGrownFleet(b, n)
+				f := newSimulatedFleet(b, n)
 				f.start(b, n/3)
-				f.settle()
+				f.settlePlacement()
 			}
 		})
 	}
@@ -245,18 +248,19 @@
 	for _, n := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				newGrownFleet(b, n).start(b, 80)
+				newSimulatedFleet(b, n).start(b, 80)
 			}
 		})
 	}
 }
 
-// BenchmarkChange is what one change costs an instance, with the heap that the instance holds.
+// BenchmarkChange measures one change, with the garbage collection of the heap that the instance
+// holds.
 func BenchmarkChange(b *testing.B) {
 	for _, kind := range changeKinds {
 		for _, size := range []int{100, 300, 1000, 2000} {
 			b.Run(fmt.Sprintf("%s/%d", kind, size), func(b *testing.B) {
-				f := newGrownFleet(b, size)
+				f := newSimulatedFleet(b, size)
 				f.start(b, 80)
 				var events []kv.Event
 				for n := range 4096 {
@@ -269,14 +273,14 @@
 				for n := 0; b.Loop(); n++ {
 					e := events[n%len(events)]
 					e.Revision = f.revision + int64(n)
-					f.learn(e)
+					f.apply(e)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkHeap is what an idle instance holds.
+// BenchmarkHeap measures the heap of an idle instance.
 func BenchmarkHeap(b *testing.B) {
 	for _, size := range []int{100, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -284,7 +288,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				f := newGrownFleet(b, size)
+				f := newSimulatedFleet(b, size)
 				f.start(b, 80)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
@@ -295,47 +299,47 @@
 	}
 }
 
-func BenchmarkLook(b *testing.B) {
+func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := newGrownFleet(b, n)
+			f := newSimulatedFleet(b, n)
 			f.start(b, 80)
 			for b.Loop() {
-				f.look()
+				f.tick()
 			}
 		})
 	}
 }
 
-// The failure: all instances of a large fleet are gone, and their entries are still in the store when
-// the first starts again. Nobody can tell it what the store holds; it reads the store itself.
-func TestFirstPictureWhenAllOthersAreGone(t *testing.T) {
+// All instances of a large fleet are gone while their entries are still in the store, and the first
+// one starts again. No other instance can send it a snapshot, so it must read the store itself.
+func TestInitialSnapshotWhenAllOthersAreGone(t *testing.T) {
 	f := &testFleet{t: t, store: memstore.New(), group: membergroup.New(testGroup, testMembers...), decoder: jsonDecoder{}, output: io.Discard}
 	f.store.Put("config", encodeJSON(t, testConfig()))
 	for _, id := range testMembers {
 		f.putMember(id)
 	}
-	for n := range 2 * smallFleet {
+	for n := range 2 * minFleetForPeerSnapshot {
 		name := fmt.Sprintf("gone-%d", n)
 		f.store.Put(lead.PrefixInstances+name, encodeJSON(t, lead.Instance{Name: name, Incarnation: name, Address: "127.0.0.1:1"}))
 	}
 	inst := f.start("instance-0")
-	f.eventually("the instance has read the store", inst.informed)
+	f.eventually("the instance has read the store", inst.hasReadStore)
 }
 
-// In a small fleet each reads the store itself; in a large one it asks among all that are registered,
-// itself included, so that all agree on who watches the store.
-func TestFirstPeers(t *testing.T) {
-	for _, registered := range []int{smallFleet - 1, smallFleet} {
-		f := newGrownFleet(t, 3)
+// In a small fleet each instance reads the store itself. In a large one it chooses its source among
+// all registered instances, itself included, so that all agree on the watchers.
+func TestInitialPeers(t *testing.T) {
+	for _, registered := range []int{minFleetForPeerSnapshot - 1, minFleetForPeerSnapshot} {
+		f := newSimulatedFleet(t, 3)
 		store := memstore.New()
 		f.inst.platform.Store = store.Client()
 		for n := range registered {
 			name := fmt.Sprintf("other-%d", n)
 			store.Put(lead.PrefixInstances+name, encodeJSON(t, lead.Instance{Name: name, Incarnation: name, Address: "127.0.0.1:1"}))
 		}
-		peers := f.inst.firstPeers()
-		if registered < smallFleet {
+		peers := f.inst.initialPeers()
+		if registered < minFleetForPeerSnapshot {
 			must.SliceEmpty(t, peers.candidates)
 			continue
 		}
