--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv is the port to the store in which the fleet keeps what must last:
-// keys with revisions, watches, conditional transactions and leases. The
-// platform's adapter implements it, and so does the stand-in for tests.
+// Package kv is the interface to the store that holds the durable state of all instances: keys with
+// revisions, watches, conditional transactions and leases. The platform's client implements it, and
+// so does the in-memory store of the tests.
 package kv
 
 import (
@@ -10,21 +10,20 @@
 	"time"
 )
 
-// Errors of a store. Any other error of a writing call means that the call may
-// have taken effect, or may still do so while its condition holds.
+// Errors of a store. After any other error of a writing call the outcome is unknown: the call may
+// have taken effect, or may still do so while its conditions hold.
 var (
-	// ErrUnavailable says that the store refused the call and did nothing.
+	// ErrUnavailable says that the store rejected the call and did nothing.
 	ErrUnavailable = errors.New("the store refused the call")
-	// ErrCompacted says that the history asked for is gone; list again.
+	// ErrCompacted says that the requested history was compacted; list again.
 	ErrCompacted = errors.New("the store's history does not reach back that far")
-	// ErrNoLease says that the lease is over.
+	// ErrNoLease says that the lease has expired or was revoked.
 	ErrNoLease = errors.New("the lease is over")
 )
 
-// ConflictError says that the condition of a transaction did not hold, so that
-// nothing was done.
+// ConflictError says that a condition of a transaction did not hold and that nothing was written.
 type ConflictError struct {
-	Items []Item // the keys of the condition as they are
+	Items []Item // current state of the conditions' keys
 }
 
 // Error implements error.
@@ -32,7 +31,7 @@
 	return fmt.Sprintf("the condition does not hold (%d keys as they are)", len(e.Items))
 }
 
-// LeaseID names a lease; 0 is none.
+// LeaseID identifies a lease; 0 is none.
 type LeaseID int64
 
 // Item is a key with its value.
@@ -46,10 +45,11 @@
 // Event is a change of one key.
 type Event struct {
 	Item
-	Deleted bool // Value is empty
+	Deleted bool // Value is empty then
 }
 
-// Expect is a condition: the key's last change has this revision, 0: it is absent.
+// Expect is a precondition of a transaction: the key was last changed at Revision, or is absent if
+// that is 0.
 type Expect struct {
 	Key      string
 	Revision int64
@@ -59,39 +59,39 @@
 type Put struct {
 	Key   string
 	Value []byte
-	Lease LeaseID // the key goes with it; 0: it stays
+	Lease LeaseID // the key is removed with this lease; 0: it stays
 }
 
-// Txn does all of its writes, or nothing when a condition fails.
+// Txn is a transaction: all of its writes take effect, or none if a condition fails.
 type Txn struct {
 	Expect []Expect
 	Puts   []Put
 	Delete []string
 }
 
-// Lease is a lease as granted.
+// Lease is a granted lease.
 type Lease struct {
 	ID  LeaseID
 	TTL time.Duration
 }
 
-// Store is what the fleet needs of the platform's store. Implementations are
-// safe for concurrent use. Every call ends with its context.
+// Store is what an instance needs of the platform's store. Implementations are safe for concurrent
+// use. Every call returns when its context ends.
 type Store interface {
-	// List returns all items under a prefix with the revision from which a watch
-	// goes on. A change made while the pages are read is seen by that watch.
+	// List returns all items under a prefix and the revision after which to watch. A change made
+	// while the pages are read is seen by that watch.
 	List(ctx context.Context, prefix string) ([]Item, int64, error)
-	// Watch waits at most wait for changes after a revision and returns them with
-	// the revision to go on from.
+	// Watch waits at most wait for changes after a revision. It returns them with the revision to
+	// continue from.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Event, int64, error)
 	// Get returns one item; absent keys have revision 0.
 	Get(ctx context.Context, key string) (Item, error)
 	// Commit runs a transaction and returns its revision.
 	Commit(ctx context.Context, txn Txn) (int64, error)
-	// Grant opens a lease.
+	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
-	// Renew extends a lease by its full time from now.
+	// Renew extends a lease by its full TTL from now.
 	Renew(ctx context.Context, id LeaseID) error
-	// Revoke ends a lease with its keys.
+	// Revoke ends a lease and removes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 }
