--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -48,9 +48,9 @@
 	Deleted bool // Value is empty then
 }
 
-// Expect is a precondition of a transaction: the key was last changed at Revision, or is absent if
+// Condition is a precondition of a transaction: the key was last changed at Revision, or is absent if
 // that is 0.
-type Expect struct {
+type Condition struct {
 	Key      string
 	Revision int64
 }
@@ -64,7 +64,7 @@
 
 // Txn is a transaction: all of its writes take effect, or none if a condition fails.
 type Txn struct {
-	Expect []Expect
+	Expect []Condition
 	Puts   []Put
 	Delete []string
 }
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -154,7 +154,7 @@
 func (c *Controller) write(ctx context.Context, group string, g *ledGroup, record Record, expected int64) (int64, error) {
 	key, value := prefixGroup+group, encode(record)
 	txn := kv.Txn{
-		Expect: []kv.Expect{{Key: prefixLeader + group, Revision: g.leading}, {Key: key, Revision: expected}},
+		Expect: []kv.Condition{{Key: prefixLeader + group, Revision: g.leading}, {Key: key, Revision: expected}},
 		Puts:   []kv.Put{{Key: key, Value: value}},
 	}
 	for {
