--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -64,9 +64,9 @@
 
 // Txn is a transaction: all of its writes take effect, or none if a condition fails.
 type Txn struct {
-	Expect []Condition
-	Puts   []Put
-	Delete []string
+	Conditions []Condition
+	Puts       []Put
+	Delete     []string
 }
 
 // Lease is a granted lease.
--- a/internal/lead/aside.go
+++ b/internal/lead/aside.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	key := prefixLeader + group
-	_, err := c.store.Commit(ctx, kv.Txn{Expect: []kv.Condition{{Key: key, Revision: g.leading}}, Delete: []string{key}})
+	_, err := c.store.Commit(ctx, kv.Txn{Conditions: []kv.Condition{{Key: key, Revision: g.leading}}, Delete: []string{key}})
 	c.log.WithField("group", group).WithField("generation", g.generation).WithError(err).
 		Info("lead: this instance gives the group up to one that uses it")
 }
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -154,8 +154,8 @@
 func (c *Controller) write(ctx context.Context, group string, g *ledGroup, record Record, expected int64) (int64, error) {
 	key, value := prefixGroup+group, encode(record)
 	txn := kv.Txn{
-		Expect: []kv.Condition{{Key: prefixLeader + group, Revision: g.leading}, {Key: key, Revision: expected}},
-		Puts:   []kv.Put{{Key: key, Value: value}},
+		Conditions: []kv.Condition{{Key: prefixLeader + group, Revision: g.leading}, {Key: key, Revision: expected}},
+		Puts:       []kv.Put{{Key: key, Value: value}},
 	}
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -326,7 +326,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err := c.store.Commit(ctx, kv.Txn{
-		Expect: []kv.Condition{{Key: prefixLeader + group, Revision: leaderRevision}, {Key: prefixGroup + group, Revision: revision}},
+		Conditions: []kv.Condition{{Key: prefixLeader + group, Revision: leaderRevision}, {Key: prefixGroup + group, Revision: revision}},
 		Puts: []kv.Put{
 			{Key: prefixLeader + group, Value: encode(Leader{c.self.Name, c.self.Incarnation}), Lease: lease},
 			{Key: prefixGroup + group, Value: encode(record)},
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -427,6 +427,6 @@
 	v, err := NewView().Apply(0, []kv.Event{registered("a", "1", 7)})
 	must.NoError(t, err)
 	txn := v.Registration(self, 9)
-	must.Eq(t, []kv.Condition{{Key: PrefixInstances + "a", Revision: 7}}, txn.Expect)
+	must.Eq(t, []kv.Condition{{Key: PrefixInstances + "a", Revision: 7}}, txn.Conditions)
 	must.Len(t, 2, txn.Puts)
 }
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -215,8 +215,8 @@
 func (r *registry) Registration(self Instance, lease kv.LeaseID) kv.Txn {
 	known, revision := r.Instance(self.Name)
 	txn := kv.Txn{
-		Expect: []kv.Condition{{Key: PrefixInstances + self.Name, Revision: revision}},
-		Puts:   []kv.Put{{Key: prefixAlive + self.Name, Value: []byte(self.Incarnation), Lease: lease}},
+		Conditions: []kv.Condition{{Key: PrefixInstances + self.Name, Revision: revision}},
+		Puts:       []kv.Put{{Key: prefixAlive + self.Name, Value: []byte(self.Incarnation), Lease: lease}},
 	}
 	if known != self {
 		txn.Puts = append(txn.Puts, kv.Put{Key: PrefixInstances + self.Name, Value: encode(self)})
@@ -227,7 +227,7 @@
 // Forgetting returns the transaction that removes an instance's entry.
 func Forgetting(name string, revision int64) kv.Txn {
 	return kv.Txn{
-		Expect: []kv.Condition{{Key: PrefixInstances + name, Revision: revision}, {Key: prefixAlive + name}},
-		Delete: []string{PrefixInstances + name},
+		Conditions: []kv.Condition{{Key: PrefixInstances + name, Revision: revision}, {Key: prefixAlive + name}},
+		Delete:     []string{PrefixInstances + name},
 	}
 }
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -245,7 +245,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conflict := &kv.ConflictError{}
-	for _, e := range txn.Expect {
+	for _, e := range txn.Conditions {
 		if s.items[e.Key].Revision != e.Revision {
 			conflict.Items = append(conflict.Items, s.items[e.Key])
 		}
--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -160,7 +160,7 @@
 	}
 	txn := kv.Txn{Delete: body.Delete}
 	for _, e := range body.Expect {
-		txn.Expect = append(txn.Expect, kv.Condition{Key: e.Key, Revision: e.Changed})
+		txn.Conditions = append(txn.Conditions, kv.Condition{Key: e.Key, Revision: e.Changed})
 	}
 	for _, p := range body.Puts {
 		txn.Puts = append(txn.Puts, kv.Put{Key: p.Key, Value: p.Value, Lease: kv.LeaseID(p.Lease)})
