--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -66,7 +66,7 @@
 	defer cancel()
 	started := i.now()
 	switch err := i.platform.Store.Renew(ctx, id); {
-	case errors.Is(err, kv.ErrNoLease):
+	case errors.Is(err, kv.ErrLeaseExpired):
 		i.restartWatchAfterOutage()
 		log.Warn("registration: the lease has expired; registering again")
 		i.lease.CompareAndSwap(int64(id), 0)
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -17,8 +17,8 @@
 	ErrUnavailable = errors.New("the store refused the call")
 	// ErrCompacted says that the requested history was compacted; list again.
 	ErrCompacted = errors.New("the store's history does not reach back that far")
-	// ErrNoLease says that the lease has expired or was revoked.
-	ErrNoLease = errors.New("the lease is over")
+	// ErrLeaseExpired says that the lease has expired or was revoked.
+	ErrLeaseExpired = errors.New("the lease is over")
 )
 
 // ConflictError says that a condition of a transaction did not hold and that nothing was written.
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -255,7 +255,7 @@
 	}
 	for _, p := range txn.Puts {
 		if p.Lease != 0 && !s.leases[p.Lease] {
-			return 0, kv.ErrNoLease
+			return 0, kv.ErrLeaseExpired
 		}
 	}
 	s.revision++
@@ -289,7 +289,7 @@
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	if !c.store.leases[id] {
-		return kv.ErrNoLease
+		return kv.ErrLeaseExpired
 	}
 	return nil
 }
--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -257,7 +257,7 @@
 		reply(w, http.StatusPreconditionFailed, map[string]any{"items": items})
 	case errors.Is(err, kv.ErrCompacted):
 		w.WriteHeader(http.StatusGone)
-	case errors.Is(err, kv.ErrNoLease):
+	case errors.Is(err, kv.ErrLeaseExpired):
 		w.WriteHeader(http.StatusNotFound)
 	case errors.Is(err, memstore.ErrLost):
 		panic(http.ErrAbortHandler)
