--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -45,7 +45,7 @@
 					history = append(history, put(key, revision))
 				}
 			case 2: // a mirror reads the store again
-				snapshot := Picture{Whole: true, Revision: revision}
+				snapshot := Picture{Snapshot: true, Revision: revision}
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
@@ -96,7 +96,7 @@
 		sent := 0
 		for i := range n {
 			m := NewMirror()
-			m.Take(Picture{Whole: true, Revision: int64(len(items) + 1), Events: append([]kv.Event{put("config", 1)}, items...)})
+			m.Take(Picture{Snapshot: true, Revision: int64(len(items) + 1), Events: append([]kv.Event{put("config", 1)}, items...)})
 			running = append(running, m)
 			for _, key := range []string{"instances", "alive"} {
 				e := put(fmt.Sprint(key, "/", i), int64(len(items)+2))
@@ -116,7 +116,7 @@
 func TestMassRemovalIsSentAsDelta(t *testing.T) {
 	const keys = 4 * minTombstones
 	mirror := NewMirror()
-	snapshot := Picture{Whole: true, Revision: keys}
+	snapshot := Picture{Snapshot: true, Revision: keys}
 	for n := range int64(keys) {
 		snapshot.Events = append(snapshot.Events, put(fmt.Sprint("k", n), n+1))
 	}
@@ -127,6 +127,6 @@
 	}
 	mirror.Take(removals)
 	u, _ := mirror.Changes(keys)
-	must.False(t, u.Whole)
+	must.False(t, u.Snapshot)
 	must.Len(t, keys/2, u.Events)
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -46,7 +46,7 @@
 					history = append(history, put(key, revision))
 				}
 			case 2: // a mirror reads the store again
-				snapshot := Picture{Whole: true, Revision: revision}
+				snapshot := Picture{Snapshot: true, Revision: revision}
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
@@ -88,28 +88,28 @@
 
 func TestOlderSnapshotDoesNotRevert(t *testing.T) {
 	m := NewMirror()
-	m.Take(Picture{Whole: true, Revision: 5, Events: []kv.Event{put("a", 5)}, Confirmed: time.Second})
-	added := m.Take(Picture{Whole: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, Confirmed: 2 * time.Second})
-	must.False(t, added.Whole)
+	m.Take(Picture{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, Confirmed: time.Second})
+	added := m.Take(Picture{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, Confirmed: 2 * time.Second})
+	must.False(t, added.Snapshot)
 	must.Eq(t, 5, m.Revision())
 	u, _ := m.Since(0)
-	must.True(t, u.Whole)
+	must.True(t, u.Snapshot)
 	must.Eq(t, int64(5), u.Events[len(u.Events)-1].Revision)
 	must.Eq(t, 2*time.Second, u.Confirmed, must.Sprint("the older snapshot still confirms that nothing was newer"))
 }
 
 func TestRemovalHistoryIsBounded(t *testing.T) {
 	m := NewMirror()
-	m.Take(Picture{Whole: true, Revision: 1})
+	m.Take(Picture{Snapshot: true, Revision: 1})
 	for n := int64(1); n <= minTombstones+1; n++ {
 		m.Take(Picture{Revision: 2 * n, Events: []kv.Event{put("k", 2*n)}})
 		m.Take(Picture{Revision: 2*n + 1, Events: []kv.Event{removal(fmt.Sprint("k", n), 2*n+1)}})
 	}
 	must.LessEq(t, minTombstones, len(m.removed))
 	u, _ := m.Since(2)
-	must.True(t, u.Whole)
+	must.True(t, u.Snapshot)
 	u, _ = m.Since(m.Revision() - 1)
-	must.True(t, u.Whole || len(u.Events) > 0)
+	must.True(t, u.Snapshot || len(u.Events) > 0)
 }
 
 // client calls a server in the same process.
@@ -129,7 +129,7 @@
 		arrived := sent + time.Duration(span.Draw(t, "way"))
 		stored := time.Duration(span.Draw(t, "store call"))
 		mirror := NewMirror()
-		mirror.Take(Picture{Whole: true, Revision: 1, Confirmed: stored + offset})
+		mirror.Take(Picture{Snapshot: true, Revision: 1, Confirmed: stored + offset})
 		server := NewServer(mirror, func() time.Duration { return arrived + offset })
 		u, err := Ask(context.Background(), client{server}, 0, 0, sent)
 		must.NoError(t, err)
@@ -145,7 +145,7 @@
 	clock := func() time.Duration { return now }
 	one, other := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{one, other} {
-		m.Take(Picture{Whole: true, Revision: 1})
+		m.Take(Picture{Snapshot: true, Revision: 1})
 		m.NoteWatch(now, true)
 		m.NoteWatch(now, false)
 	}
@@ -171,7 +171,7 @@
 
 func TestPollReturnsOnChange(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Picture{Whole: true, Revision: 1})
+	mirror.Take(Picture{Snapshot: true, Revision: 1})
 	server := NewServer(mirror, func() time.Duration { return 0 })
 	answered := make(chan Picture)
 	go func() {
@@ -318,7 +318,7 @@
 // A server whose instance loses its live source answers waiting polls at once.
 func TestPollReturnsWhenSourceFails(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Picture{Whole: true, Revision: 1})
+	mirror.Take(Picture{Snapshot: true, Revision: 1})
 	mirror.NoteWatch(0, true)
 	server := NewServer(mirror, func() time.Duration { return time.Hour })
 	answered := make(chan Picture)
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -42,8 +42,8 @@
 // Picture is a snapshot of the store, or the changes (a delta) since the revision that was asked
 // for.
 type Picture struct {
-	Whole  bool // Events holds every key; otherwise only those changed since the revision asked for
-	Events []kv.Event
+	Snapshot bool // Events holds every key; otherwise only those changed since the revision asked for
+	Events   []kv.Event
 	// Unsure says that keys may have been removed after the revision asked for without the sender
 	// knowing. Once the receiver has applied the changes, it holds the same keys at the same
 	// revisions as the sender if its digest equals Digest.
@@ -185,16 +185,16 @@
 	if m.revision == 0 {
 		m.horizon = u.Revision // earlier removals are not known
 	}
-	if u.Whole && u.Revision >= m.revision {
+	if u.Snapshot && u.Revision >= m.revision {
 		m.removeAllBut(u)
 		m.horizon = max(m.horizon, u.Revision) // keys may have been added and removed unnoticed before it
 	}
 	if u.Unsure {
 		m.horizon = max(m.horizon, u.Revision) // removals since the last revision are not known here either
 	}
-	added := Picture{Whole: u.Whole && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), Confirmed: u.Confirmed}
+	added := Picture{Snapshot: u.Snapshot && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), Confirmed: u.Confirmed}
 	for _, e := range u.Events {
-		if m.applyEvent(e) || added.Whole {
+		if m.applyEvent(e) || added.Snapshot {
 			added.Events = append(added.Events, e)
 		}
 	}
@@ -280,11 +280,11 @@
 func (m *Mirror) Since(after int64) (Picture, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, Whole: after < m.horizon}
+	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, Snapshot: after < m.horizon}
 	if after >= m.revision {
 		return u, m.changed
 	}
-	if u.Whole {
+	if u.Snapshot {
 		u.Events = slices.DeleteFunc(m.changesSince(0), func(e kv.Event) bool { return e.Deleted })
 		return u, m.changed
 	}
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -47,7 +47,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range slices.Backward(p.recent) {
-		if a.Whole && now-a.createdAt < snapshotTTL {
+		if a.Snapshot && now-a.createdAt < snapshotTTL {
 			return a, true
 		}
 	}
@@ -63,7 +63,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.recent {
-		if a.after == after && a.Whole == update.Whole && a.Revision == update.Revision {
+		if a.after == after && a.Snapshot == update.Snapshot && a.Revision == update.Revision {
 			return a.packed
 		}
 	}
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -157,7 +157,7 @@
 	if i.applyTopology(state, c) {
 		i.publishTopology(state)
 	}
-	if c.Whole || len(c.Events) > 0 {
+	if c.Snapshot || len(c.Events) > 0 {
 		previous := i.view.Swap(view)
 		i.relay.Gates(func(group string, g *lead.Gate) {
 			if record, revision := view.Record(group); revision > 0 {
@@ -171,7 +171,7 @@
 	}
 	i.snapshotConfirmedAt.Store(max(i.snapshotConfirmedAt.Load(), int64(c.Confirmed)))
 	i.appliedRevision.Store(max(i.appliedRevision.Load(), c.Revision))
-	if c.Whole {
+	if c.Snapshot {
 		i.storeReadOnce.Do(func() { close(i.storeRead) })
 	}
 	if view.IsAlive(i.self.Name, i.self.Incarnation) && !i.stopping.Load() {
@@ -187,7 +187,7 @@
 }
 
 func (i *Instance) applyView(c change) (*lead.View, error) {
-	if c.Whole {
+	if c.Snapshot {
 		return i.view.Load().Replace(i.now(), c.Items())
 	}
 	if len(c.Events) == 0 {
@@ -203,12 +203,12 @@
 	i.changedMembers = i.changedMembers[:0]
 	present := make(map[string]bool)
 	for _, e := range c.Events {
-		changed = i.applyKey(state, e, c.Whole) || changed
-		if id, ok := i.platform.Decoder.MemberID(e.Key); ok && c.Whole && i.isMember(id, e) {
+		changed = i.applyKey(state, e, c.Snapshot) || changed
+		if id, ok := i.platform.Decoder.MemberID(e.Key); ok && c.Snapshot && i.isMember(id, e) {
 			present[id] = true
 		}
 	}
-	if c.Whole {
+	if c.Snapshot {
 		state.KeepMembers(i.now(), present)
 	}
 	i.logMembers()
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -106,7 +106,7 @@
 // changes at once. There is no pause after an answer with many changes: the store bounds its
 // answers, and where many instances start, pausing would put an instance seconds behind.
 func shouldPause(u feed.Picture) bool {
-	return !u.Whole && len(u.Events) > 0 && len(u.Events) < fullAnswerEvents
+	return !u.Snapshot && len(u.Events) > 0 && len(u.Events) < fullAnswerEvents
 }
 
 // peers are the instances with a valid lease.
@@ -245,7 +245,7 @@
 	if err != nil {
 		return feed.Picture{}, err
 	}
-	snapshot := feed.Picture{Whole: true, Revision: revision, Confirmed: sent}
+	snapshot := feed.Picture{Snapshot: true, Revision: revision, Confirmed: sent}
 	for _, item := range items {
 		snapshot.Events = append(snapshot.Events, kv.Event{Item: item})
 	}
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -227,7 +227,7 @@
 	must.False(t, shouldPause(feed.Picture{}))
 	must.True(t, shouldPause(feed.Picture{Events: events[:3]}))
 	must.False(t, shouldPause(feed.Picture{Events: events}))
-	must.False(t, shouldPause(feed.Picture{Events: events[:3], Whole: true}))
+	must.False(t, shouldPause(feed.Picture{Events: events[:3], Snapshot: true}))
 }
 
 // BenchmarkInitialSnapshot measures a start: the instance applies the other instances' entries first,
