--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -44,14 +44,14 @@
 type Picture struct {
 	Snapshot bool // Events holds every key; otherwise only those changed since the revision asked for
 	Events   []kv.Event
-	// Unsure says that keys may have been removed after the revision asked for without the sender
+	// MayMissRemovals says that keys may have been removed after the revision asked for without the sender
 	// knowing. Once the receiver has applied the changes, it holds the same keys at the same
 	// revisions as the sender if its digest equals Digest.
-	Unsure    bool
-	Digest    uint64
-	Revision  int64
-	Confirmed time.Duration // a time at which the store held nothing newer
-	Live      time.Duration // when the sender last had a live update source
+	MayMissRemovals bool
+	Digest          uint64
+	Revision        int64
+	Confirmed       time.Duration // a time at which the store held nothing newer
+	Live            time.Duration // when the sender last had a live update source
 }
 
 // Items returns the keys of a snapshot.
@@ -158,7 +158,7 @@
 // Completes reports whether applying an update makes this mirror hold the same as the sender's. It
 // compares digests if the sender may have missed removals; any other update is complete by itself.
 func (m *Mirror) Completes(u Picture) bool {
-	if !u.Unsure {
+	if !u.MayMissRemovals {
 		return true
 	}
 	m.mu.Lock()
@@ -189,7 +189,7 @@
 		m.removeAllBut(u)
 		m.horizon = max(m.horizon, u.Revision) // keys may have been added and removed unnoticed before it
 	}
-	if u.Unsure {
+	if u.MayMissRemovals {
 		m.horizon = max(m.horizon, u.Revision) // removals since the last revision are not known here either
 	}
 	added := Picture{Snapshot: u.Snapshot && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), Confirmed: u.Confirmed}
@@ -308,7 +308,7 @@
 		return m.Since(after)
 	}
 	defer m.mu.Unlock()
-	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, Unsure: true, Digest: m.digest}
+	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, MayMissRemovals: true, Digest: m.digest}
 	u.Events = m.changesSince(after)
 	return u, m.changed
 }
