--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -88,14 +88,14 @@
 
 func TestOlderSnapshotDoesNotRevert(t *testing.T) {
 	m := NewMirror()
-	m.Take(Picture{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, Confirmed: time.Second})
-	added := m.Take(Picture{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, Confirmed: 2 * time.Second})
+	m.Take(Picture{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, ConfirmedAt: time.Second})
+	added := m.Take(Picture{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, ConfirmedAt: 2 * time.Second})
 	must.False(t, added.Snapshot)
 	must.Eq(t, 5, m.Revision())
 	u, _ := m.Since(0)
 	must.True(t, u.Snapshot)
 	must.Eq(t, int64(5), u.Events[len(u.Events)-1].Revision)
-	must.Eq(t, 2*time.Second, u.Confirmed, must.Sprint("the older snapshot still confirms that nothing was newer"))
+	must.Eq(t, 2*time.Second, u.ConfirmedAt, must.Sprint("the older snapshot still confirms that nothing was newer"))
 }
 
 func TestRemovalHistoryIsBounded(t *testing.T) {
@@ -129,11 +129,11 @@
 		arrived := sent + time.Duration(span.Draw(t, "way"))
 		stored := time.Duration(span.Draw(t, "store call"))
 		mirror := NewMirror()
-		mirror.Take(Picture{Snapshot: true, Revision: 1, Confirmed: stored + offset})
+		mirror.Take(Picture{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
 		server := NewServer(mirror, func() time.Duration { return arrived + offset })
 		u, err := Ask(context.Background(), client{server}, 0, 0, sent)
 		must.NoError(t, err)
-		must.LessEq(t, stored, u.Confirmed)
+		must.LessEq(t, stored, u.ConfirmedAt)
 	})
 }
 
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -50,7 +50,7 @@
 	MayMissRemovals bool
 	Digest          uint64
 	Revision        int64
-	Confirmed       time.Duration // a time at which the store held nothing newer
+	ConfirmedAt     time.Duration // a time at which the store held nothing newer
 	Live            time.Duration // when the sender last had a live update source
 }
 
@@ -180,7 +180,7 @@
 func (m *Mirror) Take(u Picture) Picture {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.confirmedAt = max(m.confirmedAt, u.Confirmed)
+	m.confirmedAt = max(m.confirmedAt, u.ConfirmedAt)
 	m.liveAt = max(m.liveAt, u.Live)
 	if m.revision == 0 {
 		m.horizon = u.Revision // earlier removals are not known
@@ -192,7 +192,7 @@
 	if u.MayMissRemovals {
 		m.horizon = max(m.horizon, u.Revision) // removals since the last revision are not known here either
 	}
-	added := Picture{Snapshot: u.Snapshot && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), Confirmed: u.Confirmed}
+	added := Picture{Snapshot: u.Snapshot && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), ConfirmedAt: u.ConfirmedAt}
 	for _, e := range u.Events {
 		if m.applyEvent(e) || added.Snapshot {
 			added.Events = append(added.Events, e)
@@ -280,7 +280,7 @@
 func (m *Mirror) Since(after int64) (Picture, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, Snapshot: after < m.horizon}
+	u := Picture{Revision: m.revision, ConfirmedAt: m.confirmedAt, Snapshot: after < m.horizon}
 	if after >= m.revision {
 		return u, m.changed
 	}
@@ -308,7 +308,7 @@
 		return m.Since(after)
 	}
 	defer m.mu.Unlock()
-	u := Picture{Revision: m.revision, Confirmed: m.confirmedAt, MayMissRemovals: true, Digest: m.digest}
+	u := Picture{Revision: m.revision, ConfirmedAt: m.confirmedAt, MayMissRemovals: true, Digest: m.digest}
 	u.Events = m.changesSince(after)
 	return u, m.changed
 }
--- a/internal/feed/pack_test.go
+++ b/internal/feed/pack_test.go
@@ -63,14 +63,14 @@
 func TestStartingInstancesShareSnapshot(t *testing.T) {
 	mirror, now := NewMirror(), time.Second
 	s := NewServer(mirror, func() time.Duration { return now })
-	mirror.Take(Picture{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}, Confirmed: now})
+	mirror.Take(Picture{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}, ConfirmedAt: now})
 	ask(t, s, &feedpb.FollowRequest{Unpacks: true})
 	now += snapshotTTL / 2
-	mirror.Take(Picture{Revision: 9, Events: []kv.Event{put("b", 9)}, Confirmed: now})
+	mirror.Take(Picture{Revision: 9, Events: []kv.Event{put("b", 9)}, ConfirmedAt: now})
 	u, err := decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
 	must.NoError(t, err)
 	must.Eq(t, 7, u.Revision)
-	must.Eq(t, time.Second, u.Confirmed)
+	must.Eq(t, time.Second, u.ConfirmedAt)
 	u, err = decode(ask(t, s, &feedpb.FollowRequest{After: u.Revision, Unpacks: true}), now)
 	must.NoError(t, err)
 	must.Eq(t, []kv.Event{put("b", 9)}, u.Events)
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -116,12 +116,12 @@
 func encodeHeader(u Picture, arrived time.Duration) *feedpb.FollowReply {
 	return &feedpb.FollowReply{
 		Revision: u.Revision, Whole: u.Snapshot, Unsure: u.MayMissRemovals, Digest: u.Digest,
-		ConfirmedNs: (u.Confirmed - arrived).Nanoseconds(), LiveNs: (u.Live - arrived).Nanoseconds(),
+		ConfirmedNs: (u.ConfirmedAt - arrived).Nanoseconds(), LiveNs: (u.Live - arrived).Nanoseconds(),
 	}
 }
 
 func decode(reply *feedpb.FollowReply, sent time.Duration) (Picture, error) {
-	u := Picture{Snapshot: reply.Whole, MayMissRemovals: reply.Unsure, Digest: reply.Digest, Revision: reply.Revision, Confirmed: sent + time.Duration(reply.ConfirmedNs),
+	u := Picture{Snapshot: reply.Whole, MayMissRemovals: reply.Unsure, Digest: reply.Digest, Revision: reply.Revision, ConfirmedAt: sent + time.Duration(reply.ConfirmedNs),
 		Live: sent + time.Duration(reply.LiveNs),
 	}
 	items := reply.Items
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -169,7 +169,7 @@
 			i.limiter.Learn(view.Names(), view.Alive())
 		}
 	}
-	i.snapshotConfirmedAt.Store(max(i.snapshotConfirmedAt.Load(), int64(c.Confirmed)))
+	i.snapshotConfirmedAt.Store(max(i.snapshotConfirmedAt.Load(), int64(c.ConfirmedAt)))
 	i.appliedRevision.Store(max(i.appliedRevision.Load(), c.Revision))
 	if c.Snapshot {
 		i.storeReadOnce.Do(func() { close(i.storeRead) })
@@ -180,9 +180,9 @@
 			i.registeredOnce.Store(true)
 		}
 		i.relay.StartCarrying()
-		i.grantsConfirmedAt.Store(int64(c.Confirmed))
-		i.limiter.Confirm(c.Confirmed)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
+		i.grantsConfirmedAt.Store(int64(c.ConfirmedAt))
+		i.limiter.Confirm(c.ConfirmedAt)
+		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.ConfirmedAt) })
 	}
 }
 
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -245,7 +245,7 @@
 	if err != nil {
 		return feed.Picture{}, err
 	}
-	snapshot := feed.Picture{Snapshot: true, Revision: revision, Confirmed: sent}
+	snapshot := feed.Picture{Snapshot: true, Revision: revision, ConfirmedAt: sent}
 	for _, item := range items {
 		snapshot.Events = append(snapshot.Events, kv.Event{Item: item})
 	}
@@ -281,7 +281,7 @@
 	if i.now()-sent > burstInterval {
 		*pause = minWatchPause
 	}
-	return feed.Picture{Events: events, Revision: revision, Confirmed: sent}, nil
+	return feed.Picture{Events: events, Revision: revision, ConfirmedAt: sent}, nil
 }
 
 // applyUpdate applies an update to the mirror, has the control goroutine put the new part of it
