--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -153,14 +153,14 @@
 		for _, pair := range [][2]*Mirror{{one, other}, {other, one}} {
 			p, err := Ask(context.Background(), client{NewServer(pair[0], clock)}, 1, 0, now)
 			must.NoError(t, err)
-			must.Eq(t, now < liveFor, IsLive(now, p.Live))
+			must.Eq(t, now < liveFor, IsLive(now, p.LiveAt))
 			pair[1].Take(p)
 		}
 	}
 	one.NoteWatch(now, true)
 	p, err := Ask(context.Background(), client{NewServer(one, clock)}, 1, 0, now)
 	must.NoError(t, err)
-	must.True(t, IsLive(now, p.Live))
+	must.True(t, IsLive(now, p.LiveAt))
 }
 
 func TestEmptyMirrorReturnsError(t *testing.T) {
@@ -329,5 +329,5 @@
 		}
 	}()
 	mirror.NoteWatch(time.Hour, false)
-	must.False(t, IsLive(time.Hour, (<-answered).Live))
+	must.False(t, IsLive(time.Hour, (<-answered).LiveAt))
 }
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -51,7 +51,7 @@
 	Digest          uint64
 	Revision        int64
 	ConfirmedAt     time.Duration // a time at which the store held nothing newer
-	Live            time.Duration // when the sender last had a live update source
+	LiveAt          time.Duration // when the sender last had a live update source
 }
 
 // Items returns the keys of a snapshot.
@@ -181,7 +181,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.confirmedAt = max(m.confirmedAt, u.ConfirmedAt)
-	m.liveAt = max(m.liveAt, u.Live)
+	m.liveAt = max(m.liveAt, u.LiveAt)
 	if m.revision == 0 {
 		m.horizon = u.Revision // earlier removals are not known
 	}
@@ -220,7 +220,7 @@
 	}
 }
 
-// Live returns the last time at which this instance had a live update source.
+// LiveAt returns the last time at which this instance had a live update source.
 func (m *Mirror) Live(now time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -52,8 +52,8 @@
 			return nil, errNotRead
 		}
 		now := s.now()
-		u.Live = s.mirror.Live(now)
-		if u.Revision > req.After || !IsLive(now, u.Live) || timedOut {
+		u.LiveAt = s.mirror.Live(now)
+		if u.Revision > req.After || !IsLive(now, u.LiveAt) || timedOut {
 			return s.encode(u, arrived, req), nil
 		}
 		select {
@@ -76,7 +76,7 @@
 	if !ok {
 		return nil
 	}
-	snapshot.Live = s.mirror.Live(now)
+	snapshot.LiveAt = s.mirror.Live(now)
 	reply := encodeHeader(snapshot.Picture, now)
 	reply.Packed = snapshot.packed
 	return reply
@@ -116,13 +116,13 @@
 func encodeHeader(u Picture, arrived time.Duration) *feedpb.FollowReply {
 	return &feedpb.FollowReply{
 		Revision: u.Revision, Whole: u.Snapshot, Unsure: u.MayMissRemovals, Digest: u.Digest,
-		ConfirmedNs: (u.ConfirmedAt - arrived).Nanoseconds(), LiveNs: (u.Live - arrived).Nanoseconds(),
+		ConfirmedNs: (u.ConfirmedAt - arrived).Nanoseconds(), LiveNs: (u.LiveAt - arrived).Nanoseconds(),
 	}
 }
 
 func decode(reply *feedpb.FollowReply, sent time.Duration) (Picture, error) {
 	u := Picture{Snapshot: reply.Whole, MayMissRemovals: reply.Unsure, Digest: reply.Digest, Revision: reply.Revision, ConfirmedAt: sent + time.Duration(reply.ConfirmedNs),
-		Live: sent + time.Duration(reply.LiveNs),
+		LiveAt: sent + time.Duration(reply.LiveNs),
 	}
 	items := reply.Items
 	if len(reply.Packed) > 0 {
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -173,10 +173,10 @@
 
 // checkLive returns an error for an update from an instance that has no live source itself.
 func (i *Instance) checkLive(source string, u feed.Picture) error {
-	if source == feed.Store || feed.IsLive(i.now(), u.Live) {
+	if source == feed.Store || feed.IsLive(i.now(), u.LiveAt) {
 		return nil
 	}
-	return fmt.Errorf("%w for %s", errNoLiveSource, (i.now() - u.Live).Round(time.Millisecond))
+	return fmt.Errorf("%w for %s", errNoLiveSource, (i.now() - u.LiveAt).Round(time.Millisecond))
 }
 
 // recordResult records the result of a poll. It logs the first failure of a source and its
