--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -45,7 +45,7 @@
 					history = append(history, put(key, revision))
 				}
 			case 2: // a mirror reads the store again
-				snapshot := Picture{Snapshot: true, Revision: revision}
+				snapshot := Update{Snapshot: true, Revision: revision}
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
@@ -55,7 +55,7 @@
 				if m.Revision() == 0 {
 					continue
 				}
-				changes := Picture{Revision: revision}
+				changes := Update{Revision: revision}
 				for _, e := range history {
 					if e.Revision > m.Revision() {
 						changes.Events = append(changes.Events, e)
@@ -96,12 +96,12 @@
 		sent := 0
 		for i := range n {
 			m := NewMirror()
-			m.Take(Picture{Snapshot: true, Revision: int64(len(items) + 1), Events: append([]kv.Event{put("config", 1)}, items...)})
+			m.Take(Update{Snapshot: true, Revision: int64(len(items) + 1), Events: append([]kv.Event{put("config", 1)}, items...)})
 			running = append(running, m)
 			for _, key := range []string{"instances", "alive"} {
 				e := put(fmt.Sprint(key, "/", i), int64(len(items)+2))
 				items = append(items, e)
-				m.Take(Picture{Revision: e.Revision, Events: []kv.Event{e}})
+				m.Take(Update{Revision: e.Revision, Events: []kv.Event{e}})
 			}
 			for j := range running {
 				sent += follow(running[(j*7+i)%len(running)], running[j])
@@ -116,12 +116,12 @@
 func TestMassRemovalIsSentAsDelta(t *testing.T) {
 	const keys = 4 * minTombstones
 	mirror := NewMirror()
-	snapshot := Picture{Snapshot: true, Revision: keys}
+	snapshot := Update{Snapshot: true, Revision: keys}
 	for n := range int64(keys) {
 		snapshot.Events = append(snapshot.Events, put(fmt.Sprint("k", n), n+1))
 	}
 	mirror.Take(snapshot)
-	removals := Picture{Revision: keys + keys/2}
+	removals := Update{Revision: keys + keys/2}
 	for n := range int64(keys / 2) {
 		removals.Events = append(removals.Events, kv.Event{Item: kv.Item{Key: fmt.Sprint("k", n), Revision: keys + n + 1}, Deleted: true})
 	}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -46,7 +46,7 @@
 					history = append(history, put(key, revision))
 				}
 			case 2: // a mirror reads the store again
-				snapshot := Picture{Snapshot: true, Revision: revision}
+				snapshot := Update{Snapshot: true, Revision: revision}
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
@@ -56,7 +56,7 @@
 				if m.Revision() == 0 {
 					continue
 				}
-				changes := Picture{Revision: revision}
+				changes := Update{Revision: revision}
 				for _, e := range history {
 					if e.Revision > m.Revision() {
 						changes.Events = append(changes.Events, e)
@@ -88,8 +88,8 @@
 
 func TestOlderSnapshotDoesNotRevert(t *testing.T) {
 	m := NewMirror()
-	m.Take(Picture{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, ConfirmedAt: time.Second})
-	added := m.Take(Picture{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, ConfirmedAt: 2 * time.Second})
+	m.Take(Update{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, ConfirmedAt: time.Second})
+	added := m.Take(Update{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, ConfirmedAt: 2 * time.Second})
 	must.False(t, added.Snapshot)
 	must.Eq(t, 5, m.Revision())
 	u, _ := m.Since(0)
@@ -100,10 +100,10 @@
 
 func TestRemovalHistoryIsBounded(t *testing.T) {
 	m := NewMirror()
-	m.Take(Picture{Snapshot: true, Revision: 1})
+	m.Take(Update{Snapshot: true, Revision: 1})
 	for n := int64(1); n <= minTombstones+1; n++ {
-		m.Take(Picture{Revision: 2 * n, Events: []kv.Event{put("k", 2*n)}})
-		m.Take(Picture{Revision: 2*n + 1, Events: []kv.Event{removal(fmt.Sprint("k", n), 2*n+1)}})
+		m.Take(Update{Revision: 2 * n, Events: []kv.Event{put("k", 2*n)}})
+		m.Take(Update{Revision: 2*n + 1, Events: []kv.Event{removal(fmt.Sprint("k", n), 2*n+1)}})
 	}
 	must.LessEq(t, minTombstones, len(m.removed))
 	u, _ := m.Since(2)
@@ -129,7 +129,7 @@
 		arrived := sent + time.Duration(span.Draw(t, "way"))
 		stored := time.Duration(span.Draw(t, "store call"))
 		mirror := NewMirror()
-		mirror.Take(Picture{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
+		mirror.Take(Update{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
 		server := NewServer(mirror, func() time.Duration { return arrived + offset })
 		u, err := Ask(context.Background(), client{server}, 0, 0, sent)
 		must.NoError(t, err)
@@ -145,7 +145,7 @@
 	clock := func() time.Duration { return now }
 	one, other := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{one, other} {
-		m.Take(Picture{Snapshot: true, Revision: 1})
+		m.Take(Update{Snapshot: true, Revision: 1})
 		m.NoteWatch(now, true)
 		m.NoteWatch(now, false)
 	}
@@ -171,16 +171,16 @@
 
 func TestPollReturnsOnChange(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Picture{Snapshot: true, Revision: 1})
+	mirror.Take(Update{Snapshot: true, Revision: 1})
 	server := NewServer(mirror, func() time.Duration { return 0 })
-	answered := make(chan Picture)
+	answered := make(chan Update)
 	go func() {
 		p, err := Ask(context.Background(), client{server}, 1, maxWait, 0)
 		if err == nil {
 			answered <- p
 		}
 	}()
-	mirror.Take(Picture{Revision: 2, Events: []kv.Event{put("a", 2)}})
+	mirror.Take(Update{Revision: 2, Events: []kv.Event{put("a", 2)}})
 	must.Eq(t, 2, (<-answered).Revision)
 }
 
@@ -318,10 +318,10 @@
 // A server whose instance loses its live source answers waiting polls at once.
 func TestPollReturnsWhenSourceFails(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Picture{Snapshot: true, Revision: 1})
+	mirror.Take(Update{Snapshot: true, Revision: 1})
 	mirror.NoteWatch(0, true)
 	server := NewServer(mirror, func() time.Duration { return time.Hour })
-	answered := make(chan Picture)
+	answered := make(chan Update)
 	go func() {
 		p, err := Ask(context.Background(), client{server}, 1, maxWait, time.Hour)
 		if err == nil {
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -39,9 +39,9 @@
 // its keys. A follower whose revision is older than the remembered removals gets a full snapshot.
 const minTombstones = 1024
 
-// Picture is a snapshot of the store, or the changes (a delta) since the revision that was asked
+// Update is a snapshot of the store, or the changes (a delta) since the revision that was asked
 // for.
-type Picture struct {
+type Update struct {
 	Snapshot bool // Events holds every key; otherwise only those changed since the revision asked for
 	Events   []kv.Event
 	// MayMissRemovals says that keys may have been removed after the revision asked for without the sender
@@ -55,7 +55,7 @@
 }
 
 // Items returns the keys of a snapshot.
-func (u Picture) Items() []kv.Item {
+func (u Update) Items() []kv.Item {
 	items := make([]kv.Item, 0, len(u.Events))
 	for _, e := range u.Events {
 		items = append(items, e.Item)
@@ -157,7 +157,7 @@
 
 // Completes reports whether applying an update makes this mirror hold the same as the sender's. It
 // compares digests if the sender may have missed removals; any other update is complete by itself.
-func (m *Mirror) Completes(u Picture) bool {
+func (m *Mirror) Completes(u Update) bool {
 	if !u.MayMissRemovals {
 		return true
 	}
@@ -177,7 +177,7 @@
 
 // Take applies an update and returns the part of it that is new to this instance. An update older
 // than the mirror changes only the times of confirmation and liveness.
-func (m *Mirror) Take(u Picture) Picture {
+func (m *Mirror) Take(u Update) Update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.confirmedAt = max(m.confirmedAt, u.ConfirmedAt)
@@ -192,7 +192,7 @@
 	if u.MayMissRemovals {
 		m.horizon = max(m.horizon, u.Revision) // removals since the last revision are not known here either
 	}
-	added := Picture{Snapshot: u.Snapshot && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), ConfirmedAt: u.ConfirmedAt}
+	added := Update{Snapshot: u.Snapshot && u.Revision >= m.revision, Revision: max(m.revision, u.Revision), ConfirmedAt: u.ConfirmedAt}
 	for _, e := range u.Events {
 		if m.applyEvent(e) || added.Snapshot {
 			added.Events = append(added.Events, e)
@@ -238,7 +238,7 @@
 
 // removeAllBut records the removal of every key that a snapshot does not contain. The caller holds
 // mu.
-func (m *Mirror) removeAllBut(snapshot Picture) {
+func (m *Mirror) removeAllBut(snapshot Update) {
 	present := make(map[string]bool, len(snapshot.Events))
 	for _, e := range snapshot.Events {
 		present[e.Key] = true
@@ -277,10 +277,10 @@
 
 // Since returns the changes after a revision, and a channel that is closed when there may be
 // further changes. A follower that has nothing yet, or whose revision is too old, gets a snapshot.
-func (m *Mirror) Since(after int64) (Picture, <-chan struct{}) {
+func (m *Mirror) Since(after int64) (Update, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := Picture{Revision: m.revision, ConfirmedAt: m.confirmedAt, Snapshot: after < m.horizon}
+	u := Update{Revision: m.revision, ConfirmedAt: m.confirmedAt, Snapshot: after < m.horizon}
 	if after >= m.revision {
 		return u, m.changed
 	}
@@ -300,7 +300,7 @@
 // nothing was removed, and each polls others that read the store later. When 300 such instances
 // sent each other snapshots, the most polled one sent 24 MB a second; the changes are about 0.2 KB
 // each.
-func (m *Mirror) Changes(after int64) (Picture, <-chan struct{}) {
+func (m *Mirror) Changes(after int64) (Update, <-chan struct{}) {
 	m.mu.Lock()
 	mayMissRemovals := after > 0 && after < m.horizon && after < m.revision
 	if !mayMissRemovals {
@@ -308,7 +308,7 @@
 		return m.Since(after)
 	}
 	defer m.mu.Unlock()
-	u := Picture{Revision: m.revision, ConfirmedAt: m.confirmedAt, MayMissRemovals: true, Digest: m.digest}
+	u := Update{Revision: m.revision, ConfirmedAt: m.confirmedAt, MayMissRemovals: true, Digest: m.digest}
 	u.Events = m.changesSince(after)
 	return u, m.changed
 }
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -36,7 +36,7 @@
 
 // packedAnswer is an update whose events are packed.
 type packedAnswer struct {
-	Picture   // without events
+	Update    // without events
 	after     int64
 	packed    []byte
 	createdAt time.Duration
@@ -56,7 +56,7 @@
 
 // pack returns the packed events of an update for a follower at revision after. It returns nil if
 // the events are to be sent uncompressed.
-func (p *packer) pack(now time.Duration, after int64, update Picture) []byte {
+func (p *packer) pack(now time.Duration, after int64, update Update) []byte {
 	if payloadSize(update.Events) < minPackedBytes {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil // for example a key that is not valid UTF-8; sending the items uncompressed then reports the error
 	}
-	a := packedAnswer{Picture: update, after: after, packed: deflate(raw), createdAt: now}
+	a := packedAnswer{Update: update, after: after, packed: deflate(raw), createdAt: now}
 	a.Events = nil
 	if len(p.recent) == maxPackedAnswers {
 		p.recent = slices.Delete(p.recent, 0, 1)
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -77,12 +77,12 @@
 		return nil
 	}
 	snapshot.LiveAt = s.mirror.Live(now)
-	reply := encodeHeader(snapshot.Picture, now)
+	reply := encodeHeader(snapshot.Update, now)
 	reply.Packed = snapshot.packed
 	return reply
 }
 
-func (s *Server) changesSince(req *feedpb.FollowRequest) (Picture, <-chan struct{}) {
+func (s *Server) changesSince(req *feedpb.FollowRequest) (Update, <-chan struct{}) {
 	if req.Checks {
 		return s.mirror.Changes(req.After)
 	}
@@ -92,16 +92,16 @@
 // Ask polls another instance for the changes after a revision. sent is the time of the call on the
 // local clock. The answer's times are relative to the arrival of the request, which is no earlier
 // than sent, so times computed from sent are never too late.
-func Ask(ctx context.Context, client feedpb.FeedClient, after int64, wait, sent time.Duration) (Picture, error) {
+func Ask(ctx context.Context, client feedpb.FeedClient, after int64, wait, sent time.Duration) (Update, error) {
 	reply, err := client.Follow(ctx, &feedpb.FollowRequest{After: after, WaitUs: wait.Microseconds(), Checks: true, Inflates: true, Unpacks: true}, grpc.MaxCallRecvMsgSize(maxAnswerBytes))
 	if err != nil {
-		return Picture{}, fmt.Errorf("follow: %w", err)
+		return Update{}, fmt.Errorf("follow: %w", err)
 	}
 	return decode(reply, sent)
 }
 
 // encode returns the answer to a poll that arrived at a time, packed if the follower can unpack it.
-func (s *Server) encode(u Picture, arrived time.Duration, req *feedpb.FollowRequest) *feedpb.FollowReply {
+func (s *Server) encode(u Update, arrived time.Duration, req *feedpb.FollowRequest) *feedpb.FollowReply {
 	reply := encodeHeader(u, arrived)
 	if req.Unpacks {
 		reply.Packed = s.packer.pack(s.now(), req.After, u)
@@ -113,22 +113,22 @@
 }
 
 // encodeHeader returns an answer without items.
-func encodeHeader(u Picture, arrived time.Duration) *feedpb.FollowReply {
+func encodeHeader(u Update, arrived time.Duration) *feedpb.FollowReply {
 	return &feedpb.FollowReply{
 		Revision: u.Revision, Whole: u.Snapshot, Unsure: u.MayMissRemovals, Digest: u.Digest,
 		ConfirmedNs: (u.ConfirmedAt - arrived).Nanoseconds(), LiveNs: (u.LiveAt - arrived).Nanoseconds(),
 	}
 }
 
-func decode(reply *feedpb.FollowReply, sent time.Duration) (Picture, error) {
-	u := Picture{Snapshot: reply.Whole, MayMissRemovals: reply.Unsure, Digest: reply.Digest, Revision: reply.Revision, ConfirmedAt: sent + time.Duration(reply.ConfirmedNs),
+func decode(reply *feedpb.FollowReply, sent time.Duration) (Update, error) {
+	u := Update{Snapshot: reply.Whole, MayMissRemovals: reply.Unsure, Digest: reply.Digest, Revision: reply.Revision, ConfirmedAt: sent + time.Duration(reply.ConfirmedNs),
 		LiveAt: sent + time.Duration(reply.LiveNs),
 	}
 	items := reply.Items
 	if len(reply.Packed) > 0 {
 		var err error
 		if items, err = unpack(reply.Packed); err != nil {
-			return Picture{}, err
+			return Update{}, err
 		}
 	}
 	remaining := maxAnswerBytes
@@ -136,7 +136,7 @@
 		if len(i.Deflated) > 0 {
 			value, err := inflate(i.Deflated, remaining)
 			if err != nil {
-				return Picture{}, fmt.Errorf("key %s: %w", i.Key, err)
+				return Update{}, fmt.Errorf("key %s: %w", i.Key, err)
 			}
 			i.Value = value
 			remaining -= len(value)
--- a/internal/feed/seed_test.go
+++ b/internal/feed/seed_test.go
@@ -22,9 +22,9 @@
 // follower that has the key must get its removal.
 func TestRemovalBeforeSnapshot(t *testing.T) {
 	watcher, follower := NewMirror(), NewMirror()
-	watcher.Take(Picture{Snapshot: true, Revision: 1, Events: []kv.Event{put("a", 1)}})
-	follower.Take(Picture{Snapshot: true, Revision: 2, Events: []kv.Event{put("a", 1), put("b", 2)}})
-	watcher.Take(Picture{Snapshot: true, Revision: 4, Events: []kv.Event{put("a", 4)}}) // b was removed at 3
+	watcher.Take(Update{Snapshot: true, Revision: 1, Events: []kv.Event{put("a", 1)}})
+	follower.Take(Update{Snapshot: true, Revision: 2, Events: []kv.Event{put("a", 1), put("b", 2)}})
+	watcher.Take(Update{Snapshot: true, Revision: 4, Events: []kv.Event{put("a", 4)}}) // b was removed at 3
 
 	update, _ := watcher.Since(follower.Revision())
 	follower.Take(update)
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -64,7 +64,7 @@
 
 // change is an update on its way to the control goroutine.
 type change struct {
-	feed.Picture
+	feed.Update
 	applied chan struct{} // closed once the update is in force
 }
 
@@ -105,7 +105,7 @@
 // shouldPause reports whether the follower pauses after a watch so that the next one returns more
 // changes at once. There is no pause after an answer with many changes: the store bounds its
 // answers, and where many instances start, pausing would put an instance seconds behind.
-func shouldPause(u feed.Picture) bool {
+func shouldPause(u feed.Update) bool {
 	return !u.Snapshot && len(u.Events) > 0 && len(u.Events) < fullAnswerEvents
 }
 
@@ -172,7 +172,7 @@
 }
 
 // checkLive returns an error for an update from an instance that has no live source itself.
-func (i *Instance) checkLive(source string, u feed.Picture) error {
+func (i *Instance) checkLive(source string, u feed.Update) error {
 	if source == feed.Store || feed.IsLive(i.now(), u.LiveAt) {
 		return nil
 	}
@@ -207,7 +207,7 @@
 }
 
 // fetch gets the next update from the store, or from the instance at an address.
-func (i *Instance) fetch(name, address string, pause *time.Duration) (feed.Picture, error) {
+func (i *Instance) fetch(name, address string, pause *time.Duration) (feed.Update, error) {
 	if name != feed.Store {
 		return i.pollPeer(address)
 	}
@@ -222,10 +222,10 @@
 	return i.listOnce()
 }
 
-func (i *Instance) pollPeer(address string) (feed.Picture, error) {
+func (i *Instance) pollPeer(address string) (feed.Update, error) {
 	conn, err := i.conns.Get(address)
 	if err != nil {
-		return feed.Picture{}, err
+		return feed.Update{}, err
 	}
 	ctx, cancel := context.WithTimeout(i.ctx, pollWait+pollSlack)
 	defer cancel()
@@ -237,15 +237,15 @@
 	return feed.Ask(ctx, client, 0, pollWait, i.now())
 }
 
-func (i *Instance) listOnce() (feed.Picture, error) {
+func (i *Instance) listOnce() (feed.Update, error) {
 	ctx, cancel := context.WithTimeout(i.ctx, listTimeout)
 	defer cancel()
 	sent := i.now()
 	items, revision, err := i.platform.Store.List(ctx, "")
 	if err != nil {
-		return feed.Picture{}, err
+		return feed.Update{}, err
 	}
-	snapshot := feed.Picture{Snapshot: true, Revision: revision, ConfirmedAt: sent}
+	snapshot := feed.Update{Snapshot: true, Revision: revision, ConfirmedAt: sent}
 	for _, item := range items {
 		snapshot.Events = append(snapshot.Events, kv.Event{Item: item})
 	}
@@ -261,7 +261,7 @@
 
 // watchOnce waits for changes after a revision. pause is how long the follower pauses after a watch
 // with changes, and is carried over from one watch to the next.
-func (i *Instance) watchOnce(after int64, pause *time.Duration) (feed.Picture, error) {
+func (i *Instance) watchOnce(after int64, pause *time.Duration) (feed.Update, error) {
 	wait := watchWait(i.settings.StoreSilence)
 	if i.watchFailed {
 		wait = time.Millisecond // a quick answer confirms the grants sooner
@@ -273,7 +273,7 @@
 	events, revision, err := i.platform.Store.Watch(ctx, "", after, wait)
 	i.watchFailed = err != nil
 	if err != nil {
-		return feed.Picture{}, err
+		return feed.Update{}, err
 	}
 	if len(events) > 0 {
 		*pause = min(2**pause, maxWatchPause)
@@ -281,13 +281,13 @@
 	if i.now()-sent > burstInterval {
 		*pause = minWatchPause
 	}
-	return feed.Picture{Events: events, Revision: revision, ConfirmedAt: sent}, nil
+	return feed.Update{Events: events, Revision: revision, ConfirmedAt: sent}, nil
 }
 
 // applyUpdate applies an update to the mirror, has the control goroutine put the new part of it
 // into force, and waits until it has.
-func (i *Instance) applyUpdate(u feed.Picture) {
-	c := change{Picture: i.mirror.Take(u), applied: make(chan struct{})}
+func (i *Instance) applyUpdate(u feed.Update) {
+	c := change{Update: i.mirror.Take(u), applied: make(chan struct{})}
 	i.setGCPercent(i.mirror.Len())
 	select {
 	case i.changes <- c:
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -54,7 +54,7 @@
 
 // apply applies updates and runs a tick of the controller.
 func (f *simulatedFleet) apply(events ...kv.Event) {
-	c := change{Picture: feed.Picture{Events: events, Revision: f.revision}, applied: make(chan struct{})}
+	c := change{Update: feed.Update{Events: events, Revision: f.revision}, applied: make(chan struct{})}
 	f.inst.applyChange(f.state, c)
 	f.inst.controller.Tick(context.Background())
 }
@@ -224,10 +224,10 @@
 // pause.
 func TestPauseAfterWatch(t *testing.T) {
 	events := make([]kv.Event, 250)
-	must.False(t, shouldPause(feed.Picture{}))
-	must.True(t, shouldPause(feed.Picture{Events: events[:3]}))
-	must.False(t, shouldPause(feed.Picture{Events: events}))
-	must.False(t, shouldPause(feed.Picture{Events: events[:3], Snapshot: true}))
+	must.False(t, shouldPause(feed.Update{}))
+	must.True(t, shouldPause(feed.Update{Events: events[:3]}))
+	must.False(t, shouldPause(feed.Update{Events: events}))
+	must.False(t, shouldPause(feed.Update{Events: events[:3], Snapshot: true}))
 }
 
 // BenchmarkInitialSnapshot measures a start: the instance applies the other instances' entries first,
