--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -19,7 +19,7 @@
 		u, _ = from.Changes(0)
 		sent += len(u.Events)
 	}
-	to.Take(u)
+	to.Apply(u)
 	return sent
 }
 
@@ -49,7 +49,7 @@
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
-				pick("who").Take(snapshot)
+				pick("who").Apply(snapshot)
 			case 3: // a mirror watches the store
 				m := pick("who")
 				if m.Revision() == 0 {
@@ -61,7 +61,7 @@
 						changes.Events = append(changes.Events, e)
 					}
 				}
-				m.Take(changes)
+				m.Apply(changes)
 			default: // a mirror polls another
 				from, to := pick("from"), pick("to")
 				if from.Revision() > 0 && from != to {
@@ -96,12 +96,12 @@
 		sent := 0
 		for i := range n {
 			m := NewMirror()
-			m.Take(Update{Snapshot: true, Revision: int64(len(items) + 1), Events: append([]kv.Event{put("config", 1)}, items...)})
+			m.Apply(Update{Snapshot: true, Revision: int64(len(items) + 1), Events: append([]kv.Event{put("config", 1)}, items...)})
 			running = append(running, m)
 			for _, key := range []string{"instances", "alive"} {
 				e := put(fmt.Sprint(key, "/", i), int64(len(items)+2))
 				items = append(items, e)
-				m.Take(Update{Revision: e.Revision, Events: []kv.Event{e}})
+				m.Apply(Update{Revision: e.Revision, Events: []kv.Event{e}})
 			}
 			for j := range running {
 				sent += follow(running[(j*7+i)%len(running)], running[j])
@@ -120,12 +120,12 @@
 	for n := range int64(keys) {
 		snapshot.Events = append(snapshot.Events, put(fmt.Sprint("k", n), n+1))
 	}
-	mirror.Take(snapshot)
+	mirror.Apply(snapshot)
 	removals := Update{Revision: keys + keys/2}
 	for n := range int64(keys / 2) {
 		removals.Events = append(removals.Events, kv.Event{Item: kv.Item{Key: fmt.Sprint("k", n), Revision: keys + n + 1}, Deleted: true})
 	}
-	mirror.Take(removals)
+	mirror.Apply(removals)
 	u, _ := mirror.Changes(keys)
 	must.False(t, u.Snapshot)
 	must.Len(t, keys/2, u.Events)
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -50,7 +50,7 @@
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
-				mirrors[rapid.IntRange(0, 2).Draw(t, "who")].Take(snapshot)
+				mirrors[rapid.IntRange(0, 2).Draw(t, "who")].Apply(snapshot)
 			case 3: // a mirror watches the store
 				m := mirrors[rapid.IntRange(0, 2).Draw(t, "who")]
 				if m.Revision() == 0 {
@@ -62,12 +62,12 @@
 						changes.Events = append(changes.Events, e)
 					}
 				}
-				m.Take(changes)
+				m.Apply(changes)
 			case 4: // a mirror polls another
 				from, to := mirrors[rapid.IntRange(0, 2).Draw(t, "from")], mirrors[rapid.IntRange(0, 2).Draw(t, "to")]
 				if from.Revision() > 0 {
 					u, _ := from.Since(to.Revision())
-					to.Take(u)
+					to.Apply(u)
 				}
 			}
 		}
@@ -88,8 +88,8 @@
 
 func TestOlderSnapshotDoesNotRevert(t *testing.T) {
 	m := NewMirror()
-	m.Take(Update{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, ConfirmedAt: time.Second})
-	added := m.Take(Update{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, ConfirmedAt: 2 * time.Second})
+	m.Apply(Update{Snapshot: true, Revision: 5, Events: []kv.Event{put("a", 5)}, ConfirmedAt: time.Second})
+	added := m.Apply(Update{Snapshot: true, Revision: 3, Events: []kv.Event{put("a", 2), put("b", 3)}, ConfirmedAt: 2 * time.Second})
 	must.False(t, added.Snapshot)
 	must.Eq(t, 5, m.Revision())
 	u, _ := m.Since(0)
@@ -100,10 +100,10 @@
 
 func TestRemovalHistoryIsBounded(t *testing.T) {
 	m := NewMirror()
-	m.Take(Update{Snapshot: true, Revision: 1})
+	m.Apply(Update{Snapshot: true, Revision: 1})
 	for n := int64(1); n <= minTombstones+1; n++ {
-		m.Take(Update{Revision: 2 * n, Events: []kv.Event{put("k", 2*n)}})
-		m.Take(Update{Revision: 2*n + 1, Events: []kv.Event{removal(fmt.Sprint("k", n), 2*n+1)}})
+		m.Apply(Update{Revision: 2 * n, Events: []kv.Event{put("k", 2*n)}})
+		m.Apply(Update{Revision: 2*n + 1, Events: []kv.Event{removal(fmt.Sprint("k", n), 2*n+1)}})
 	}
 	must.LessEq(t, minTombstones, len(m.removed))
 	u, _ := m.Since(2)
@@ -129,7 +129,7 @@
 		arrived := sent + time.Duration(span.Draw(t, "way"))
 		stored := time.Duration(span.Draw(t, "store call"))
 		mirror := NewMirror()
-		mirror.Take(Update{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
+		mirror.Apply(Update{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
 		server := NewServer(mirror, func() time.Duration { return arrived + offset })
 		u, err := Ask(context.Background(), client{server}, 0, 0, sent)
 		must.NoError(t, err)
@@ -145,7 +145,7 @@
 	clock := func() time.Duration { return now }
 	one, other := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{one, other} {
-		m.Take(Update{Snapshot: true, Revision: 1})
+		m.Apply(Update{Snapshot: true, Revision: 1})
 		m.NoteWatch(now, true)
 		m.NoteWatch(now, false)
 	}
@@ -154,7 +154,7 @@
 			p, err := Ask(context.Background(), client{NewServer(pair[0], clock)}, 1, 0, now)
 			must.NoError(t, err)
 			must.Eq(t, now < liveFor, IsLive(now, p.LiveAt))
-			pair[1].Take(p)
+			pair[1].Apply(p)
 		}
 	}
 	one.NoteWatch(now, true)
@@ -171,7 +171,7 @@
 
 func TestPollReturnsOnChange(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Update{Snapshot: true, Revision: 1})
+	mirror.Apply(Update{Snapshot: true, Revision: 1})
 	server := NewServer(mirror, func() time.Duration { return 0 })
 	answered := make(chan Update)
 	go func() {
@@ -180,7 +180,7 @@
 			answered <- p
 		}
 	}()
-	mirror.Take(Update{Revision: 2, Events: []kv.Event{put("a", 2)}})
+	mirror.Apply(Update{Revision: 2, Events: []kv.Event{put("a", 2)}})
 	must.Eq(t, 2, (<-answered).Revision)
 }
 
@@ -318,7 +318,7 @@
 // A server whose instance loses its live source answers waiting polls at once.
 func TestPollReturnsWhenSourceFails(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Update{Snapshot: true, Revision: 1})
+	mirror.Apply(Update{Snapshot: true, Revision: 1})
 	mirror.NoteWatch(0, true)
 	server := NewServer(mirror, func() time.Duration { return time.Hour })
 	answered := make(chan Update)
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -175,9 +175,9 @@
 	return digest == u.Digest
 }
 
-// Take applies an update and returns the part of it that is new to this instance. An update older
+// Apply applies an update and returns the part of it that is new to this instance. An update older
 // than the mirror changes only the times of confirmation and liveness.
-func (m *Mirror) Take(u Update) Update {
+func (m *Mirror) Apply(u Update) Update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.confirmedAt = max(m.confirmedAt, u.ConfirmedAt)
--- a/internal/feed/pack_test.go
+++ b/internal/feed/pack_test.go
@@ -32,7 +32,7 @@
 // compressed only once, and all followers must get the contents of the store.
 func TestLargeAnswersAreCompressedOnce(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7), put("a", 3)}})
+	mirror.Apply(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7), put("a", 3)}})
 	s := NewServer(mirror, func() time.Duration { return 0 })
 	var first []byte
 	for range 33 {
@@ -50,7 +50,7 @@
 		must.Eq(t, put("a", 3), u.Events[0])
 		must.True(t, bytes.Equal(large(7).Value, u.Events[1].Value))
 	}
-	mirror.Take(Update{Revision: 8, Events: []kv.Event{large(8)}})
+	mirror.Apply(Update{Revision: 8, Events: []kv.Event{large(8)}})
 	u, err := decode(ask(t, s, &feedpb.FollowRequest{After: 7, Unpacks: true}), 0)
 	must.NoError(t, err)
 	must.Len(t, 1, u.Events)
@@ -63,10 +63,10 @@
 func TestStartingInstancesShareSnapshot(t *testing.T) {
 	mirror, now := NewMirror(), time.Second
 	s := NewServer(mirror, func() time.Duration { return now })
-	mirror.Take(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}, ConfirmedAt: now})
+	mirror.Apply(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}, ConfirmedAt: now})
 	ask(t, s, &feedpb.FollowRequest{Unpacks: true})
 	now += snapshotTTL / 2
-	mirror.Take(Update{Revision: 9, Events: []kv.Event{put("b", 9)}, ConfirmedAt: now})
+	mirror.Apply(Update{Revision: 9, Events: []kv.Event{put("b", 9)}, ConfirmedAt: now})
 	u, err := decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
 	must.NoError(t, err)
 	must.Eq(t, 7, u.Revision)
@@ -89,7 +89,7 @@
 		events = append(events, e)
 	}
 	mirror := NewMirror()
-	mirror.Take(Update{Snapshot: true, Revision: 200, Events: events})
+	mirror.Apply(Update{Snapshot: true, Revision: 200, Events: events})
 	s := NewServer(mirror, func() time.Duration { return 0 })
 	for n := range int64(20) {
 		u, err := decode(ask(t, s, &feedpb.FollowRequest{After: 180 + n, Checks: true, Unpacks: true}), 0)
@@ -102,7 +102,7 @@
 // An instance of the previous version does not announce that it can unpack, and gets plain items.
 func TestOlderVersionsGetUncompressedAnswers(t *testing.T) {
 	mirror := NewMirror()
-	mirror.Take(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}})
+	mirror.Apply(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}})
 	reply := ask(t, NewServer(mirror, func() time.Duration { return 0 }), &feedpb.FollowRequest{Inflates: true})
 	must.True(t, bytes.Equal(large(7).Value, reply.Items[0].Value))
 	must.SliceEmpty(t, reply.Packed)
--- a/internal/feed/seed_test.go
+++ b/internal/feed/seed_test.go
@@ -22,12 +22,12 @@
 // follower that has the key must get its removal.
 func TestRemovalBeforeSnapshot(t *testing.T) {
 	watcher, follower := NewMirror(), NewMirror()
-	watcher.Take(Update{Snapshot: true, Revision: 1, Events: []kv.Event{put("a", 1)}})
-	follower.Take(Update{Snapshot: true, Revision: 2, Events: []kv.Event{put("a", 1), put("b", 2)}})
-	watcher.Take(Update{Snapshot: true, Revision: 4, Events: []kv.Event{put("a", 4)}}) // b was removed at 3
+	watcher.Apply(Update{Snapshot: true, Revision: 1, Events: []kv.Event{put("a", 1)}})
+	follower.Apply(Update{Snapshot: true, Revision: 2, Events: []kv.Event{put("a", 1), put("b", 2)}})
+	watcher.Apply(Update{Snapshot: true, Revision: 4, Events: []kv.Event{put("a", 4)}}) // b was removed at 3
 
 	update, _ := watcher.Since(follower.Revision())
-	follower.Take(update)
+	follower.Apply(update)
 	held, _ := follower.Since(0)
 	must.Len(t, 1, held.Events)
 	must.Eq(t, "a", held.Events[0].Key)
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -287,7 +287,7 @@
 // applyUpdate applies an update to the mirror, has the control goroutine put the new part of it
 // into force, and waits until it has.
 func (i *Instance) applyUpdate(u feed.Update) {
-	c := change{Update: i.mirror.Take(u), applied: make(chan struct{})}
+	c := change{Update: i.mirror.Apply(u), applied: make(chan struct{})}
 	i.setGCPercent(i.mirror.Len())
 	select {
 	case i.changes <- c:
