--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -146,8 +146,8 @@
 	one, other := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{one, other} {
 		m.Apply(Update{Snapshot: true, Revision: 1})
-		m.NoteWatch(now, true)
-		m.NoteWatch(now, false)
+		m.SetWatching(now, true)
+		m.SetWatching(now, false)
 	}
 	for now = 0; now < 2*liveFor; now += liveFor / 4 {
 		for _, pair := range [][2]*Mirror{{one, other}, {other, one}} {
@@ -157,7 +157,7 @@
 			pair[1].Apply(p)
 		}
 	}
-	one.NoteWatch(now, true)
+	one.SetWatching(now, true)
 	p, err := Ask(context.Background(), client{NewServer(one, clock)}, 1, 0, now)
 	must.NoError(t, err)
 	must.True(t, IsLive(now, p.LiveAt))
@@ -319,7 +319,7 @@
 func TestPollReturnsWhenSourceFails(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(Update{Snapshot: true, Revision: 1})
-	mirror.NoteWatch(0, true)
+	mirror.SetWatching(0, true)
 	server := NewServer(mirror, func() time.Duration { return time.Hour })
 	answered := make(chan Update)
 	go func() {
@@ -328,6 +328,6 @@
 			answered <- p
 		}
 	}()
-	mirror.NoteWatch(time.Hour, false)
+	mirror.SetWatching(time.Hour, false)
 	must.False(t, IsLive(time.Hour, (<-answered).LiveAt))
 }
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -206,9 +206,9 @@
 	return added
 }
 
-// NoteWatch records whether this instance's own watch of the store works. If it does not, polls
+// SetWatching records whether this instance's own watch of the store works. If it does not, polls
 // that wait for a change are answered at once.
-func (m *Mirror) NoteWatch(now time.Duration, ok bool) {
+func (m *Mirror) SetWatching(now time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ok {
