--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -221,7 +221,7 @@
 }
 
 // LiveAt returns the last time at which this instance had a live update source.
-func (m *Mirror) Live(now time.Duration) time.Duration {
+func (m *Mirror) LiveAt(now time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.watching {
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -52,7 +52,7 @@
 			return nil, errNotRead
 		}
 		now := s.now()
-		u.LiveAt = s.mirror.Live(now)
+		u.LiveAt = s.mirror.LiveAt(now)
 		if u.Revision > req.After || !IsLive(now, u.LiveAt) || timedOut {
 			return s.encode(u, arrived, req), nil
 		}
@@ -76,7 +76,7 @@
 	if !ok {
 		return nil
 	}
-	snapshot.LiveAt = s.mirror.Live(now)
+	snapshot.LiveAt = s.mirror.LiveAt(now)
 	reply := encodeHeader(snapshot.Update, now)
 	reply.Packed = snapshot.packed
 	return reply
