--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -13,10 +13,10 @@
 
 // follow has one mirror poll another as instances do. It returns the number of items sent.
 func follow(from, to *Mirror) int {
-	u, _ := from.Changes(to.Revision())
+	u, _ := from.SinceWithDigest(to.Revision())
 	sent := len(u.Events)
 	if !to.Completes(u) {
-		u, _ = from.Changes(0)
+		u, _ = from.SinceWithDigest(0)
 		sent += len(u.Events)
 	}
 	to.Apply(u)
@@ -126,7 +126,7 @@
 		removals.Events = append(removals.Events, kv.Event{Item: kv.Item{Key: fmt.Sprint("k", n), Revision: keys + n + 1}, Deleted: true})
 	}
 	mirror.Apply(removals)
-	u, _ := mirror.Changes(keys)
+	u, _ := mirror.SinceWithDigest(keys)
 	must.False(t, u.Snapshot)
 	must.Len(t, keys/2, u.Events)
 }
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -292,7 +292,7 @@
 	return u, m.changed
 }
 
-// Changes is Since for a follower that can check a digest. If the follower's revision is so old
+// SinceWithDigest is Since for a follower that can check a digest. If the follower's revision is so old
 // that removals after it are not remembered here, it gets the changes with a digest, by which it
 // finds out whether it must ask for a snapshot.
 //
@@ -300,7 +300,7 @@
 // nothing was removed, and each polls others that read the store later. When 300 such instances
 // sent each other snapshots, the most polled one sent 24 MB a second; the changes are about 0.2 KB
 // each.
-func (m *Mirror) Changes(after int64) (Update, <-chan struct{}) {
+func (m *Mirror) SinceWithDigest(after int64) (Update, <-chan struct{}) {
 	m.mu.Lock()
 	mayMissRemovals := after > 0 && after < m.horizon && after < m.revision
 	if !mayMissRemovals {
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -84,7 +84,7 @@
 
 func (s *Server) changesSince(req *feedpb.FollowRequest) (Update, <-chan struct{}) {
 	if req.Checks {
-		return s.mirror.Changes(req.After)
+		return s.mirror.SinceWithDigest(req.After)
 	}
 	return s.mirror.Since(req.After)
 }
