--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -15,7 +15,7 @@
 func follow(from, to *Mirror) int {
 	u, _ := from.SinceWithDigest(to.Revision())
 	sent := len(u.Events)
-	if !to.Completes(u) {
+	if !to.DigestMatches(u) {
 		u, _ = from.SinceWithDigest(0)
 		sent += len(u.Events)
 	}
--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// Completes reports whether applying an update makes this mirror hold the same as the sender's. It
+// DigestMatches reports whether applying an update makes this mirror hold the same as the sender's. It
 // compares digests if the sender may have missed removals; any other update is complete by itself.
-func (m *Mirror) Completes(u Update) bool {
+func (m *Mirror) DigestMatches(u Update) bool {
 	if !u.MayMissRemovals {
 		return true
 	}
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -231,7 +231,7 @@
 	defer cancel()
 	client := feedpb.NewFeedClient(conn)
 	update, err := feed.Ask(ctx, client, i.mirror.Revision(), pollWait, i.now())
-	if err != nil || i.mirror.Completes(update) {
+	if err != nil || i.mirror.DigestMatches(update) {
 		return update, err
 	}
 	return feed.Ask(ctx, client, 0, pollWait, i.now())
