--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -131,7 +131,7 @@
 		mirror := NewMirror()
 		mirror.Apply(Update{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
 		server := NewServer(mirror, func() time.Duration { return arrived + offset })
-		u, err := Ask(context.Background(), client{server}, 0, 0, sent)
+		u, err := Poll(context.Background(), client{server}, 0, 0, sent)
 		must.NoError(t, err)
 		must.LessEq(t, stored, u.ConfirmedAt)
 	})
@@ -151,21 +151,21 @@
 	}
 	for now = 0; now < 2*liveFor; now += liveFor / 4 {
 		for _, pair := range [][2]*Mirror{{one, other}, {other, one}} {
-			p, err := Ask(context.Background(), client{NewServer(pair[0], clock)}, 1, 0, now)
+			p, err := Poll(context.Background(), client{NewServer(pair[0], clock)}, 1, 0, now)
 			must.NoError(t, err)
 			must.Eq(t, now < liveFor, IsLive(now, p.LiveAt))
 			pair[1].Apply(p)
 		}
 	}
 	one.SetWatching(now, true)
-	p, err := Ask(context.Background(), client{NewServer(one, clock)}, 1, 0, now)
+	p, err := Poll(context.Background(), client{NewServer(one, clock)}, 1, 0, now)
 	must.NoError(t, err)
 	must.True(t, IsLive(now, p.LiveAt))
 }
 
 func TestEmptyMirrorReturnsError(t *testing.T) {
 	server := NewServer(NewMirror(), func() time.Duration { return 0 })
-	_, err := Ask(context.Background(), client{server}, 0, time.Second, 0)
+	_, err := Poll(context.Background(), client{server}, 0, time.Second, 0)
 	must.Error(t, err)
 }
 
@@ -175,7 +175,7 @@
 	server := NewServer(mirror, func() time.Duration { return 0 })
 	answered := make(chan Update)
 	go func() {
-		p, err := Ask(context.Background(), client{server}, 1, maxWait, 0)
+		p, err := Poll(context.Background(), client{server}, 1, maxWait, 0)
 		if err == nil {
 			answered <- p
 		}
@@ -323,7 +323,7 @@
 	server := NewServer(mirror, func() time.Duration { return time.Hour })
 	answered := make(chan Update)
 	go func() {
-		p, err := Ask(context.Background(), client{server}, 1, maxWait, time.Hour)
+		p, err := Poll(context.Background(), client{server}, 1, maxWait, time.Hour)
 		if err == nil {
 			answered <- p
 		}
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -89,10 +89,10 @@
 	return s.mirror.Since(req.After)
 }
 
-// Ask polls another instance for the changes after a revision. sent is the time of the call on the
+// Poll polls another instance for the changes after a revision. sent is the time of the call on the
 // local clock. The answer's times are relative to the arrival of the request, which is no earlier
 // than sent, so times computed from sent are never too late.
-func Ask(ctx context.Context, client feedpb.FeedClient, after int64, wait, sent time.Duration) (Update, error) {
+func Poll(ctx context.Context, client feedpb.FeedClient, after int64, wait, sent time.Duration) (Update, error) {
 	reply, err := client.Follow(ctx, &feedpb.FollowRequest{After: after, WaitUs: wait.Microseconds(), Checks: true, Inflates: true, Unpacks: true}, grpc.MaxCallRecvMsgSize(maxAnswerBytes))
 	if err != nil {
 		return Update{}, fmt.Errorf("follow: %w", err)
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -230,11 +230,11 @@
 	ctx, cancel := context.WithTimeout(i.ctx, pollWait+pollSlack)
 	defer cancel()
 	client := feedpb.NewFeedClient(conn)
-	update, err := feed.Ask(ctx, client, i.mirror.Revision(), pollWait, i.now())
+	update, err := feed.Poll(ctx, client, i.mirror.Revision(), pollWait, i.now())
 	if err != nil || i.mirror.DigestMatches(update) {
 		return update, err
 	}
-	return feed.Ask(ctx, client, 0, pollWait, i.now())
+	return feed.Poll(ctx, client, 0, pollWait, i.now())
 }
 
 func (i *Instance) listOnce() (feed.Update, error) {
