--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -233,7 +233,7 @@
 	s.Failed(0, remote[1], Silent)
 	last := s.Next(0, alive).Name
 	must.SliceNotContains(t, slices.Concat(local, remote, []string{Store}), last, must.Sprint("any other instance that may have contact to the store"))
-	must.Eq(t, Choice{Name: Store, Rest: minStorePause}, s.Next(0, alive), must.Sprint("no source is left: the one whose pause ends first"))
+	must.Eq(t, Choice{Name: Store, Delay: minStorePause}, s.Next(0, alive), must.Sprint("no source is left: the one whose pause ends first"))
 	must.NotEq(t, last, s.Next(lastResortPause, alive).Name, must.Sprint("the last resort is a different instance each time"))
 	must.True(t, s.Answered(second))
 	must.False(t, s.Answered(second))
@@ -250,7 +250,7 @@
 	polls := make(map[string]int)
 	for now := time.Duration(0); now < outage; now += time.Millisecond {
 		choice := s.Next(now, alive)
-		now += choice.Rest
+		now += choice.Delay
 		polls[choice.Name]++
 		failure := Stale
 		if choice.Name == Store {
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -62,8 +62,8 @@
 
 // Choice is the source to poll next.
 type Choice struct {
-	Name string        // of the instance, or Store
-	Rest time.Duration // time to wait before the poll
+	Name  string        // of the instance, or Store
+	Delay time.Duration // time to wait before the poll
 }
 
 // Sources selects the update source that an instance polls next. It has no clock of its own and is
@@ -151,13 +151,13 @@
 	if !sameSlice(alive, s.alive) {
 		s.setInstances(alive)
 	}
-	best := Choice{Rest: math.MaxInt64}
+	best := Choice{Delay: math.MaxInt64}
 	for _, name := range s.order() {
-		if delay := s.delay(now, name); delay < best.Rest {
-			best = Choice{Name: name, Rest: delay}
+		if delay := s.delay(now, name); delay < best.Delay {
+			best = Choice{Name: name, Delay: delay}
 		}
 	}
-	if best.Rest > 0 && len(s.nonWatchers) > 0 && now >= s.nextLastResort {
+	if best.Delay > 0 && len(s.nonWatchers) > 0 && now >= s.nextLastResort {
 		best = Choice{Name: s.nonWatchers[s.nextNonWatcher%len(s.nonWatchers)]}
 		s.nextNonWatcher++
 		s.nextLastResort = now + lastResortPause
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -82,7 +82,7 @@
 			peers, peersExpiry = i.alivePeers(view), i.now()+i.peersValidFor()
 		}
 		choice := sources.Next(i.now(), peers.candidates)
-		sleep(i.ctx, choice.Rest)
+		sleep(i.ctx, choice.Delay)
 		update, err := i.fetch(choice.Name, peers.addresses[choice.Name], &pause)
 		switch {
 		case i.ctx.Err() != nil:
