--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -53,8 +53,8 @@
 
 // Kinds of failure.
 const (
-	Silent Failure = iota // no answer, or the call was rejected
-	Stale                 // an answer from an instance without a live source of its own
+	Unresponsive Failure = iota // no answer, or the call was rejected
+	Stale                       // an answer from an instance without a live source of its own
 )
 
 // Store is the name of the store as a source.
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -190,7 +190,7 @@
 		}
 		return
 	}
-	failure := feed.Silent
+	failure := feed.Unresponsive
 	if errors.Is(err, errNoLiveSource) || !i.hasReadStore() {
 		failure = feed.Stale // where many instances start at once, one that has not read the store yet soon will
 	}
