--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -235,8 +235,8 @@
 	must.SliceNotContains(t, slices.Concat(local, remote, []string{Store}), last, must.Sprint("any other instance that may have contact to the store"))
 	must.Eq(t, Choice{Name: Store, Delay: minStorePause}, s.Next(0, alive), must.Sprint("no source is left: the one whose pause ends first"))
 	must.NotEq(t, last, s.Next(lastResortPause, alive).Name, must.Sprint("the last resort is a different instance each time"))
-	must.True(t, s.Answered(second))
-	must.False(t, s.Answered(second))
+	must.True(t, s.RecordSuccess(second))
+	must.False(t, s.RecordSuccess(second))
 	must.Eq(t, Choice{Name: second}, s.Next(0, alive))
 }
 
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -238,9 +238,9 @@
 // SpareStore keeps this instance from polling the store before a time, unless it is a watcher.
 func (s *Sources) SpareStore(until time.Duration) { s.avoidStoreUntil = until }
 
-// Answered records that a source returned current contents, and reports whether it had failed
+// RecordSuccess records that a source returned current contents, and reports whether it had failed
 // before.
-func (s *Sources) Answered(name string) bool {
+func (s *Sources) RecordSuccess(name string) bool {
 	_, failed := s.pauses[name]
 	delete(s.pauses, name)
 	delete(s.retryAt, name)
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -185,7 +185,7 @@
 	i.mirror.SetWatching(i.now(), name == feed.Store && err == nil)
 	log := i.part("follower").WithField("source", sourceName(name)).WithField("revision", i.mirror.Revision())
 	if err == nil {
-		if sources.Answered(name) {
+		if sources.RecordSuccess(name) {
 			log.Info("follower: a source of news answers again")
 		}
 		return
