--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -221,16 +221,16 @@
 	first := s.Next(0, alive).Name
 	must.SliceContains(t, local, first)
 	must.Eq(t, first, s.Next(0, alive).Name, must.Sprint("it stays with a source that answers"))
-	must.True(t, s.Failed(0, first, Unresponsive))
-	must.False(t, s.Failed(0, first, Unresponsive))
+	must.True(t, s.RecordFailure(0, first, Unresponsive))
+	must.False(t, s.RecordFailure(0, first, Unresponsive))
 	second := s.Next(0, alive).Name
 	must.SliceContainsAll(t, local, []string{first, second})
-	s.Failed(0, second, Unresponsive)
+	s.RecordFailure(0, second, Unresponsive)
 	must.Eq(t, Store, s.Next(0, alive).Name, must.Sprint("the partition may be around this instance alone"))
-	s.Failed(0, Store, Unresponsive)
+	s.RecordFailure(0, Store, Unresponsive)
 	must.SliceContains(t, remote, s.Next(0, alive).Name)
-	s.Failed(0, remote[0], Unresponsive)
-	s.Failed(0, remote[1], Unresponsive)
+	s.RecordFailure(0, remote[0], Unresponsive)
+	s.RecordFailure(0, remote[1], Unresponsive)
 	last := s.Next(0, alive).Name
 	must.SliceNotContains(t, slices.Concat(local, remote, []string{Store}), last, must.Sprint("any other instance that may have contact to the store"))
 	must.Eq(t, Choice{Name: Store, Delay: minStorePause}, s.Next(0, alive), must.Sprint("no source is left: the one whose pause ends first"))
@@ -256,7 +256,7 @@
 		if choice.Name == Store {
 			failure = Unresponsive
 		}
-		s.Failed(now, choice.Name, failure)
+		s.RecordFailure(now, choice.Name, failure)
 	}
 	must.LessEq(t, 5, polls[Store])
 	total := 0
@@ -271,7 +271,7 @@
 	watchers := Watchers(alive, "a")
 	s := NewSources(ownership.Instance{Name: watchers[0], DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, alive).Name)
-	s.Failed(0, Store, Unresponsive)
+	s.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, watchers[1], s.Next(0, alive).Name, must.Sprint("rejected by the store, it polls another watcher"))
 	must.Eq(t, Store, s.Next(minWatcherStorePause, alive).Name)
 }
@@ -283,12 +283,12 @@
 	local, remote := Watchers(alive, "a"), Watchers(alive, "b")
 	s := NewSources(follower(alive))
 	must.Eq(t, local[0], s.Next(0, alive).Name)
-	s.Failed(0, local[0], Unresponsive)
+	s.RecordFailure(0, local[0], Unresponsive)
 	must.Eq(t, Store, s.Next(0, alive).Name)
-	s.Failed(0, Store, Unresponsive)
+	s.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, remote[0], s.Next(0, alive).Name)
 	watcher := NewSources(ownership.Instance{Name: local[0], DataCentre: "a"})
-	watcher.Failed(0, Store, Unresponsive)
+	watcher.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, remote[0], watcher.Next(0, alive).Name)
 }
 
@@ -310,7 +310,7 @@
 		name := s.Next(now, alive).Name
 		must.SliceContains(t, local, name)
 		now += pollTime
-		s.Failed(now, name, Unresponsive)
+		s.RecordFailure(now, name, Unresponsive)
 	}
 	must.Eq(t, Choice{Name: Store}, s.Next(now, alive))
 }
--- a/internal/feed/regions_test.go
+++ b/internal/feed/regions_test.go
@@ -16,11 +16,11 @@
 	alive := append(append(instances("a", 3), instances("b", 3)...), instances("c", 3)...)
 	s := NewSources(follower(alive))
 	s.Locate(locality.New(map[string]string{"a": "x", "b": "y", "c": "x"}))
-	s.Failed(0, Watchers(alive, "a")[0], Unresponsive)
-	s.Failed(0, Store, Unresponsive)
+	s.RecordFailure(0, Watchers(alive, "a")[0], Unresponsive)
+	s.RecordFailure(0, Store, Unresponsive)
 	next := s.Next(0, alive).Name
 	must.Eq(t, Watchers(alive, "c")[0], next)
-	s.Failed(0, next, Unresponsive)
+	s.RecordFailure(0, next, Unresponsive)
 	must.Eq(t, Watchers(alive, "b")[0], s.Next(0, alive).Name)
 }
 
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -247,9 +247,9 @@
 	return failed
 }
 
-// Failed records that a source did not answer, or answered without a live source of its own. It
+// RecordFailure records that a source did not answer, or answered without a live source of its own. It
 // reports whether this is the source's first failure in a row.
-func (s *Sources) Failed(now time.Duration, name string, failure Failure) bool {
+func (s *Sources) RecordFailure(now time.Duration, name string, failure Failure) bool {
 	previous, again := s.pauses[name]
 	shortest, longest := s.pauseBounds(name, failure)
 	pause := min(max(shortest, 2*previous), longest)
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -194,7 +194,7 @@
 	if errors.Is(err, errNoLiveSource) || !i.hasReadStore() {
 		failure = feed.Stale // where many instances start at once, one that has not read the store yet soon will
 	}
-	if sources.Failed(i.now(), name, failure) {
+	if sources.RecordFailure(i.now(), name, failure) {
 		log.WithError(err).Warn("follower: a source of news does not tell how the store stands now")
 	}
 }
