--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -235,8 +235,8 @@
 	return names
 }
 
-// SpareStore keeps this instance from polling the store before a time, unless it is a watcher.
-func (s *Sources) SpareStore(until time.Duration) { s.avoidStoreUntil = until }
+// AvoidStoreUntil keeps this instance from polling the store before a time, unless it is a watcher.
+func (s *Sources) AvoidStoreUntil(until time.Duration) { s.avoidStoreUntil = until }
 
 // RecordSuccess records that a source returned current contents, and reports whether it had failed
 // before.
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -76,7 +76,7 @@
 	sources := feed.NewSources(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
 	sources.Locate(i.settings.Places)
 	peers, peersExpiry := i.initialPeers(), time.Duration(0)
-	sources.SpareStore(i.now() + initialSnapshotWait)
+	sources.AvoidStoreUntil(i.now() + initialSnapshotWait)
 	for i.ctx.Err() == nil {
 		if view := i.view.Load(); !view.SameInstances(peers.view) && i.now() >= peersExpiry {
 			peers, peersExpiry = i.alivePeers(view), i.now()+i.peersValidFor()
