--- a/internal/feed/regions_test.go
+++ b/internal/feed/regions_test.go
@@ -15,7 +15,7 @@
 func TestSourcesInOwnRegionFirst(t *testing.T) {
 	alive := append(append(instances("a", 3), instances("b", 3)...), instances("c", 3)...)
 	s := NewSources(follower(alive))
-	s.Locate(locality.New(map[string]string{"a": "x", "b": "y", "c": "x"}))
+	s.SetLocalities(locality.New(map[string]string{"a": "x", "b": "y", "c": "x"}))
 	s.RecordFailure(0, Watchers(alive, "a")[0], Unresponsive)
 	s.RecordFailure(0, Store, Unresponsive)
 	next := s.Next(0, alive).Name
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -87,8 +87,8 @@
 	return &Sources{self: self, pauses: make(map[string]time.Duration), retryAt: make(map[string]time.Duration)}
 }
 
-// Locate sets the distances between data centres. Without it all data centres are equally far.
-func (s *Sources) Locate(localities locality.Map) { s.localities = localities }
+// SetLocalities sets the distances between data centres. Without it all data centres are equally far.
+func (s *Sources) SetLocalities(localities locality.Map) { s.localities = localities }
 
 // Watchers returns the names of the instances of a data centre that watch the store. The result is
 // the same on all instances that see the same instances alive. Instances of a higher capacity class
