--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -217,7 +217,7 @@
 func TestSourceFailover(t *testing.T) {
 	alive := append(instances("a", twoWatchers), instances("b", twoWatchers)...)
 	local, remote := Watchers(alive, "a"), Watchers(alive, "b")
-	s := NewSources(follower(alive))
+	s := NewSelector(follower(alive))
 	first := s.Next(0, alive).Name
 	must.SliceContains(t, local, first)
 	must.Eq(t, first, s.Next(0, alive).Name, must.Sprint("it stays with a source that answers"))
@@ -246,7 +246,7 @@
 func TestFollowersRarelyPollUnavailableStore(t *testing.T) {
 	const outage = 6 * time.Second
 	alive := instances("a", 70)
-	s := NewSources(follower(alive))
+	s := NewSelector(follower(alive))
 	polls := make(map[string]int)
 	for now := time.Duration(0); now < outage; now += time.Millisecond {
 		choice := s.Next(now, alive)
@@ -269,7 +269,7 @@
 func TestWatcherPrefersStore(t *testing.T) {
 	alive := instances("a", twoWatchers)
 	watchers := Watchers(alive, "a")
-	s := NewSources(ownership.Instance{Name: watchers[0], DataCentre: "a"})
+	s := NewSelector(ownership.Instance{Name: watchers[0], DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, alive).Name)
 	s.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, watchers[1], s.Next(0, alive).Name, must.Sprint("rejected by the store, it polls another watcher"))
@@ -281,19 +281,19 @@
 func TestSingleWatcherFailover(t *testing.T) {
 	alive := append(instances("a", 3), instances("b", 3)...)
 	local, remote := Watchers(alive, "a"), Watchers(alive, "b")
-	s := NewSources(follower(alive))
+	s := NewSelector(follower(alive))
 	must.Eq(t, local[0], s.Next(0, alive).Name)
 	s.RecordFailure(0, local[0], Unresponsive)
 	must.Eq(t, Store, s.Next(0, alive).Name)
 	s.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, remote[0], s.Next(0, alive).Name)
-	watcher := NewSources(ownership.Instance{Name: local[0], DataCentre: "a"})
+	watcher := NewSelector(ownership.Instance{Name: local[0], DataCentre: "a"})
 	watcher.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, remote[0], watcher.Next(0, alive).Name)
 }
 
 func TestFirstInstanceUsesStore(t *testing.T) {
-	s := NewSources(ownership.Instance{Name: "x", DataCentre: "a"})
+	s := NewSelector(ownership.Instance{Name: "x", DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, nil).Name)
 }
 
@@ -304,7 +304,7 @@
 	const pollTime = 900 * time.Millisecond
 	alive := append(instances("a", twoWatchers), instances("b", twoWatchers)...)
 	local := Watchers(alive, "a")
-	s := NewSources(follower(alive))
+	s := NewSelector(follower(alive))
 	now := time.Duration(0)
 	for range 2 {
 		name := s.Next(now, alive).Name
--- a/internal/feed/regions_test.go
+++ b/internal/feed/regions_test.go
@@ -14,7 +14,7 @@
 // must poll a watcher of their own region before one of another region.
 func TestSourcesInOwnRegionFirst(t *testing.T) {
 	alive := append(append(instances("a", 3), instances("b", 3)...), instances("c", 3)...)
-	s := NewSources(follower(alive))
+	s := NewSelector(follower(alive))
 	s.SetLocalities(locality.New(map[string]string{"a": "x", "b": "y", "c": "x"}))
 	s.RecordFailure(0, Watchers(alive, "a")[0], Unresponsive)
 	s.RecordFailure(0, Store, Unresponsive)
@@ -39,7 +39,7 @@
 	followers := make(map[string]int)
 	for _, i := range alive {
 		if !slices.Contains(watchers, i.Name) {
-			followers[NewSources(i).Next(0, alive).Name]++
+			followers[NewSelector(i).Next(0, alive).Name]++
 		}
 	}
 	must.MapLen(t, len(watchers), followers)
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -82,8 +82,8 @@
 	retryAt                       map[string]time.Duration // end of the pause, by name of a failed source
 }
 
-// NewSources returns a selector for an instance.
-func NewSources(self ownership.Instance) *Sources {
+// NewSelector returns a selector for an instance.
+func NewSelector(self ownership.Instance) *Sources {
 	return &Sources{self: self, pauses: make(map[string]time.Duration), retryAt: make(map[string]time.Duration)}
 }
 
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -73,7 +73,7 @@
 func (i *Instance) follow() error {
 	pause := minWatchPause
 	i.setGCPercent(0)
-	sources := feed.NewSources(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
+	sources := feed.NewSelector(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
 	sources.SetLocalities(i.settings.Places)
 	peers, peersExpiry := i.initialPeers(), time.Duration(0)
 	sources.AvoidStoreUntil(i.now() + initialSnapshotWait)
