--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -66,9 +66,9 @@
 	Delay time.Duration // time to wait before the poll
 }
 
-// Sources selects the update source that an instance polls next. It has no clock of its own and is
+// Selector selects the update source that an instance polls next. It has no clock of its own and is
 // not safe for concurrent use.
-type Sources struct {
+type Selector struct {
 	self                          ownership.Instance
 	localities                    locality.Map
 	alive                         []ownership.Instance // as of the last call of Next
@@ -83,12 +83,12 @@
 }
 
 // NewSelector returns a selector for an instance.
-func NewSelector(self ownership.Instance) *Sources {
-	return &Sources{self: self, pauses: make(map[string]time.Duration), retryAt: make(map[string]time.Duration)}
+func NewSelector(self ownership.Instance) *Selector {
+	return &Selector{self: self, pauses: make(map[string]time.Duration), retryAt: make(map[string]time.Duration)}
 }
 
 // SetLocalities sets the distances between data centres. Without it all data centres are equally far.
-func (s *Sources) SetLocalities(localities locality.Map) { s.localities = localities }
+func (s *Selector) SetLocalities(localities locality.Map) { s.localities = localities }
 
 // Watchers returns the names of the instances of a data centre that watch the store. The result is
 // the same on all instances that see the same instances alive. Instances of a higher capacity class
@@ -147,7 +147,7 @@
 // watchers of other data centres, those of its own region first, then any other instance. A source
 // that failed recently is skipped while another is left. A list that is the same slice as in the
 // last call is taken to hold the same instances.
-func (s *Sources) Next(now time.Duration, alive []ownership.Instance) Choice {
+func (s *Selector) Next(now time.Duration, alive []ownership.Instance) Choice {
 	if !sameSlice(alive, s.alive) {
 		s.setInstances(alive)
 	}
@@ -169,7 +169,7 @@
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
-func (s *Sources) delay(now time.Duration, name string) time.Duration {
+func (s *Selector) delay(now time.Duration, name string) time.Duration {
 	end := s.retryAt[name]
 	if name == Store && !s.isWatcher {
 		end = max(end, s.avoidStoreUntil)
@@ -178,7 +178,7 @@
 }
 
 // setInstances sets the instances that are alive.
-func (s *Sources) setInstances(alive []ownership.Instance) {
+func (s *Selector) setInstances(alive []ownership.Instance) {
 	s.alive = alive
 	localWatchers := Watchers(alive, s.self.DataCentre)
 	s.isWatcher = slices.Contains(localWatchers, s.self.Name) || len(localWatchers) == 0
@@ -202,7 +202,7 @@
 
 // shuffle returns watchers without this instance, in an order that differs from instance to
 // instance, so that the followers are spread over the watchers.
-func (s *Sources) shuffle(watchers []string) []string {
+func (s *Selector) shuffle(watchers []string) []string {
 	others := slices.DeleteFunc(watchers, func(name string) bool { return name == s.self.Name })
 	slices.SortFunc(others, func(a, b string) int {
 		return cmp.Compare(ownership.Score(s.self.Name, a), ownership.Score(s.self.Name, b))
@@ -211,7 +211,7 @@
 }
 
 // order returns the store and all watchers, the most preferred first.
-func (s *Sources) order() []string {
+func (s *Selector) order() []string {
 	if s.isWatcher {
 		return slices.Concat([]string{Store}, s.localWatchers, s.remoteWatchers)
 	}
@@ -219,7 +219,7 @@
 }
 
 // dataCentres returns the data centres of the given instances, the nearest first.
-func (s *Sources) dataCentres(alive []ownership.Instance) []string {
+func (s *Selector) dataCentres(alive []ownership.Instance) []string {
 	var names []string
 	for _, i := range alive {
 		if !slices.Contains(names, i.DataCentre) {
@@ -236,11 +236,11 @@
 }
 
 // AvoidStoreUntil keeps this instance from polling the store before a time, unless it is a watcher.
-func (s *Sources) AvoidStoreUntil(until time.Duration) { s.avoidStoreUntil = until }
+func (s *Selector) AvoidStoreUntil(until time.Duration) { s.avoidStoreUntil = until }
 
 // RecordSuccess records that a source returned current contents, and reports whether it had failed
 // before.
-func (s *Sources) RecordSuccess(name string) bool {
+func (s *Selector) RecordSuccess(name string) bool {
 	_, failed := s.pauses[name]
 	delete(s.pauses, name)
 	delete(s.retryAt, name)
@@ -249,7 +249,7 @@
 
 // RecordFailure records that a source did not answer, or answered without a live source of its own. It
 // reports whether this is the source's first failure in a row.
-func (s *Sources) RecordFailure(now time.Duration, name string, failure Failure) bool {
+func (s *Selector) RecordFailure(now time.Duration, name string, failure Failure) bool {
 	previous, again := s.pauses[name]
 	shortest, longest := s.pauseBounds(name, failure)
 	pause := min(max(shortest, 2*previous), longest)
@@ -258,7 +258,7 @@
 }
 
 // pauseBounds returns the shortest and the longest pause after a failure.
-func (s *Sources) pauseBounds(name string, failure Failure) (time.Duration, time.Duration) {
+func (s *Selector) pauseBounds(name string, failure Failure) (time.Duration, time.Duration) {
 	switch {
 	case name == Store && s.isWatcher:
 		return minWatcherStorePause, maxWatcherStorePause
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -181,7 +181,7 @@
 
 // recordResult records the result of a poll. It logs the first failure of a source and its
 // recovery.
-func (i *Instance) recordResult(sources *feed.Sources, name string, err error) {
+func (i *Instance) recordResult(sources *feed.Selector, name string, err error) {
 	i.mirror.SetWatching(i.now(), name == feed.Store && err == nil)
 	log := i.part("follower").WithField("source", sourceName(name)).WithField("revision", i.mirror.Revision())
 	if err == nil {
