--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -198,7 +198,7 @@
 		return nil, fmt.Errorf("background task pool: %w", err)
 	}
 	i.traffic = peerconn.NewTraffic(i.metricsSet, i.distanceTo)
-	i.conns.Count(i.traffic)
+	i.conns.SetTraffic(i.traffic)
 	i.upstreams = relay.NewUpstreams(platform.Dialer, i.now)
 	i.placements = relay.NewPlacements(i.self, settings.Places)
 	i.upstreams.Locate(settings.Places)
--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -102,8 +102,8 @@
 	return &Conns{now: time.Now, conns: make(map[string]*grpc.ClientConn), replacements: make(map[string]*replacement)}
 }
 
-// Count sets where traffic is counted. It must be called before the first connection is opened.
-func (c *Conns) Count(t *Traffic) { c.traffic = t }
+// SetTraffic sets where traffic is counted. It must be called before the first connection is opened.
+func (c *Conns) SetTraffic(t *Traffic) { c.traffic = t }
 
 // Get returns the connection to an address.
 func (c *Conns) Get(address string) (*grpc.ClientConn, error) {
--- a/internal/peerconn/traffic_test.go
+++ b/internal/peerconn/traffic_test.go
@@ -35,7 +35,7 @@
 	conns := New()
 	t.Cleanup(conns.Close)
 	traffic := NewTraffic(set, func(string) locality.Distance { return locality.OtherRegion })
-	conns.Count(traffic)
+	conns.SetTraffic(traffic)
 	conn, err := conns.Get(l.Addr().String())
 	must.NoError(t, err)
 	_, err = relaypb.NewCarrierClient(conn).Ping(context.Background(), &relaypb.PingRequest{})
