--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -143,7 +143,7 @@
 	peers             *grpc.Server
 	conns             *peerconn.Conns // to other instances
 	traffic           *peerconn.Traffic
-	crossRegionTotals map[string]peerconn.Tally // totals at the last report, by method; of the control goroutine
+	crossRegionTotals map[string]peerconn.Totals // totals at the last report, by method; of the control goroutine
 	servers           []*http.Server
 
 	clientAddr string // callerAddr and peerAddr are set by Start
--- a/internal/peerconn/traffic.go
+++ b/internal/peerconn/traffic.go
@@ -55,24 +55,24 @@
 	return c
 }
 
-// Tally is the total traffic of the calls of one method.
-type Tally struct {
+// Totals is the total traffic of the calls of one method.
+type Totals struct {
 	Messages, Bytes uint64
 }
 
 // Sub returns the traffic since an earlier total.
-func (t Tally) Sub(earlier Tally) Tally {
-	return Tally{Messages: t.Messages - earlier.Messages, Bytes: t.Bytes - earlier.Bytes}
+func (t Totals) Sub(earlier Totals) Totals {
+	return Totals{Messages: t.Messages - earlier.Messages, Bytes: t.Bytes - earlier.Bytes}
 }
 
 // To returns the traffic with instances at a distance, by method.
-func (t *Traffic) To(distance locality.Distance) map[string]Tally {
+func (t *Traffic) To(distance locality.Distance) map[string]Totals {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	totals := make(map[string]Tally)
+	totals := make(map[string]Totals)
 	for key, c := range t.counts {
 		if key.distance == distance {
-			totals[key.method] = Tally{Messages: c.messages.Get(), Bytes: c.bytes.Get()}
+			totals[key.method] = Totals{Messages: c.messages.Get(), Bytes: c.bytes.Get()}
 		}
 	}
 	return totals
