--- a/internal/fleet/cross_region.go
+++ b/internal/fleet/cross_region.go
@@ -20,7 +20,7 @@
 // reportCrossRegionTraffic logs the traffic with instances in other regions since the last report,
 // by gRPC method.
 func (i *Instance) reportCrossRegionTraffic() {
-	totals := i.traffic.To(locality.OtherRegion)
+	totals := i.traffic.ByMethod(locality.OtherRegion)
 	for method, total := range totals {
 		delta := total.Sub(i.crossRegionTotals[method])
 		if delta.Messages == 0 {
--- a/internal/peerconn/traffic.go
+++ b/internal/peerconn/traffic.go
@@ -65,8 +65,8 @@
 	return Totals{Messages: t.Messages - earlier.Messages, Bytes: t.Bytes - earlier.Bytes}
 }
 
-// To returns the traffic with instances at a distance, by method.
-func (t *Traffic) To(distance locality.Distance) map[string]Totals {
+// ByMethod returns the traffic with instances at a distance, by method.
+func (t *Traffic) ByMethod(distance locality.Distance) map[string]Totals {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	totals := make(map[string]Totals)
--- a/internal/peerconn/traffic_test.go
+++ b/internal/peerconn/traffic_test.go
@@ -43,8 +43,8 @@
 	var text bytes.Buffer
 	set.WritePrometheus(&text)
 	must.StrContains(t, text.String(), `stackspindle_peer_messages_total{method="Ping",distance="other_region"} 2`)
-	total := traffic.To(locality.OtherRegion)["Ping"]
+	total := traffic.ByMethod(locality.OtherRegion)["Ping"]
 	must.Eq(t, 2, total.Messages)
 	must.Greater(t, 0, total.Bytes)
-	must.MapEmpty(t, traffic.To(locality.SameRegion))
+	must.MapEmpty(t, traffic.ByMethod(locality.SameRegion))
 }
