--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -73,7 +73,7 @@
 	DataCentre    string
 	Places        locality.Map // regions of the data centres
 	Strength      placement.Strength
-	CallerListen  string
+	ClientListen  string
 	PeerListen    string
 	PeerAddress   string // at which others reach the instance; empty: the address of the listener
 	ReadyListen   string
@@ -238,7 +238,7 @@
 
 // Start opens the listeners and starts the instance's goroutines.
 func (i *Instance) Start() error {
-	clients, err := net.Listen("tcp", i.settings.CallerListen)
+	clients, err := net.Listen("tcp", i.settings.ClientListen)
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
@@ -263,7 +263,7 @@
 	i.run("control", i.control)
 	i.run("follower", i.follow)
 	i.run("registration", i.maintainRegistration)
-	i.part("instance").WithFields(logrus.Fields{"incarnation": i.self.Incarnation, "callers": i.settings.CallerListen}).
+	i.part("instance").WithFields(logrus.Fields{"incarnation": i.self.Incarnation, "callers": i.settings.ClientListen}).
 		Info("instance: started")
 	return nil
 }
