--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -127,7 +127,7 @@
 	log.SetLevel(logrus.DebugLevel)
 	inst, err := New(Settings{
 		Name: name, ClientListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", PeerAddress: proxy.Addr(), ReadyListen: "127.0.0.1:0", MetricsListen: "127.0.0.1:0",
-		Grace: 6 * time.Second, LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxCallers: 100,
+		Grace: 6 * time.Second, LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxClients: 100,
 	}, Platform{
 		Store: client, Promoter: f.group, Dialer: f.group, Decoder: f.decoder,
 		Caller: func(conn net.Conn) relay.Caller { return platform.NewCallerConn(conn) },
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -82,7 +82,7 @@
 	LeaseTTL      time.Duration
 	DrainTime     time.Duration // time after which no work may reach a member that has announced that it leaves
 	StoreSilence  time.Duration // bound on how long an unresponsive store, or a watch without updates, may go unnoticed
-	MaxCallers    int
+	MaxClients    int
 	FirstStart    bool        // all instances start for the first time
 	Limits        quota.Rules // how the limits of client accounts are enforced
 }
@@ -210,7 +210,7 @@
 		Started: i.started, Self: i.self, Places: settings.Places, Topology: i.topology.Load, Current: i.isCurrent, Known: i.storedRecord, Limiter: i.limiter,
 		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.metricsSet,
 	})
-	if i.clients, err = relay.NewServer(i.relay, platform.Caller, settings.MaxCallers); err != nil {
+	if i.clients, err = relay.NewServer(i.relay, platform.Caller, settings.MaxClients); err != nil {
 		return nil, err
 	}
 	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.hasReadStore, i.now, i.upstreams.Heard)
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -37,7 +37,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	inst, err := New(Settings{
-		Name: "instance-0", DataCentre: "dc0", LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxCallers: 100,
+		Name: "instance-0", DataCentre: "dc0", LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxClients: 100,
 	}, Platform{Store: memstore.New().Client(), Decoder: jsonDecoder{}}, log)
 	must.NoError(tb, err)
 	tb.Cleanup(inst.close)
