--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -75,7 +75,7 @@
 	return fleet.Settings{
 		Name:          s.Name,
 		DataCentre:    s.DataCentre,
-		Places:        locality.New(s.Regions),
+		Localities:    locality.New(s.Regions),
 		Strength:      s.Capacity.Strength(),
 		ClientListen:  s.CallerListen,
 		PeerListen:    s.PeerListen,
--- a/internal/fleet/cross_region.go
+++ b/internal/fleet/cross_region.go
@@ -11,7 +11,7 @@
 func (i *Instance) distanceTo(address string) locality.Distance {
 	for _, other := range i.view.Load().Alive() {
 		if other.Address == address {
-			return i.settings.Places.Distance(other.DataCentre, i.self.DataCentre)
+			return i.settings.Localities.Distance(other.DataCentre, i.self.DataCentre)
 		}
 	}
 	return locality.OtherRegion
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -74,7 +74,7 @@
 	pause := minWatchPause
 	i.setGCPercent(0)
 	sources := feed.NewSelector(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
-	sources.SetLocalities(i.settings.Places)
+	sources.SetLocalities(i.settings.Localities)
 	peers, peersExpiry := i.initialPeers(), time.Duration(0)
 	sources.AvoidStoreUntil(i.now() + initialSnapshotWait)
 	for i.ctx.Err() == nil {
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -71,7 +71,7 @@
 type Settings struct {
 	Name          string
 	DataCentre    string
-	Places        locality.Map // regions of the data centres
+	Localities    locality.Map // regions of the data centres
 	Strength      placement.Strength
 	ClientListen  string
 	PeerListen    string
@@ -200,14 +200,14 @@
 	i.traffic = peerconn.NewTraffic(i.metricsSet, i.distanceTo)
 	i.conns.SetTraffic(i.traffic)
 	i.upstreams = relay.NewUpstreams(platform.Dialer, i.now)
-	i.placements = relay.NewPlacements(i.self, settings.Places)
-	i.upstreams.Locate(settings.Places)
+	i.placements = relay.NewPlacements(i.self, settings.Localities)
+	i.upstreams.Locate(settings.Localities)
 	i.limiter = limits.New(limits.Config{
 		Self: i.self, Rules: settings.Limits, Accounts: i.accounts, Conns: i.conns,
 		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.metricsSet,
 	})
 	i.relay = relay.New(relay.Config{
-		Started: i.started, Self: i.self, Places: settings.Places, Topology: i.topology.Load, Current: i.isCurrent, Known: i.storedRecord, Limiter: i.limiter,
+		Started: i.started, Self: i.self, Places: settings.Localities, Topology: i.topology.Load, Current: i.isCurrent, Known: i.storedRecord, Limiter: i.limiter,
 		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.metricsSet,
 	})
 	if i.clients, err = relay.NewServer(i.relay, platform.Caller, settings.MaxClients); err != nil {
@@ -218,7 +218,7 @@
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
 		Around: environment{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
 	})
-	i.controller.Locate(settings.Places)
+	i.controller.Locate(settings.Localities)
 	i.peers = grpc.NewServer(peerconn.ServerOptions()...)
 	leadpb.RegisterCoordinationServer(i.peers, server)
 	i.carrier = relay.NewCarrierServer(i.relay)
