--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -76,7 +76,7 @@
 		Name:          s.Name,
 		DataCentre:    s.DataCentre,
 		Localities:    locality.New(s.Regions),
-		Strength:      s.Capacity.Strength(),
+		Capacity:      s.Capacity.Strength(),
 		ClientListen:  s.CallerListen,
 		PeerListen:    s.PeerListen,
 		PeerAddress:   s.PeerAddress,
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -72,7 +72,7 @@
 	Name          string
 	DataCentre    string
 	Localities    locality.Map // regions of the data centres
-	Strength      placement.Strength
+	Capacity      placement.Strength
 	ClientListen  string
 	PeerListen    string
 	PeerAddress   string // at which others reach the instance; empty: the address of the listener
@@ -177,7 +177,7 @@
 		platform: platform,
 		self: lead.Instance{
 			Name: settings.Name, Incarnation: uuid.NewString(),
-			Address: settings.PeerAddress, DataCentre: settings.DataCentre, Strength: settings.Strength,
+			Address: settings.PeerAddress, DataCentre: settings.DataCentre, Strength: settings.Capacity,
 		},
 		log:        log,
 		started:    time.Now(),
