--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -62,7 +62,7 @@
 	Promoter lead.Promoter
 	Dialer   member.Dialer
 	Decoder  Decoder
-	Caller   func(net.Conn) relay.Caller
+	Client   func(net.Conn) relay.Caller
 	// Ready returns the handler for the platform's readiness probe.
 	Ready func(ready func() bool) http.Handler
 }
@@ -210,7 +210,7 @@
 		Started: i.started, Self: i.self, Places: settings.Localities, Topology: i.topology.Load, Current: i.isCurrent, Known: i.storedRecord, Limiter: i.limiter,
 		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.metricsSet,
 	})
-	if i.clients, err = relay.NewServer(i.relay, platform.Caller, settings.MaxClients); err != nil {
+	if i.clients, err = relay.NewServer(i.relay, platform.Client, settings.MaxClients); err != nil {
 		return nil, err
 	}
 	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.hasReadStore, i.now, i.upstreams.Heard)
