--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -196,7 +196,7 @@
 // connect connects a client to an instance and sends the startup message.
 func (f *testFleet) connect(n int, start string) *testClient {
 	f.t.Helper()
-	conn, err := net.Dial("tcp", f.instances[n].CallerAddr())
+	conn, err := net.Dial("tcp", f.instances[n].ClientAddr())
 	must.NoError(f.t, err)
 	f.t.Cleanup(func() { conn.Close() })
 	c := &testClient{t: f.t, conn: conn, r: bufio.NewReader(conn)}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -268,8 +268,8 @@
 	return nil
 }
 
-// CallerAddr returns the address of the client listener.
-func (i *Instance) CallerAddr() string { return i.clientAddr }
+// ClientAddr returns the address of the client listener.
+func (i *Instance) ClientAddr() string { return i.clientAddr }
 
 // run starts a goroutine for a part of the instance, and logs if it fails.
 func (i *Instance) run(part string, f func() error) {
