--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -98,7 +98,7 @@
 		Promoter: platform.NewPromoter(s.Fleet.Promoter),
 		Dialer:   platform.MemberDialer{},
 		Decoder:  platform.Decoder{},
-		Client:   func(conn net.Conn) relay.Caller { return platform.NewCallerConn(conn) },
+		Client:   func(conn net.Conn) relay.Caller { return platform.NewClientConn(conn) },
 		Ready:    platform.ReadyHandler,
 	}
 }
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -130,7 +130,7 @@
 		Grace: 6 * time.Second, LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxClients: 100,
 	}, Platform{
 		Store: client, Promoter: f.group, Dialer: f.group, Decoder: f.decoder,
-		Client: func(conn net.Conn) relay.Caller { return platform.NewCallerConn(conn) },
+		Client: func(conn net.Conn) relay.Caller { return platform.NewClientConn(conn) },
 		Ready:  func(ready func() bool) http.Handler { return http.NotFoundHandler() },
 	}, log)
 	must.NoError(f.t, err)
