--- a/internal/feed/mirror.go
+++ b/internal/feed/mirror.go
@@ -44,8 +44,8 @@
 type Update struct {
 	Snapshot bool // Events holds every key; otherwise only those changed since the revision asked for
 	Events   []kv.Event
-	// MayMissRemovals says that keys may have been removed after the revision asked for without the sender
-	// knowing. Once the receiver has applied the changes, it holds the same keys at the same
+	// MayMissRemovals says that keys may have been removed after the revision asked for without the
+	// sender knowing. Once the receiver has applied the changes, it holds the same keys at the same
 	// revisions as the sender if its digest equals Digest.
 	MayMissRemovals bool
 	Digest          uint64
@@ -148,6 +148,7 @@
 	return m.items[c.key].Revision != c.revision && m.removed[c.key] != c.revision
 }
 
+// unset removes an item, if there is one. The caller holds mu.
 func (m *Mirror) unset(key string) {
 	if old, ok := m.items[key]; ok {
 		m.digest ^= itemDigest(old)
@@ -155,8 +156,9 @@
 	}
 }
 
-// DigestMatches reports whether applying an update makes this mirror hold the same as the sender's. It
-// compares digests if the sender may have missed removals; any other update is complete by itself.
+// DigestMatches reports whether applying an update makes this mirror hold the same as the sender's.
+// It compares digests if the sender may have missed removals; any other update is complete by
+// itself.
 func (m *Mirror) DigestMatches(u Update) bool {
 	if !u.MayMissRemovals {
 		return true
@@ -292,9 +294,9 @@
 	return u, m.changed
 }
 
-// SinceWithDigest is Since for a follower that can check a digest. If the follower's revision is so old
-// that removals after it are not remembered here, it gets the changes with a digest, by which it
-// finds out whether it must ask for a snapshot.
+// SinceWithDigest is Since for a follower that can check a digest. If the follower's revision is so
+// old that removals after it are not remembered here, it gets the changes with a digest, by which
+// it finds out whether it must ask for a snapshot.
 //
 // This serves instances that start together: each has read the store at a revision of its own,
 // nothing was removed, and each polls others that read the store later. When 300 such instances
--- a/internal/feed/rpc.go
+++ b/internal/feed/rpc.go
@@ -16,8 +16,8 @@
 const (
 	// maxWait bounds how long a poll is held open.
 	maxWait = 5 * time.Second
-	// maxAnswerBytes bounds the size of an answer in bytes: 550 instances and 1,830 members of some 0.3
-	// KB each, and a configuration of up to 1 MB.
+	// maxAnswerBytes bounds the size of an answer in bytes: 550 instances and 1,830 members of some
+	// 0.3 KB each, and a configuration of up to 1 MB.
 	maxAnswerBytes = 16 << 20
 )
 
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -87,7 +87,8 @@
 	return &Selector{self: self, pauses: make(map[string]time.Duration), retryAt: make(map[string]time.Duration)}
 }
 
-// SetLocalities sets the distances between data centres. Without it all data centres are equally far.
+// SetLocalities sets the distances between data centres. Without it all data centres are equally
+// far.
 func (s *Selector) SetLocalities(localities locality.Map) { s.localities = localities }
 
 // Watchers returns the names of the instances of a data centre that watch the store. The result is
@@ -247,8 +248,8 @@
 	return failed
 }
 
-// RecordFailure records that a source did not answer, or answered without a live source of its own. It
-// reports whether this is the source's first failure in a row.
+// RecordFailure records that a source did not answer, or answered without a live source of its own.
+// It reports whether this is the source's first failure in a row.
 func (s *Selector) RecordFailure(now time.Duration, name string, failure Failure) bool {
 	previous, again := s.pauses[name]
 	shortest, longest := s.pauseBounds(name, failure)
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -38,8 +38,8 @@
 	storeTimeout = 1500 * time.Millisecond
 	// initialSnapshotWait is how long a starting instance waits for a snapshot from other instances
 	// before it reads the store itself. It does so only in fleets of at least
-	// minFleetForPeerSnapshot registered instances; a list of fewer instances with their groups is a
-	// single answer of the store.
+	// minFleetForPeerSnapshot registered instances; a list of fewer instances with their groups is
+	// a single answer of the store.
 	initialSnapshotWait     = 3 * time.Second
 	minFleetForPeerSnapshot = 64
 	// listTimeout bounds a list of the whole store, whose answer may be long. A list that stalls is
@@ -73,15 +73,15 @@
 func (i *Instance) follow() error {
 	pause := minWatchPause
 	i.setGCPercent(0)
-	sources := feed.NewSelector(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
-	sources.SetLocalities(i.settings.Localities)
+	selector := feed.NewSelector(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
+	selector.SetLocalities(i.settings.Localities)
 	peers, peersExpiry := i.initialPeers(), time.Duration(0)
-	sources.AvoidStoreUntil(i.now() + initialSnapshotWait)
+	selector.AvoidStoreUntil(i.now() + initialSnapshotWait)
 	for i.ctx.Err() == nil {
 		if view := i.view.Load(); !view.SameInstances(peers.view) && i.now() >= peersExpiry {
 			peers, peersExpiry = i.alivePeers(view), i.now()+i.peersValidFor()
 		}
-		choice := sources.Next(i.now(), peers.candidates)
+		choice := selector.Next(i.now(), peers.candidates)
 		sleep(i.ctx, choice.Delay)
 		update, err := i.fetch(choice.Name, peers.addresses[choice.Name], &pause)
 		switch {
@@ -91,7 +91,7 @@
 			i.applyUpdate(update)
 			err = i.checkLive(choice.Name, update)
 		}
-		i.recordResult(sources, choice.Name, err)
+		i.recordResult(selector, choice.Name, err)
 		switch {
 		case err == nil && choice.Name == feed.Store && shouldPause(update):
 			sleep(i.ctx, pause)
@@ -181,11 +181,11 @@
 
 // recordResult records the result of a poll. It logs the first failure of a source and its
 // recovery.
-func (i *Instance) recordResult(sources *feed.Selector, name string, err error) {
+func (i *Instance) recordResult(selector *feed.Selector, name string, err error) {
 	i.mirror.SetWatching(i.now(), name == feed.Store && err == nil)
 	log := i.part("follower").WithField("source", sourceName(name)).WithField("revision", i.mirror.Revision())
 	if err == nil {
-		if sources.RecordSuccess(name) {
+		if selector.RecordSuccess(name) {
 			log.Info("follower: a source of news answers again")
 		}
 		return
@@ -194,7 +194,7 @@
 	if errors.Is(err, errNoLiveSource) || !i.hasReadStore() {
 		failure = feed.Stale // where many instances start at once, one that has not read the store yet soon will
 	}
-	if sources.RecordFailure(i.now(), name, failure) {
+	if selector.RecordFailure(i.now(), name, failure) {
 		log.WithError(err).Warn("follower: a source of news does not tell how the store stands now")
 	}
 }
@@ -222,6 +222,8 @@
 	return i.listOnce()
 }
 
+// pollPeer polls the instance at an address. If the digest shows that the update misses removals,
+// it asks for a snapshot instead.
 func (i *Instance) pollPeer(address string) (feed.Update, error) {
 	conn, err := i.conns.Get(address)
 	if err != nil {
@@ -237,6 +239,7 @@
 	return feed.Poll(ctx, client, 0, pollWait, i.now())
 }
 
+// listOnce reads a snapshot from the store.
 func (i *Instance) listOnce() (feed.Update, error) {
 	ctx, cancel := context.WithTimeout(i.ctx, listTimeout)
 	defer cancel()
@@ -255,8 +258,8 @@
 // watchWait returns how long the store may hold a watch open if it must be noticed within a time
 // that there are no updates. When the store compacts its history, a waiting watch may be told
 // neither of changes nor of the compaction, so each watch must end in time.
-func watchWait(silence time.Duration) time.Duration {
-	return min(max(minWatchWait, silence-watchSlack-watchMargin), lead.ConfirmEvery)
+func watchWait(limit time.Duration) time.Duration {
+	return min(max(minWatchWait, limit-watchSlack-watchMargin), lead.ConfirmEvery)
 }
 
 // watchOnce waits for changes after a revision. pause is how long the follower pauses after a watch
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -146,7 +146,7 @@
 	crossRegionTotals map[string]peerconn.Totals // totals at the last report, by method; of the control goroutine
 	servers           []*http.Server
 
-	clientAddr string // callerAddr and peerAddr are set by Start
+	clientAddr string // clientAddr and peerAddr are set by Start
 	peerAddr   string
 
 	renewalUnanswered  atomic.Bool   // the last lease renewal got no answer
--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -28,7 +28,7 @@
 func (i *Instance) maintainRegistration() error {
 	if !i.settings.FirstStart {
 		select {
-		case <-i.storeRead: // clients are sent to a registered instance, which must know which groups it serves
+		case <-i.storeRead: // clients are sent to registered instances, which must have the configuration by then
 		case <-i.ctx.Done():
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	err = i.commitRegistration(ctx, view, lease.ID)
 	if conflict := (*kv.ConflictError)(nil); errors.As(err, &conflict) && !i.hasReadStore() {
-		// A previous process left its entry, and this one has not read the store yet
+		// A previous process left its entry, and this one has not read the store yet.
 		stored, _ := view.Replace(i.now(), conflict.Items)
 		err = i.commitRegistration(ctx, stored, lease.ID)
 	}
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -230,8 +230,8 @@
 	must.False(t, shouldPause(feed.Update{Events: events[:3], Snapshot: true}))
 }
 
-// BenchmarkInitialSnapshot measures a start: the instance applies the other instances' entries first,
-// then those of members, some hundred at a time, and of the groups' leaders.
+// BenchmarkInitialSnapshot measures a start: the instance applies the other instances' entries
+// first, then those of members, some hundred at a time, and of the groups' leaders.
 func BenchmarkInitialSnapshot(b *testing.B) {
 	for _, n := range []int{300, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -48,8 +48,8 @@
 	Deleted bool // Value is empty then
 }
 
-// Condition is a precondition of a transaction: the key was last changed at Revision, or is absent if
-// that is 0.
+// Condition is a precondition of a transaction: the key was last changed at Revision, or is absent
+// if that is 0.
 type Condition struct {
 	Key      string
 	Revision int64
--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -102,7 +102,8 @@
 	return &Conns{now: time.Now, conns: make(map[string]*grpc.ClientConn), replacements: make(map[string]*replacement)}
 }
 
-// SetTraffic sets where traffic is counted. It must be called before the first connection is opened.
+// SetTraffic sets where traffic is counted. It must be called before the first connection is
+// opened.
 func (c *Conns) SetTraffic(t *Traffic) { c.traffic = t }
 
 // Get returns the connection to an address.
@@ -173,7 +174,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conn := range c.conns {
-		_ = conn.Close() // the process stops, nobody waits for the calls in flight
+		_ = conn.Close() // the process stops; calls in flight are abandoned
 		delete(c.conns, address)
 	}
 }
