--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -174,11 +174,11 @@
 		f := newSimulatedFleet(t, instances)
 		f.start(t, 80)
 		f.settlePlacement()
-		carried := len(f.inst.relay.Carried())
-		gates := 0
-		f.inst.relay.Gates(func(string, *lead.Gate) { gates++ })
-		must.LessEq(t, maxServed, carried, must.Sprint(instances))
-		must.LessEq(t, carried, gates)
+		served := len(f.inst.relay.Carried())
+		guards := 0
+		f.inst.relay.Gates(func(string, *lead.Gate) { guards++ })
+		must.LessEq(t, maxServed, served, must.Sprint(instances))
+		must.LessEq(t, served, guards)
 	}
 }
 
