--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -75,9 +75,9 @@
 	return fleet.Settings{
 		Name:          s.Name,
 		DataCentre:    s.DataCentre,
-		Places:        locality.New(s.Regions),
-		Strength:      s.Capacity.Strength(),
-		CallerListen:  s.CallerListen,
+		Localities:    locality.New(s.Regions),
+		Capacity:      s.Capacity.Strength(),
+		ClientListen:  s.CallerListen,
 		PeerListen:    s.PeerListen,
 		PeerAddress:   s.PeerAddress,
 		ReadyListen:   s.Fleet.Ready,
@@ -86,7 +86,7 @@
 		LeaseTTL:      s.Fleet.Lease,
 		DrainTime:     s.Fleet.Drain,
 		StoreSilence:  s.Fleet.StoreSilence,
-		MaxCallers:    s.Caller.MaxCallers,
+		MaxClients:    s.Caller.MaxCallers,
 		FirstStart:    s.Fleet.FirstStart,
 		Limits:        s.Fleet.Limits,
 	}
@@ -98,7 +98,7 @@
 		Promoter: platform.NewPromoter(s.Fleet.Promoter),
 		Dialer:   platform.MemberDialer{},
 		Decoder:  platform.Decoder{},
-		Caller:   func(conn net.Conn) relay.Caller { return platform.NewCallerConn(conn) },
+		Client:   func(conn net.Conn) relay.Caller { return platform.NewClientConn(conn) },
 		Ready:    platform.ReadyHandler,
 	}
 }
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -224,8 +224,8 @@
 func (r *registry) Registration(self Instance, lease kv.LeaseID) kv.Txn {
 	known, revision := r.Instance(self.Name)
 	txn := kv.Txn{
-		Expect: []kv.Expect{{Key: PrefixInstances + self.Name, Revision: revision}},
-		Puts:   []kv.Put{{Key: prefixAlive + self.Name, Value: []byte(self.Incarnation), Lease: lease}},
+		Conditions: []kv.Condition{{Key: PrefixInstances + self.Name, Revision: revision}},
+		Puts:       []kv.Put{{Key: prefixAlive + self.Name, Value: []byte(self.Incarnation), Lease: lease}},
 	}
 	if known != self {
 		txn.Puts = append(txn.Puts, kv.Put{Key: PrefixInstances + self.Name, Value: encode(self)})
@@ -237,7 +237,7 @@
 // entry has changed or the instance is alive again.
 func RemovalTxn(name string, revision int64) kv.Txn {
 	return kv.Txn{
-		Expect: []kv.Expect{{Key: PrefixInstances + name, Revision: revision}, {Key: prefixAlive + name}},
-		Delete: []string{PrefixInstances + name},
+		Conditions: []kv.Condition{{Key: PrefixInstances + name, Revision: revision}, {Key: prefixAlive + name}},
+		Delete:     []string{PrefixInstances + name},
 	}
 }
--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -160,7 +160,7 @@
 	}
 	txn := kv.Txn{Delete: body.Delete}
 	for _, e := range body.Expect {
-		txn.Expect = append(txn.Expect, kv.Expect{Key: e.Key, Revision: e.Changed})
+		txn.Conditions = append(txn.Conditions, kv.Condition{Key: e.Key, Revision: e.Changed})
 	}
 	for _, p := range body.Puts {
 		txn.Puts = append(txn.Puts, kv.Put{Key: p.Key, Value: p.Value, Lease: kv.LeaseID(p.Lease)})
@@ -257,7 +257,7 @@
 		reply(w, http.StatusPreconditionFailed, map[string]any{"items": items})
 	case errors.Is(err, kv.ErrCompacted):
 		w.WriteHeader(http.StatusGone)
-	case errors.Is(err, kv.ErrNoLease):
+	case errors.Is(err, kv.ErrLeaseExpired):
 		w.WriteHeader(http.StatusNotFound)
 	case errors.Is(err, memstore.ErrLost):
 		panic(http.ErrAbortHandler)
