--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,49 +1,50 @@
-// Package admission decides whether a request that would have to wait for a member is
-// worth its place in the queue. One that would be answered in time is admitted, and held
-// until it has run; one that would not is refused at once, with the time after which
-// coming back is worth it (ComeBack).
+// Package admission decides whether a request is queued for a member or rejected. A request
+// that is expected to be answered in time is admitted and stays queued until it runs. Any other
+// request is rejected immediately with a retry delay. Package relay uses it, both for the
+// members that an instance is connected to (Level) and for the carriers that it forwards to
+// (Outlook).
 //
-// The package has no I/O, clock or goroutine. All times that it is given may come from
-// peers or from measurements that have just begun: what makes no sense counts as not known,
-// and nothing is refused for what is not known.
+// The package has no I/O, clock or goroutine. Its inputs may come from peers or from averages
+// of few samples. An implausible input counts as unknown, and no request is rejected because
+// of an unknown value.
 package admission
 
 import "time"
 
-// Backlog is what comes before a request at one member.
+// Backlog describes the load of one member that a request meets.
 type Backlog struct {
-	Ahead  int           // requests that wait and will be granted before it
-	Work   time.Duration // their expected time at an idle member, together; 0: not known
-	Active int           // requests that run
+	Ahead  int           // queued requests that will be granted a slot before it
+	Work   time.Duration // sum of their expected durations at an idle member; 0: unknown
+	Active int           // running requests
 	Slots  int           // requests that may run at once
-	Held   time.Duration // mean time for which a request runs; 0: not known
-	// Slowdown is how many times its usual time a request takes at the member now,
-	// since others run beside it or wait there; 0: not known.
+	Held   time.Duration // mean duration of a running request; 0: unknown
+	// Slowdown is how many times longer than at an idle member a request takes now, because
+	// others run beside it or queue at the member; 0: unknown.
 	Slowdown float64
-	Paused   time.Duration // for which nothing of its priority is granted
+	Paused   time.Duration // for how long no request of its priority is granted a slot
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
 	ID        string
-	Usual     time.Duration // its time at an idle member; 0: not known
-	Objective time.Duration // time left until an answer is late
-	Deadline  time.Duration // time left until an answer is worth nothing
+	Usual     time.Duration // typical duration at an idle member; 0: unknown
+	Objective time.Duration // remaining time until its latency objective
+	Deadline  time.Duration // remaining time until its deadline
 }
 
-// Reason says why a request was refused.
+// Reason is the reason for a rejection.
 type Reason int
 
-// The reasons.
+// The reasons for a rejection.
 const (
-	None        Reason = iota // it was admitted
-	Late                      // it would not be answered by its objective
-	Change                    // there is no primary for longer than it can wait
-	Unreachable               // its member cannot be reached for longer than it can wait
-	AllRefuse                 // every carrier would refuse it
+	None        Reason = iota // the request was admitted
+	Late                      // it would miss its latency objective
+	Change                    // the group is expected to have no primary for longer than the request can wait
+	Unreachable               // its member is expected to be unreachable for longer than the request can wait
+	AllRefuse                 // every carrier is known to reject it
 )
 
-// String returns the reason's name in logs and metrics.
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string {
 	switch r {
 	case Late:
@@ -58,32 +59,32 @@
 	return "none"
 }
 
-// Verdict is a decision.
+// Verdict is the result of an admission decision.
 type Verdict struct {
 	Admit     bool
-	Predicted time.Duration // until it runs, by the backlog alone; 0: it runs at once, or nothing is known
-	Wait      time.Duration // the same, by what requests like it have waited; refusals go by this
-	ComeBack  time.Duration // when it is refused: after what time there should be room
+	Predicted time.Duration // wait computed from the backlog; 0: the request runs at once, or the wait is unknown
+	Wait      time.Duration // the same, corrected by the waits of earlier requests; the decision uses it
+	ComeBack  time.Duration // for a rejection: delay after which a retry is expected to succeed
 	Reason    Reason
 }
 
-// Bounds of what is believed.
+// Limits of plausible values.
 const (
-	// maxWait is the longest wait that is told.
+	// maxWait is the longest wait that is reported.
 	maxWait = 10 * time.Second
-	// minComeBack is the shortest time after which anybody is told to come back: a
-	// refusal and a new attempt take some milliseconds themselves.
+	// minRetryAfter is the shortest retry delay. A rejection and a new attempt take some
+	// milliseconds themselves.
 	minComeBack = 20 * time.Millisecond
 	maxAhead    = 1 << 16
 	maxSlowdown = 64
 )
 
-// Wait predicts how long a request waits until it runs, and reports whether anything is
-// known.
+// Wait predicts how long a request waits for a slot, and returns false when the wait is
+// unknown.
 //
-// A member on which each request takes several times its usual time works on all of them
-// at a fraction of the speed. So what waits is drained at the speed of the slots divided
-// by that factor, whoever else the member works for.
+// A member at which each request takes several times its usual duration is shared by all of
+// them. The queue therefore drains at the rate of its slots divided by the slowdown, no matter
+// whose requests cause the slowdown.
 func (b Backlog) Wait() (time.Duration, bool) {
 	paused := min(bounded(b.Paused), maxWait)
 	if b.Ahead <= 0 && b.Active < b.Slots {
@@ -102,34 +103,34 @@
 	}
 	wait := time.Duration(float64(work) * slowdown / float64(slots))
 	if b.Active >= b.Slots {
-		wait += held / time.Duration(slots) // until the next one that runs has ended
+		wait += held / time.Duration(slots) // time until the next running request ends
 	}
 	return min(wait+paused, maxWait), true
 }
 
-// bounded returns a duration within what is believed, 0 for one that makes no sense.
+// bounded limits a duration to the plausible range, from 0 to one hour.
 func bounded(d time.Duration) time.Duration { return min(max(d, 0), time.Hour) }
 
-// ComeBack returns after what time a request that was refused because of a wait should come
-// back: not before what made it wait is over, and spread so that those refused together
-// do not return together. lasted is for how long others have been refused for the same
-// reason: an overload is expected to last as long again, and those who return into it
-// only take the room of others. Nobody is sent away for longer than the deadline allows,
-// but for the wait itself.
+// ComeBack returns the delay after which a request that was rejected because of a wait should
+// be retried. The delay is at least the wait, plus a part that depends on the request's ID, so
+// that requests rejected together are not retried together. lasted is for how long requests
+// have been rejected for the same reason: an overload is expected to last as long again, and
+// retries before its end only take capacity from other requests. The delay does not extend
+// beyond the deadline, unless the wait itself does.
 func ComeBack(r Request, wait, lasted time.Duration) time.Duration {
 	wait = min(max(wait, minComeBack), maxWait)
-	span := min(max(2*lasted, wait), max(wait, r.Deadline-wait), maxWait)
-	return wait + time.Duration(float64(span)*spread(r.ID))
+	interval := min(max(2*lasted, wait), max(wait, r.Deadline-wait), maxWait)
+	return wait + time.Duration(float64(interval)*spread(r.ID))
 }
 
-// spread returns a number in [0, 1) that depends on the request alone.
+// jitter returns a number in [0, 1) that depends only on the request's ID.
 func spread(id string) float64 {
 	const offset, prime = 14695981039346656037, 1099511628211 // FNV-1a
 	h := uint64(offset)
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * prime
 	}
-	h ^= h >> 33 // the last bytes reach the upper bits
+	h ^= h >> 33 // mixes the last bytes into the upper bits
 	h *= 0xff51afd7ed558ccd
 	return float64(h>>11) / (1 << 53)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// predicting is the gate of this package.
+// predicting is the admission policy of this package, with a controller per priority.
 type predicting map[int]*Level
 
 func (p predicting) level(v *visit) *Level {
@@ -49,15 +49,15 @@
 		b     Backlog
 		admit bool
 	}{
-		"nothing waits":                                   {urgent, Backlog{Active: 3, Slots: 6, Held: 20 * ms}, true},
-		"nothing usual is known, after a start":           {urgent, Backlog{Ahead: 500, Active: 6, Slots: 6}, true},
-		"a primary with some work":                        {urgent, behind(20), true},
-		"a primary with twice what it can run":            {urgent, behind(100), false},
-		"the same, known by the time of those that run":   {urgent, Backlog{Ahead: 100, Active: 6, Slots: 6, Held: 20 * ms}, false},
-		"a member that has stopped answering":             {urgent, Backlog{Ahead: 10, Work: 100 * ms, Active: 6, Slots: 6, Held: 400 * ms, Slowdown: 40}, false},
-		"a member that has stopped answering, still free": {urgent, Backlog{Active: 5, Slots: 6, Held: 400 * ms, Slowdown: 40}, true},
-		"its objective has passed, and nothing waits":     {Request{ID: "x", Objective: -ms}, Backlog{Slots: 6}, true},
-		"its objective has passed, and others wait":       {Request{ID: "x", Objective: -ms}, behind(1), false},
+		"a free slot":                                       {urgent, Backlog{Active: 3, Slots: 6, Held: 20 * ms}, true},
+		"no known durations after a start":                  {urgent, Backlog{Ahead: 500, Active: 6, Slots: 6}, true},
+		"a primary with a short queue":                      {urgent, behind(20), true},
+		"an overloaded primary":                             {urgent, behind(100), false},
+		"an overloaded primary, known by the mean duration": {urgent, Backlog{Ahead: 100, Active: 6, Slots: 6, Held: 20 * ms}, false},
+		"a member that stopped answering":                   {urgent, Backlog{Ahead: 10, Work: 100 * ms, Active: 6, Slots: 6, Held: 400 * ms, Slowdown: 40}, false},
+		"a member that stopped answering, with a free slot": {urgent, Backlog{Active: 5, Slots: 6, Held: 400 * ms, Slowdown: 40}, true},
+		"objective missed, empty queue":                     {Request{ID: "x", Objective: -ms}, Backlog{Slots: 6}, true},
+		"objective missed, others queued":                   {Request{ID: "x", Objective: -ms}, behind(1), false},
 	} {
 		v := (&Level{}).Decide(0, c.r, c.b)
 		must.Eq(t, c.admit, v.Admit, must.Sprint(name))
@@ -65,8 +65,8 @@
 	}
 }
 
-// Input of peers and of broken measurements neither panics nor yields a time out of bounds.
-func TestBadInput(t *testing.T) {
+// Implausible input from peers or averages neither panics nor yields a duration out of bounds.
+func TestImplausibleInputStaysInBounds(t *testing.T) {
 	durations := []time.Duration{math.MinInt64, -1, 0, 1, time.Hour, math.MaxInt64}
 	counts := []int{math.MinInt, -1, 0, 1, math.MaxInt}
 	factors := []float64{math.NaN(), math.Inf(-1), -1, 0, 1, math.Inf(1)}
@@ -93,58 +93,60 @@
 	}
 }
 
-// Those refused together come back over a span, each at its own time, always the same.
-func TestReturnsAreSpread(t *testing.T) {
+// Requests that are rejected together get different retry delays, spread evenly over an interval.
+// Each request always gets the same delay.
+func TestRetryDelaysAreSpread(t *testing.T) {
 	seen := make([]int, 10)
 	for i := range 1000 {
 		r := Request{ID: string(rune('a'+i%26)) + time.Duration(i).String(), Deadline: time.Second}
-		back := ComeBack(r, 100*ms, 0)
-		must.Eq(t, back, ComeBack(r, 100*ms, 0))
-		seen[(back-100*ms)/(10*ms)]++
+		delay := ComeBack(r, 100*ms, 0)
+		must.Eq(t, delay, ComeBack(r, 100*ms, 0))
+		seen[(delay-100*ms)/(10*ms)]++
 	}
 	for _, n := range seen {
 		must.Between(t, 60, n, 140)
 	}
 }
 
-// A burst of reads for half a second, above a load that is borne: those told to come back
-// are told no less than what waits then needs, and nearly all find room when they do. One of
-// a second outlasts what callers are told first, and half of them return into it.
-func TestPromisesHoldAfterABurst(t *testing.T) {
-	burst := func(lasts time.Duration) (returned, foundRoom int) {
+// A burst of reads for half a second on top of a sustainable load. No retry delay is shorter than
+// the queue needs to drain, and nearly all retries are admitted. A burst of a second outlasts
+// the first retry delays, and half of those retries arrive before its end.
+func TestRetriesAreAdmittedAfterBurst(t *testing.T) {
+	burst := func(lasts time.Duration) (retried, retriesAdmitted int) {
 		m := simulate(6, predicting{},
 			load{name: "edit", priority: 0, work: 10 * ms, objective: 200 * ms, patience: 2 * time.Second, every: 10 * ms, to: 6 * time.Second},
 			load{name: "read", priority: 1, work: 30 * ms, objective: 400 * ms, patience: 4 * time.Second, every: 10 * ms, to: 6 * time.Second},
 			load{name: "burst", priority: 1, work: 30 * ms, objective: 400 * ms, patience: 4 * time.Second, every: 4 * ms, from: time.Second, to: time.Second + lasts},
 		)
-		must.Zero(t, m.early)
+		must.Zero(t, m.earlyRetries)
 		must.Eq(t, m.tallies["edit"].callers, m.tallies["edit"].inTime)
 		for name, c := range m.tallies {
 			t.Logf("%s of %s: %+v", name, lasts, *c)
-			returned, foundRoom = returned+c.returned, foundRoom+c.foundRoom
+			retried, retriesAdmitted = retried+c.retried, retriesAdmitted+c.retriesAdmitted
 		}
-		return returned, foundRoom
+		return retried, retriesAdmitted
 	}
-	returned, foundRoom := burst(500 * ms)
-	must.Positive(t, returned)
-	must.GreaterEq(t, returned*95/100, foundRoom)
-	returned, foundRoom = burst(time.Second)
-	must.GreaterEq(t, returned/2, foundRoom)
+	retried, retriesAdmitted := burst(500 * ms)
+	must.Positive(t, retried)
+	must.GreaterEq(t, retried*95/100, retriesAdmitted)
+	retried, retriesAdmitted = burst(time.Second)
+	must.GreaterEq(t, retried/2, retriesAdmitted)
 }
 
-// A primary with twice what it can run, for long: what is admitted is answered in time, and
-// what ranks highest, which could all be run, is never refused.
-func TestOverloadOfAPrimary(t *testing.T) {
+// A primary gets twice the load that it can run for a long time. Admitted requests are answered in
+// time, and requests of the highest priority, which fit by themselves, are never rejected.
+func TestOverloadedPrimary(t *testing.T) {
 	m := simulate(6, predicting{}, overloaded()...)
-	must.Zero(t, m.early)
+	must.Zero(t, m.earlyRetries)
 	edits, reads := m.tallies["edit"], m.tallies["read"]
 	must.Eq(t, edits.callers, edits.inTime)
 	must.LessEq(t, (reads.inTime+reads.late)/20, reads.lateAdmitted)
 }
 
-// The failure: a member stops answering while requests wait, or all its room goes to
-// requests that rank higher. Nothing of the priority is granted, so the wait is at least the time since.
-func TestNothingIsGranted(t *testing.T) {
+// A member stops answering while requests are queued, or requests of higher priority take all its
+// slots. No request of the priority is granted a slot, so the wait is at least the time since the
+// last grant.
+func TestWaitGrowsWithoutGrants(t *testing.T) {
 	var l Level
 	r := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
 	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, Held: 20 * ms, Slowdown: 1}
@@ -156,26 +158,26 @@
 	must.Eq(t, 300*ms, v.Wait)
 	must.True(t, l.Overloaded(time.Second+300*ms+overloadGap))
 	must.False(t, l.Overloaded(time.Second+301*ms+overloadGap))
-	must.False(t, l.Decide(time.Second+300*ms, r, Backlog{Ahead: 1, Active: 6, Slots: 6}).Admit, must.Sprint("nor while nothing usual is known"))
+	must.False(t, l.Decide(time.Second+300*ms, r, Backlog{Ahead: 1, Active: 6, Slots: 6}).Admit, must.Sprint("also rejected while durations are unknown"))
 	l.Left(time.Second+300*ms, true)
-	must.True(t, l.Decide(time.Second+310*ms, r, stuck).Admit, must.Sprint("one was granted"))
+	must.True(t, l.Decide(time.Second+310*ms, r, stuck).Admit, must.Sprint("a request was granted a slot"))
 }
 
-// The failure: a group has no primary. What is left follows from how long earlier changes took; one
-// that lasts longer than usual is expected to go on.
-func TestOutages(t *testing.T) {
+// A group has no primary. The remaining time is predicted from the duration of earlier outages. An
+// outage that lasts longer than usual is predicted to go on.
+func TestOutagePrediction(t *testing.T) {
 	for name, c := range map[string]struct {
-		seen   time.Duration // length of an earlier outage, 0: there was none
+		seen   time.Duration // duration of an earlier outage; 0: there was none
 		lost   time.Duration
 		change bool
 		want   time.Duration
 	}{
-		"a change has just begun":          {0, 0, true, defaultChange},
-		"a change is about to end":         {0, defaultChange - 50*ms, true, 50 * ms},
-		"changes are known to take longer": {4 * time.Second, time.Second, true, 3 * time.Second},
-		"longer than usual":                {time.Second, 2 * time.Second, true, 4 * time.Second},
-		"a grant has lapsed":               {0, 0, false, defaultLapse},
-		"for long":                         {0, time.Second, false, 2 * time.Second},
+		"change just started":            {0, 0, true, defaultChange},
+		"change about to end":            {0, defaultChange - 50*ms, true, 50 * ms},
+		"earlier change took longer":     {4 * time.Second, time.Second, true, 3 * time.Second},
+		"change longer than usual":       {time.Second, 2 * time.Second, true, 4 * time.Second},
+		"grant lapsed":                   {0, 0, false, defaultLapse},
+		"grant lapsed longer than usual": {0, time.Second, false, 2 * time.Second},
 	} {
 		var o Outages
 		if c.seen > 0 {
--- a/internal/admission/change.go
+++ b/internal/admission/change.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Settings of what is expected of a group without a primary.
+// Parameters for the prediction of outages, in which a group has no primary.
 const (
-	// defaultChange is how long a change of primary takes while none was seen yet: the
-	// open work ends, the other instances agree, and a member is promoted.
+	// defaultChange is the assumed duration of a change of primary until one has been observed:
+	// running work ends, the other instances agree, and a member is promoted.
 	defaultChange = time.Second
-	// defaultLapse is the same where no change is known of: a grant is confirmed again by
-	// the next answer of the store, or of most other instances.
+	// defaultLapse is the assumed duration of an outage without a known change of primary: the
+	// next reply of the store, or of a majority of the instances, confirms the grant again.
 	defaultLapse = 100 * time.Millisecond
-	outageSpan   = 4 // outages over which the usual one is averaged
+	outageSpan   = 4 // number of outages over which their duration is averaged
 )
 
-// Outages learns for how long groups are without a primary. The zero Outages knows nothing.
-// It is not safe for concurrent use.
+// Outages learns how long groups have no primary. The zero value has observed no outage. It is
+// not safe for concurrent use.
 type Outages struct {
-	change, lapse time.Duration // averages; 0: none was seen
+	change, lapse time.Duration // moving averages of durations; 0: none observed
 }
 
-// Ended takes in that a group has a primary again.
+// Ended records the duration of an outage that has ended.
 func (o *Outages) Ended(lasted time.Duration, change bool) {
 	lasted = min(max(lasted, 0), maxWait)
 	usual := &o.lapse
@@ -36,7 +36,7 @@
 	*usual += (lasted - *usual) / outageSpan
 }
 
-// Lapse returns how long a group usually has no primary while no change is known of.
+// Lapse returns the usual duration of an outage without a known change of primary.
 func (o *Outages) Lapse() time.Duration {
 	if o.lapse > 0 {
 		return o.lapse
@@ -44,43 +44,44 @@
 	return defaultLapse
 }
 
-// Left predicts for how much longer a group that has had no primary for a time has none.
-// One that has lasted longer than usual waits for something out of the ordinary: two in
-// three of such end within twice the time that they have lasted.
-func (o *Outages) Left(lost time.Duration, change bool) time.Duration {
+// Left predicts the remaining duration of an outage that has lasted for some time. One that has
+// lasted longer than usual has an unusual cause: two thirds of these end within twice the time
+// that they have lasted.
+func (o *Outages) Left(lasted time.Duration, change bool) time.Duration {
 	usual := o.Lapse()
 	if change {
 		usual = cmp.Or(o.change, defaultChange)
 	}
-	lost = min(max(lost, 0), maxWait)
-	if lost < usual {
-		return usual - lost
+	lasted = min(max(lasted, 0), maxWait)
+	if lasted < usual {
+		return usual - lasted
 	}
-	return unusual(lost)
+	return unusual(lasted)
 }
 
-// unusual returns for how much longer something is expected to last of which only is known
-// for how long it has.
+// remainingUnusual predicts the remaining duration of a condition of which only the duration so
+// far is known.
 func unusual(lasted time.Duration) time.Duration { return min(2*lasted, maxWait) }
 
-// Silence predicts for how much longer a member does not answer that has not for a time.
+// Silence predicts for how much longer a member that has not answered for some time will not
+// answer.
 func Silence(lasted time.Duration) time.Duration { return unusual(bounded(lasted)) }
 
-// DecideOutage says whether a request is held until what keeps it from any member has
-// ended, which is expected to take some time.
-func DecideOutage(r Request, left time.Duration, reason Reason) Verdict {
-	v := Verdict{Admit: true, Wait: bounded(left)}
+// DecideOutage decides whether a request waits until the condition that keeps it from running
+// ends, which is expected to take the remaining time.
+func DecideOutage(r Request, remaining time.Duration, reason Reason) Verdict {
+	v := Verdict{Admit: true, Wait: bounded(remaining)}
 	if v.Wait+bounded(r.Usual) <= r.Objective {
 		return v
 	}
-	v.Admit, v.Reason, v.ComeBack = false, reason, ComeBackAfter(r, left)
+	v.Admit, v.Reason, v.ComeBack = false, reason, ComeBackAfter(r, remaining)
 	return v
 }
 
-// ComeBackAfter returns after what time a request should come back that was refused since
-// something out of the ordinary is expected to last for a time. How long that really lasts
-// nobody knows, and a change of primary may end it: nobody is sent away for longer than
-// such a change takes.
-func ComeBackAfter(r Request, left time.Duration) time.Duration {
-	return ComeBack(r, min(left, defaultChange), 0)
+// ComeBackAfter returns the retry delay for a request that was rejected because an unusual
+// condition is expected to last for the remaining time. The real duration is unknown, and a
+// change of primary may end the condition, so the expected wait counts for at most the
+// duration of such a change.
+func ComeBackAfter(r Request, remaining time.Duration) time.Duration {
+	return ComeBack(r, min(remaining, defaultChange), 0)
 }
--- a/internal/admission/correction.go
+++ b/internal/admission/correction.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Settings of the correction.
+// Parameters of the correction.
 const (
-	// correctionSpan is the number of waits over which the factor and its deviation are
+	// correctionWindow is the number of waits over which the factor and its deviation are
 	// averaged.
 	correctionSpan = 16
-	// deviations is by how many mean deviations the factor lies above the mean. By the mean
-	// alone half of those that are admitted last would be late.
+	// deviations is how many mean deviations the factor lies above the mean. With the mean alone,
+	// half of the requests that are just admitted would be late.
 	deviations    = 2
 	minCorrection = 0.5
 	maxCorrection = 16
-	// leastPredicted is the shortest predicted wait from which anything is learned: below
-	// it the time to take a connection counts as much.
+	// minPredicted is the shortest predicted wait that is learned from. For shorter ones the time
+	// to get a connection matters as much as the wait.
 	leastPredicted = 5 * time.Millisecond
 )
 
-// Correction learns by what factor requests of a priority wait longer than predicted, as
-// where requests that rank higher arrive meanwhile. The zero Correction is 1. It is not
-// safe for concurrent use.
+// Correction learns by what factor the requests of a priority wait longer than predicted, for
+// example because requests of higher priority arrive meanwhile. The zero value has the factor
+// 1. It is not safe for concurrent use.
 type Correction struct {
-	more      float64 // what the mean factor is above 1
-	deviation float64 // mean distance of single factors from it
+	more      float64 // mean factor minus 1
+	deviation float64 // mean absolute deviation of the factors from their mean
 }
 
-// Factor returns a factor that most waits keep within: the mean with deviations, as
-// timeouts are set.
+// Factor returns a factor that most waits stay below: the mean plus a multiple of the mean
+// deviation, like a retransmission timeout.
 func (c *Correction) Factor() float64 { return clampCorrection(1 + c.more + deviations*c.deviation) }
 
-// Waited takes in the wait of a request for which another was predicted by the
-// uncorrected backlog. One that was given up counts with the time for which it has waited.
-func (c *Correction) Waited(seen, predicted time.Duration) {
-	if predicted < leastPredicted || seen < 0 {
+// Waited records the actual wait of a request for which the backlog alone predicted another. For
+// a request that was given up, the wait is the time until then.
+func (c *Correction) Waited(actual, predicted time.Duration) {
+	if predicted < leastPredicted || actual < 0 {
 		return
 	}
-	off := clampCorrection(float64(seen)/float64(predicted)) - 1 - c.more
-	c.more += off / correctionSpan
-	c.deviation += (max(off, -off) - c.deviation) / correctionSpan
+	deviation := clampCorrection(float64(actual)/float64(predicted)) - 1 - c.more
+	c.more += deviation / correctionSpan
+	c.deviation += (max(deviation, -deviation) - c.deviation) / correctionSpan
 }
 
-// clampCorrection returns a factor within its bounds; one that makes no sense counts as 1.
+// clampCorrection limits a factor to its bounds. NaN and factors that are not positive count as 1.
 func clampCorrection(factor float64) float64 {
 	if !(factor > 0) {
 		return 1
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Level is what is known of the requests of one priority before one member. The zero Level
-// knows nothing. It is not safe for concurrent use.
+// Level is the admission controller for the requests of one priority to one member. The zero
+// value has observed nothing. It is not safe for concurrent use.
 type Level struct {
 	correction Correction
 	overload   Overload
-	waiting    int           // requests that were admitted and wait
-	moved      time.Duration // when one of them was last granted, or the first began to wait
+	waiting    int           // number of admitted requests that are queued
+	moved      time.Duration // when one of them was last granted a slot, or the first of them was queued
 }
 
-// Wait predicts how long a request waits before it runs: by the backlog alone, and by what
-// others of its priority have waited. While these wait, the second is at least the time for
-// which none of them was granted, as where all room goes to requests that rank higher, or
-// the member has stopped answering.
+// Wait predicts how long a request waits for a slot: from the backlog alone, and corrected by the
+// waits of earlier requests of its priority. While such requests are queued, the corrected wait
+// is at least the time since one of them was last granted a slot. This covers a member that has
+// stopped answering, and requests of higher priority that take all slots.
 func (l *Level) Wait(now time.Duration, b Backlog) (predicted, wait time.Duration) {
 	predicted, known := b.Wait()
 	if known && predicted == 0 {
@@ -27,25 +27,25 @@
 	return predicted, min(wait, maxWait)
 }
 
-// Overloaded reports whether a request of the priority was refused a moment ago.
+// Overloaded reports whether a request of the priority was rejected recently.
 func (l *Level) Overloaded(now time.Duration) bool { return l.overload.lasts(now) }
 
-// Decide says whether a request is worth its place behind a backlog.
+// Decide decides whether a request is queued behind a backlog.
 func (l *Level) Decide(now time.Duration, r Request, b Backlog) Verdict {
 	predicted, wait := l.Wait(now, b)
 	v := Verdict{Admit: true, Predicted: predicted, Wait: wait}
 	if wait == 0 {
-		return v // nothing would be gained by a refusal
+		return v // a rejection would gain nothing
 	}
-	runs := time.Duration(float64(bounded(r.Usual)) * max(1, min(b.Slowdown, maxSlowdown)))
-	if wait+runs <= r.Objective {
+	duration := time.Duration(float64(bounded(r.Usual)) * max(1, min(b.Slowdown, maxSlowdown)))
+	if wait+duration <= r.Objective {
 		return v
 	}
 	v.Admit, v.Reason, v.ComeBack = false, Late, ComeBack(r, wait, l.overload.Refused(now))
 	return v
 }
 
-// Began notes that a request waits.
+// Began records that a request was queued.
 func (l *Level) Began(now time.Duration) {
 	if l.waiting == 0 {
 		l.moved = now
@@ -53,7 +53,7 @@
 	l.waiting++
 }
 
-// Left notes that a request waits no longer, since it was granted what it waited for, or not.
+// Left records that a request left the queue, with or without a slot.
 func (l *Level) Left(now time.Duration, granted bool) {
 	l.waiting = max(0, l.waiting-1)
 	if granted {
@@ -61,6 +61,6 @@
 	}
 }
 
-// Waited takes in how long a request waited in all until it was granted what it waited
-// for, or was given up. predicted is what its verdict said.
-func (l *Level) Waited(seen, predicted time.Duration) { l.correction.Waited(seen, predicted) }
+// Waited records how long a request waited in total until it was granted a slot or given up.
+// predicted is the value from its verdict.
+func (l *Level) Waited(actual, predicted time.Duration) { l.correction.Waited(actual, predicted) }
--- a/internal/admission/outlook.go
+++ b/internal/admission/outlook.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// Settings of what is believed of carriers.
+// Limits and intervals for the use of forecasts.
 const (
-	// clearlyLonger is by how much the wait at a carrier must exceed that at another for
-	// the order of placement to be left: connections belong to accounts, and opening one
-	// at another carrier costs the member about as much as a short statement.
+	// clearlyLonger is by how much the wait at a carrier must exceed the wait at another for the
+	// order from placement to change. Connections belong to accounts, and opening one at another
+	// carrier costs the member about as much as a short statement.
 	clearlyLonger = 20 * time.Millisecond
-	// trialPause is the time between two requests that are let through although all carriers
-	// are known to refuse them, so that it is noticed when they do not any more.
+	// probeInterval is the time between requests that are forwarded although all carriers are known
+	// to reject them, to notice when this has changed.
 	trialPause = 100 * time.Millisecond
-	// maxOutlooks bounds what is kept; more would come from a fault.
+	// maxForecasts limits the number of forecasts; only a fault would cause more.
 	maxOutlooks = 8192
-	// maxTold bounds how many priorities one carrier tells of.
+	// maxPriorities limits the number of priorities in a carrier's forecast.
 	maxTold = 16
 )
 
-// Work is what requests need that wait for different things.
+// Work classifies requests by the members that can run them. Each class queues separately.
 type Work int
 
-// The kinds of work.
+// The classes.
 const (
-	OnPrimary Work = iota // only the primary can run it
-	OnReplica             // a replica may serve it
-	Works                 // how many there are
+	OnPrimary Work = iota // only the primary can run the request
+	OnReplica             // a replica may run the request
+	Works                 // number of classes
 )
 
-// outlookKey names what a carrier tells.
+// forecastKey identifies the forecast of a carrier for a group.
 type outlookKey struct{ carrier, group string }
 
-// told is what a carrier has told of one group.
+// forecast is a carrier's forecast of the waits for one group.
 type told struct {
 	at    time.Duration
-	waits [Works][]time.Duration // by priority; empty: there is no wait
+	waits [Works][]time.Duration // by priority; empty: no wait
 }
 
-// Outlook is what an entry knows of how long requests wait at the carriers of groups. It is
-// learned from replies, and lapses: a wait that was told some time ago is that much
-// shorter now. The zero Outlook knows nothing. It is not safe for concurrent use.
+// Outlook holds an ingress instance's forecasts of how long requests queue at the carriers of
+// each group. Carriers send forecasts with their replies. A forecast wait decreases with the
+// forecast's age. The zero value has no forecasts. It is not safe for concurrent use.
 type Outlook struct {
 	known  map[outlookKey]told
-	trials map[trialKey]time.Duration // when a request was let through last
+	trials map[trialKey]time.Duration // when a request was last forwarded as a probe
 }
 
 type trialKey struct {
@@ -52,22 +52,22 @@
 	work  Work
 }
 
-// Told takes in what a carrier tells of a group, in microseconds by priority. What makes no
-// sense is taken for nothing at all.
+// Told stores a carrier's forecast for a group, as waits in microseconds by priority. An
+// implausible forecast counts as no wait.
 func (o *Outlook) Told(now time.Duration, carrier, group string, primary, replica []uint32) {
 	key := outlookKey{carrier, group}
 	if len(primary) == 0 && len(replica) == 0 || len(primary) > maxTold || len(replica) > maxTold {
 		delete(o.known, key)
 		return
 	}
-	t := told{at: now, waits: [Works][]time.Duration{OnPrimary: believed(primary), OnReplica: believed(replica)}}
+	f := told{at: now, waits: [Works][]time.Duration{OnPrimary: believed(primary), OnReplica: believed(replica)}}
 	if o.known == nil || len(o.known) >= maxOutlooks {
 		o.known = make(map[outlookKey]told)
 	}
-	o.known[key] = t
+	o.known[key] = f
 }
 
-// believed returns waits in microseconds as durations, nil where one is out of bounds.
+// decodeWaits converts waits from microseconds. It returns nil if one is implausibly long.
 func believed(waits []uint32) []time.Duration {
 	var all []time.Duration
 	for _, us := range waits {
@@ -80,7 +80,7 @@
 	return all
 }
 
-// Lost forgets what a carrier told that has not answered.
+// Lost deletes the forecasts of a carrier that did not answer.
 func (o *Outlook) Lost(carrier string) {
 	for key := range o.known {
 		if key.carrier == carrier {
@@ -89,18 +89,18 @@
 	}
 }
 
-// wait returns how long a request would wait at a carrier now, and how old that knowledge
-// is. Without knowledge there is no wait.
+// wait returns how long a request would wait at a carrier now, and the age of the forecast. Both
+// are 0 without a forecast.
 func (o *Outlook) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
-	t, ok := o.known[outlookKey{carrier, q.Group}]
-	if !ok || now < t.at || q.Work < 0 || q.Work >= Works {
+	f, ok := o.known[outlookKey{carrier, q.Group}]
+	if !ok || now < f.at || q.Work < 0 || q.Work >= Works {
 		return 0, 0
 	}
-	age = now - t.at
-	return max(0, q.of(t.waits[q.Work])-age), age
+	age = now - f.at
+	return max(0, q.of(f.waits[q.Work])-age), age
 }
 
-// Query is a request that is to be passed on.
+// Query is a request that is to be forwarded to a carrier.
 type Query struct {
 	Group    string
 	Work     Work
@@ -108,7 +108,7 @@
 	Request
 }
 
-// of returns the wait of a request among those that are told by priority.
+// waitFor returns the wait for the request's priority.
 func (q Query) of(waits []time.Duration) time.Duration {
 	if len(waits) == 0 {
 		return 0
@@ -116,40 +116,41 @@
 	return waits[min(max(q.Priority, 0), len(waits)-1)]
 }
 
-// WouldWait reports whether a carrier that tells such waits would refuse the request.
+// WouldWait reports whether a carrier with these forecast waits would reject the request.
 func (q Query) WouldWait(primary, replica []uint32) bool {
-	told := primary
+	waits := primary
 	if q.Work == OnReplica {
-		told = replica
+		waits = replica
 	}
-	return q.of(believed(told)) > max(0, q.Objective)
+	return q.of(believed(waits)) > max(0, q.Objective)
 }
 
-// Carrier is an instance that may run a request. Those of equal Rank are alike to placement.
+// Carrier is an instance that may run a request. Carriers of equal Rank are equally preferred by
+// placement.
 type Carrier struct {
 	Name string
 	Rank int
 }
 
-// maxChoice is how many carriers are compared; those beyond are not asked.
+// maxChoice is the maximum number of carriers that are compared and tried.
 const maxChoice = 8
 
-// Choice is the order in which carriers are to be asked.
+// Choice is the order in which to try carriers.
 type Choice struct {
 	order [maxChoice]int
-	Len   int // carriers to be asked
-	Open  int // how many of them are not known to refuse
-	// Verdict refuses the request when all of them would refuse it.
+	Len   int // number of carriers to try
+	Open  int // number of carriers that are not known to reject the request
+	// Verdict rejects the request when all carriers are known to reject it.
 	Verdict Verdict
-	Age     time.Duration // of the knowledge on which a refusal rests
+	Age     time.Duration // age of the forecast that a rejection is based on
 }
 
-// At returns the index of the carrier that is to be asked as the i-th, from 0 on. Those
-// that would refuse come last.
+// At returns the index of the carrier to try as the i-th, counted from 0. Carriers that are known
+// to reject the request come last.
 func (c *Choice) At(i int) int { return c.order[i] }
 
-// Choose returns the order in which carriers are asked, which are given as placement
-// orders them. Where nothing is known that is the order of placement.
+// Choose returns the order in which to try the carriers, given in the order from placement. Without
+// forecasts it keeps that order.
 func (o *Outlook) Choose(now time.Duration, q Query, carriers []Carrier) Choice {
 	carriers = carriers[:min(len(carriers), maxChoice)]
 	c := Choice{Len: len(carriers), Verdict: Verdict{Admit: true}}
@@ -162,13 +163,13 @@
 		}
 	}
 	o.preferShorter(carriers, waits[:], c.order[:c.Open])
-	shortest, last := -1, c.Open
+	shortest, next := -1, c.Open
 	for i := range carriers {
 		if waits[i] <= max(0, q.Objective) {
 			continue
 		}
-		c.order[last] = i
-		last++
+		c.order[next] = i
+		next++
 		if shortest < 0 || waits[i] < waits[shortest] {
 			shortest = i
 		}
@@ -180,8 +181,8 @@
 	return c
 }
 
-// preferShorter exchanges the first two carriers when placement ranks them alike and the
-// second one's wait is clearly shorter.
+// preferShorter swaps the first two carriers if placement prefers them equally and the second
+// one's wait is clearly shorter.
 func (o *Outlook) preferShorter(carriers []Carrier, waits []time.Duration, order []int) {
 	if len(order) < 2 || carriers[order[0]].Rank != carriers[order[1]].Rank {
 		return
@@ -191,7 +192,8 @@
 	}
 }
 
-// tries reports whether a request is let through to learn whether all is as it was told.
+// probe reports whether a request is forwarded as a probe although all carriers are known to reject
+// it.
 func (o *Outlook) tries(now time.Duration, q Query) bool {
 	key := trialKey{q.Group, q.Work}
 	if last, ok := o.trials[key]; ok && now >= last && now-last < trialPause {
@@ -204,8 +206,8 @@
 	return true
 }
 
-// Shorten returns waits by priority as they are told: in microseconds, without the last
-// ones that are the same, and nothing at all where nobody waits.
+// Shorten encodes waits by priority for a reply: in microseconds, without trailing repetitions,
+// and nil when nobody waits.
 func Shorten(waits []time.Duration) []uint32 {
 	for len(waits) > 1 && waits[len(waits)-1] == waits[len(waits)-2] {
 		waits = waits[:len(waits)-1]
@@ -213,9 +215,9 @@
 	if len(waits) == 0 || slices.Max(waits) <= 0 {
 		return nil
 	}
-	short := make([]uint32, len(waits))
+	encoded := make([]uint32, len(waits))
 	for i, wait := range waits {
-		short[i] = uint32(min(max(wait, 0), maxWait) / time.Microsecond)
+		encoded[i] = uint32(min(max(wait, 0), maxWait) / time.Microsecond)
 	}
-	return short
+	return encoded
 }
--- a/internal/admission/outlook_test.go
+++ b/internal/admission/outlook_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// us returns waits as they are told.
+// us encodes waits as carriers report them.
 func us(waits ...time.Duration) []uint32 { return Shorten(waits) }
 
-func TestCarriersAreChosenByWhatTheyTell(t *testing.T) {
+func TestChooseUsesForecasts(t *testing.T) {
 	three := []Carrier{{Name: "own"}, {Name: "alike"}, {Name: "far", Rank: 1}}
 	q := Query{Group: "g", Work: OnPrimary, Priority: 1, Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
 	for name, c := range map[string]struct {
@@ -20,23 +20,23 @@
 		order []int
 		open  int
 	}{
-		"nothing is known":                         {func(*Outlook) {}, 0, []int{0, 1, 2}, 3},
-		"the account's own, while not much longer": {func(o *Outlook) { o.Told(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
-		"the better of two alike":                  {func(o *Outlook) { o.Told(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
-		"not a far one while the own has room": {func(o *Outlook) {
+		"no forecast": {func(*Outlook) {}, 0, []int{0, 1, 2}, 3},
+		"the first carrier while its wait is not clearly longer": {func(o *Outlook) { o.Told(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
+		"the shorter wait of two with equal rank":                {func(o *Outlook) { o.Told(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
+		"no far carrier while a near one would admit": {func(o *Outlook) {
 			o.Told(0, "own", "g", us(0, 100*ms), nil)
 			o.Told(0, "alike", "g", us(0, 100*ms), nil)
 		}, 0, []int{0, 1, 2}, 3},
-		"a far one when the others would refuse": {func(o *Outlook) { o.Told(0, "own", "g", us(300*ms), nil); o.Told(0, "alike", "g", us(300*ms), nil) }, 0, []int{2, 0, 1}, 1},
-		"what was told has drained since":        {func(o *Outlook) { o.Told(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
-		"other priorities wait":                  {func(o *Outlook) { o.Told(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"other work waits":                       {func(o *Outlook) { o.Told(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
-		"another group waits":                    {func(o *Outlook) { o.Told(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"the queue has ended":                    {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Told(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
-		"the carrier is gone":                    {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Lost("own") }, 0, []int{0, 1, 2}, 3},
-		"it tells nonsense":                      {func(o *Outlook) { o.Told(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
-		"it tells of too many priorities":        {func(o *Outlook) { o.Told(0, "own", "g", make([]uint32, maxTold+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
-		"the clock went back":                    {func(o *Outlook) { o.Told(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"the far carrier when the near ones would reject": {func(o *Outlook) { o.Told(0, "own", "g", us(300*ms), nil); o.Told(0, "alike", "g", us(300*ms), nil) }, 0, []int{2, 0, 1}, 1},
+		"the forecast queue has drained since":            {func(o *Outlook) { o.Told(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
+		"wait of a lower priority":                        {func(o *Outlook) { o.Told(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"wait of another request class":                   {func(o *Outlook) { o.Told(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
+		"wait of another group":                           {func(o *Outlook) { o.Told(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"a newer forecast without wait":                   {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Told(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
+		"the carrier does not answer":                     {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Lost("own") }, 0, []int{0, 1, 2}, 3},
+		"implausible wait":                                {func(o *Outlook) { o.Told(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
+		"too many priorities":                             {func(o *Outlook) { o.Told(0, "own", "g", make([]uint32, maxTold+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
+		"the clock went backwards":                        {func(o *Outlook) { o.Told(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
 	} {
 		var o Outlook
 		c.tell(&o)
@@ -50,9 +50,9 @@
 	}
 }
 
-// All carriers of a group have more than they can run: the entry refuses, but for one
-// request now and then, and tells to come back when the shortest queue has drained.
-func TestRefusedAtTheDoor(t *testing.T) {
+// All carriers of a group are overloaded. The ingress instance rejects requests until the shortest
+// queue has drained, and forwards one as a probe from time to time.
+func TestIngressRejectsWhenAllCarriersWould(t *testing.T) {
 	var o Outlook
 	both := []Carrier{{Name: "a"}, {Name: "b"}}
 	q := Query{Group: "g", Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
@@ -72,19 +72,19 @@
 		must.Between(t, c.Verdict.Wait, c.Verdict.ComeBack, 2*c.Verdict.Wait)
 	}
 	must.Eq(t, int(500*ms/trialPause), passed)
-	must.True(t, o.Choose(500*ms, q, both).Verdict.Admit, must.Sprint("b has drained"))
-	must.True(t, o.Choose(0, q, nil).Verdict.Admit, must.Sprint("without carriers nothing is known"))
+	must.True(t, o.Choose(500*ms, q, both).Verdict.Admit, must.Sprint("b's queue has drained"))
+	must.True(t, o.Choose(0, q, nil).Verdict.Admit, must.Sprint("no carriers"))
 }
 
-func TestWaitsAreToldShort(t *testing.T) {
+func TestWaitEncoding(t *testing.T) {
 	must.SliceEmpty(t, Shorten(nil))
 	must.SliceEmpty(t, Shorten([]time.Duration{0, 0, -1}))
 	must.Eq(t, []uint32{0, 1000}, Shorten([]time.Duration{0, ms, ms, ms}))
 	must.Eq(t, []uint32{10_000_000, 0}, Shorten([]time.Duration{time.Hour, -1}))
 }
 
-// However many carriers and groups there are, memory is bounded.
-func TestOutlookIsBounded(t *testing.T) {
+// The memory is bounded for any number of carriers and groups.
+func TestForecastsAreBounded(t *testing.T) {
 	var o Outlook
 	for n := range 2 * maxOutlooks {
 		name := time.Duration(n).String()
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// overloadGap is after what time without a refusal an overload counts as over: longer than
-// the pauses between the refusals of a queue that stays full.
+// overloadGap is the time without rejections after which an overload has ended. It exceeds the
+// gaps between the rejections of a queue that stays full.
 const overloadGap = 500 * time.Millisecond
 
-// Overload remembers since when requests have been refused at one place. The zero Overload
-// is none. It is not safe for concurrent use.
+// Overload tracks since when requests have been rejected. The zero value is no overload. It is
+// not safe for concurrent use.
 type Overload struct {
 	since, last time.Duration
 	refusing    bool
 }
 
-// Refused notes a refusal and returns for how long there have been such.
+// Refused records a rejection and returns the duration of the overload so far.
 func (o *Overload) Refused(now time.Duration) time.Duration {
 	now = bounded(now)
 	if !o.lasts(now) {
@@ -23,7 +23,7 @@
 	return bounded(now - o.since)
 }
 
-// lasts reports whether there was a refusal a moment ago.
+// lasts reports whether the overload lasts: the last rejection is at most overloadGap ago.
 func (o *Overload) lasts(now time.Duration) bool {
 	return o.refusing && now >= o.last && now-o.last <= overloadGap
 }
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// visit is one attempt of a caller at the simulated member.
+// visit is one attempt of a client to run a request at the simulated member.
 type visit struct {
 	at        time.Duration
 	kind      *load
 	id        string
 	seq       int
-	first     time.Duration // of the caller's first attempt
-	back      int           // attempts before this one
+	first     time.Duration // time of the client's first attempt
+	retries   int           // number of earlier attempts
 	granted   time.Duration
 	predicted time.Duration
 }
 
-// load is what callers of one kind ask for.
+// load is a stream of requests of one kind.
 type load struct {
 	name      string
 	priority  int
 	work      time.Duration
 	objective time.Duration
-	patience  time.Duration // of the caller, over all of its attempts
-	every     time.Duration // between two callers
+	patience  time.Duration // how long the client keeps trying, over all of its attempts
+	every     time.Duration // interval between two clients
 	from, to  time.Duration
 }
 
-// tally is what became of the callers of a kind.
+// tally counts the outcomes of the requests of one kind.
 type tally struct {
 	callers, inTime, late, lost int
-	returned, foundRoom         int
-	lateAdmitted                int // admitted, and not answered in time since they came
-	heldInVain                  int // held, and then refused
+	retried, retriesAdmitted    int
+	lateAdmitted                int // admitted, but answered after the objective as counted from that attempt
+	gaveUp                      int // queued, then given up
 }
 
-// member is a queue before some slots, with strict priority, first come first served.
+// member simulates a member: a queue in front of some slots, with strict priority and FIFO order.
 type member struct {
-	slots   int
-	gate    gate
-	now     time.Duration
-	events  visits // arrivals and ends, by time
-	queue   []*visit
-	running []*visit
-	tallies map[string]*tally
-	early   int // callers told to come back before the queue that they met would have drained
+	slots        int
+	gate         gate
+	now          time.Duration
+	events       visits // arrivals and completions, by time
+	queue        []*visit
+	running      []*visit
+	tallies      map[string]*tally
+	earlyRetries int // rejections with a retry delay in which the queue they met could not drain
 }
 
-// gate decides about a visit before a backlog, and takes in what waited.
+// gate is an admission policy: it decides on a visit given a backlog, and observes the waits.
 type gate interface {
 	decide(now time.Duration, v *visit, b Backlog) (admit bool, comeBack time.Duration)
 	ran(now time.Duration, v *visit, waited time.Duration)
-	hold(v *visit) time.Duration // for how long it may wait
+	hold(v *visit) time.Duration // maximum time in the queue
 }
 
 type visits []*visit
@@ -72,12 +72,12 @@
 	return last
 }
 
-// fixedComeBack is what a caller is told that was held in vain.
-const fixedComeBack = 50 * time.Millisecond
+// fixedComeBack is the retry delay of a client whose request was queued and given up.
+const fixedRetryAfter = 50 * time.Millisecond
 
-const attempts = 3 // of a caller in all
+const attempts = 3 // of a client in total
 
-// simulate has callers come to a member.
+// simulate runs some loads against a member until all requests are done.
 func simulate(slots int, g gate, loads ...load) *member {
 	m := &member{slots: slots, gate: g, tallies: make(map[string]*tally)}
 	for i := range loads {
@@ -116,32 +116,32 @@
 func (m *member) arrive(v *visit) {
 	t, b := m.tallies[v.kind.name], m.backlog(v)
 	v.predicted, _ = b.Wait()
-	if v.back > 0 {
-		t.returned++
+	if v.retries > 0 {
+		t.retried++
 	}
 	admit, comeBack := m.gate.decide(m.now, v, b)
 	if admit {
-		if v.back > 0 {
-			t.foundRoom++
+		if v.retries > 0 {
+			t.retriesAdmitted++
 		}
 		m.queue = append(m.queue, v)
 		return
 	}
 	if comeBack < b.Work/time.Duration(m.slots) {
-		m.early++
+		m.earlyRetries++
 	}
 	m.refuse(v, comeBack)
 }
 
-// refuse sends a caller away, who comes back when told while that is within its patience.
+// refuse rejects a request. The client retries after the delay if that is within its patience.
 func (m *member) refuse(v *visit, comeBack time.Duration) {
 	t, next := m.tallies[v.kind.name], m.now+comeBack
-	if v.back+1 >= attempts || next >= v.first+v.kind.patience {
+	if v.retries+1 >= attempts || next >= v.first+v.kind.patience {
 		t.lost++
 		return
 	}
 	again := *v
-	again.at, again.back, again.id = next, v.back+1, fmt.Sprint(v.id, "/", v.back+1)
+	again.at, again.retries, again.id = next, v.retries+1, fmt.Sprint(v.id, "/", v.retries+1)
 	heap.Push(&m.events, &again)
 }
 
@@ -149,8 +149,8 @@
 	m.queue = slices.DeleteFunc(m.queue, func(v *visit) bool {
 		over := m.now-v.at > m.gate.hold(v)
 		if over {
-			m.tallies[v.kind.name].heldInVain++
-			m.refuse(v, fixedComeBack)
+			m.tallies[v.kind.name].gaveUp++
+			m.refuse(v, fixedRetryAfter)
 		}
 		return over
 	})
--- a/internal/admission/ways_test.go
+++ b/internal/admission/ways_test.go
@@ -7,17 +7,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// fixedHold is the way that admits everything, refuses what has not run after a quarter of
-// its objective, and tells everybody the same.
+// fixedHold is the policy that admits everything, gives up a request that has not run after a
+// quarter of its objective, and returns a fixed retry delay.
 type fixedHold struct{}
 
 func (fixedHold) decide(time.Duration, *visit, Backlog) (bool, time.Duration) { return true, 0 }
 func (fixedHold) ran(time.Duration, *visit, time.Duration)                    {}
 func (fixedHold) hold(v *visit) time.Duration                                 { return v.kind.objective / 4 }
 
-// standing refuses while requests of a priority have all waited for longer than a part of
-// their objective over an interval, as CoDel does on arrival. With it the predicted wait
-// may decide as well.
+// standing is a policy that rejects requests while all requests of a priority have waited longer
+// than a part of their objective over an interval, like CoDel but on arrival. It can be combined
+// with another policy.
 type standing struct {
 	also   gate
 	levels map[int]*standingLevel
@@ -60,20 +60,20 @@
 
 func (s *standing) hold(v *visit) time.Duration { return v.kind.patience }
 
-// worth is what callers have of a kind: an answer in time counts 1, a late one less.
+// worth scores the outcome for the clients of a kind: 1 for an answer in time, less for a late one.
 func (t *tally) worth() float64 {
 	const late = 0.3
 	return (float64(t.inTime) + late*float64(t.late)) / float64(t.callers)
 }
 
-// The ways that were weighed, before a primary with twice what it can run. What is chosen
-// serves no kind worse than the way that holds everybody and refuses later, and holds
-// nobody in vain.
-func TestWaysUnderOverload(t *testing.T) {
+// Compares admission policies for a primary with twice the load that it can run. The policy of this
+// package serves no kind worse than the policy that queues everything and gives up later, and it
+// never queues a request and then gives it up.
+func TestPoliciesUnderOverload(t *testing.T) {
 	loads := overloaded()
 	before := simulate(6, fixedHold{}, loads...)
 	ways := map[string]*member{
-		"held for a quarter":     before,
+		"fixed hold":             before,
 		"predicted wait":         simulate(6, predicting{}, loads...),
 		"standing queue":         simulate(6, &standing{levels: make(map[int]*standingLevel)}, loads...),
 		"predicted and standing": simulate(6, &standing{also: predicting{}, levels: make(map[int]*standingLevel)}, loads...),
@@ -81,12 +81,12 @@
 	for name, m := range ways {
 		for _, l := range loads {
 			c := m.tallies[l.name]
-			t.Logf("%-24s %-7s worth %.3f of %d: in time %d, late %d, held in vain %d, admitted and late %d", name, l.name, c.worth(), c.callers, c.inTime, c.late, c.heldInVain, c.lateAdmitted)
+			t.Logf("%-24s %-7s worth %.3f of %d: in time %d, late %d, given up %d, admitted and late %d", name, l.name, c.worth(), c.callers, c.inTime, c.late, c.gaveUp, c.lateAdmitted)
 		}
 	}
 	for _, l := range loads {
 		chosen := ways["predicted wait"].tallies[l.name]
-		must.Zero(t, chosen.heldInVain)
+		must.Zero(t, chosen.gaveUp)
 		must.GreaterEq(t, before.tallies[l.name].worth(), chosen.worth())
 	}
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,6 +1,6 @@
-// Package group holds the vocabulary of a database group: log positions,
-// member roles and the status that a member reports. It has no behaviour of
-// its own beyond comparison.
+// Package group defines the shared types of a database group: log positions, member roles,
+// term histories and the status that a member reports. They are plain values with comparison
+// methods and no I/O.
 package group
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Position is a place in the log of a group. A later term is always greater.
+// Position is a position in the log of a group. One of a later term is always greater.
 type Position struct {
 	Term  uint64 // term under which the entry was written
-	Index uint64 // index of the entry, counted from 1 over all terms
+	Index uint64 // index of the entry, counted from 1 across all terms
 }
 
-// Less reports whether p lies before q.
+// Less reports whether p is before q.
 func (p Position) Less(q Position) bool {
 	if p.Term != q.Term {
 		return p.Term < q.Term
@@ -22,12 +22,12 @@
 	return p.Index < q.Index
 }
 
-// AtLeast reports whether p is q or lies after it.
+// AtLeast reports whether p equals q or is after it.
 func (p Position) AtLeast(q Position) bool {
 	return !p.Less(q)
 }
 
-// IsZero reports whether p names no entry at all.
+// IsZero reports whether p refers to no entry.
 func (p Position) IsZero() bool {
 	return p == Position{}
 }
@@ -45,7 +45,7 @@
 	return p
 }
 
-// Role is what a member says it is.
+// Role is the role that a member reports.
 type Role string
 
 // The roles of a member.
@@ -55,32 +55,32 @@
 	RoleFenced  Role = "fenced"
 )
 
-// Status is what a member reports of itself.
+// Status is the state that a member reports.
 type Status struct {
-	Term         uint64        // highest term the member has promised to
+	Term         uint64        // highest term that the member has promised to accept
 	Role         Role          // its role in that term
 	Position     Position      // last entry in its log
-	Owner        string        // instance that fenced or holds the term
-	OwnerAge     time.Duration // since its last fence or heartbeat, on the member's clock; negative: never
-	Holder       string        // instance whose heartbeat came last, which may hold a lease
-	HeartbeatAge time.Duration // since that heartbeat, on the member's clock; negative: never
-	Released     bool          // the holder gave its lease up
-	Linked       bool          // a replica that hears its primary
-	Acknowledged Position      // highest acknowledged position that an owner told
-	History      History       // terms in the log; in the answer to a promotion only
+	Owner        string        // instance that fenced the member last or holds the term
+	OwnerAge     time.Duration // time since the owner's last fence or heartbeat, on the member's clock; negative: never
+	Holder       string        // instance that sent the last heartbeat and may hold a lease
+	HeartbeatAge time.Duration // time since that heartbeat, on the member's clock; negative: never
+	Released     bool          // the holder has released its lease
+	Linked       bool          // the member is a replica that is connected to its primary
+	Acknowledged Position      // highest acknowledged position that an owner has reported to the member
+	History      History       // terms in the log; only set in the reply to a promotion
 }
 
-// TermStart records where the log of a term began.
+// TermStart records where the log of a term starts.
 type TermStart struct {
 	Term  uint64
-	Index uint64 // last index that the term inherited
+	Index uint64 // last index that the term inherited from earlier terms
 }
 
-// History is the ascending list of terms with the place each began at. Every
-// entry of an older term beyond the start of the next one was lost.
+// History lists the terms of a log and their starts in ascending order. Entries of an older term
+// after the start of the next term were lost.
 type History []TermStart
 
-// Holds reports whether position p is part of the log described by h.
+// Holds reports whether position p is part of the log that h describes.
 func (h History) Holds(p Position) bool {
 	for _, start := range h {
 		if start.Term > p.Term && p.Index > start.Index {
@@ -90,7 +90,8 @@
 	return true
 }
 
-// Append returns h with the start of a new term. A term already known is kept.
+// Append returns h with the start of a new term. It returns h unchanged if the term is not newer
+// than the last one.
 func (h History) Append(start TermStart) History {
 	if n := len(h); n > 0 && h[n-1].Term >= start.Term {
 		return h
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -1,10 +1,11 @@
-// Package locality tells how far the data centres of a deployment lie from one another.
-// It has no I/O, clock or goroutine.
+// Package locality classifies the distance between the data centres of a deployment. Packages
+// placement and routing use it to prefer near instances and members. It has no I/O, clock or
+// goroutine.
 package locality
 
 import "fmt"
 
-// Distance is how far one data centre lies from another.
+// Distance is the distance class of two data centres.
 type Distance int
 
 // The distances, nearest first.
@@ -14,7 +15,7 @@
 	OtherRegion
 )
 
-// distanceNames name the distances in logs and metrics.
+// distanceNames are the names of the distances in logs and metrics.
 var distanceNames = map[Distance]string{
 	SameDataCentre: "same_data_centre", SameRegion: "same_region", OtherRegion: "other_region",
 }
@@ -27,14 +28,14 @@
 	return fmt.Sprintf("distance(%d)", int(d))
 }
 
-// Map holds the region of each data centre. The empty map knows a single region. It is not
-// changed after it was made.
+// Map holds the region of each data centre. With an empty map all data centres count as one
+// region. A Map is immutable.
 type Map struct {
 	regions map[string]string // by data centre
 	several bool              // there is more than one region
 }
 
-// New returns a map of the region of each data centre.
+// New returns a Map from the region of each data centre.
 func New(regions map[string]string) Map {
 	m := Map{regions: make(map[string]string, len(regions))}
 	first := ""
@@ -51,12 +52,12 @@
 // Several reports whether there is more than one region.
 func (m Map) Several() bool { return m.several }
 
-// Region returns the region of a data centre, empty when it is not known.
+// Region returns the region of a data centre, empty when unknown.
 func (m Map) Region(dataCentre string) string { return m.regions[dataCentre] }
 
-// Distance returns how far one data centre lies from another. Where there are several
-// regions, a data centre that is not in the map counts as a region of its own, so that
-// work goes there only when nothing known to be nearer is left.
+// Distance returns the distance class of two data centres. If there are several regions, a data
+// centre that is not in the map counts as a region of its own, so that it is used only when
+// no data centre known to be nearer is left.
 func (m Map) Distance(a, b string) Distance {
 	switch {
 	case a == b:
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -14,16 +14,16 @@
 		from, to string
 		want     Distance
 	}{
-		"the same":                              {two, "a1", "a1", SameDataCentre},
-		"one region":                            {two, "a1", "a2", SameRegion},
-		"another region":                        {two, "a1", "b1", OtherRegion},
-		"not in the map":                        {two, "a1", "c1", OtherRegion},
-		"neither in the map":                    {two, "c1", "c2", OtherRegion},
-		"the same, not in the map":              {two, "c1", "c1", SameDataCentre},
-		"an empty map":                          {Map{}, "a1", "b1", SameRegion},
-		"a single region":                       {one, "a1", "a2", SameRegion},
-		"a single region, one not in the map":   {one, "a1", "c1", SameRegion},
-		"an empty map knows the same one again": {Map{}, "a1", "a1", SameDataCentre},
+		"same data centre":                  {two, "a1", "a1", SameDataCentre},
+		"same region":                       {two, "a1", "a2", SameRegion},
+		"another region":                    {two, "a1", "b1", OtherRegion},
+		"not in the map":                    {two, "a1", "c1", OtherRegion},
+		"both not in the map":               {two, "c1", "c2", OtherRegion},
+		"same data centre, not in the map":  {two, "c1", "c1", SameDataCentre},
+		"empty map":                         {Map{}, "a1", "b1", SameRegion},
+		"single region":                     {one, "a1", "a2", SameRegion},
+		"single region, one not in the map": {one, "a1", "c1", SameRegion},
+		"empty map, same data centre":       {Map{}, "a1", "a1", SameDataCentre},
 	} {
 		t.Run(name, func(t *testing.T) {
 			must.Eq(t, c.want, c.places.Distance(c.from, c.to))
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,7 +1,7 @@
-// Package outlier gives members of a database group that fail what they are sent a smaller
-// share of the reads, by what was measured of their answers against those of the others. A
-// member may answer questions about its health and fail statements, or the other way round.
-// The package has no I/O, clock or goroutine.
+// Package outlier reduces the share of reads that a member of a database group gets when it
+// fails more requests than the other members. It relies on the outcome of requests, not on
+// health checks: a member may pass its health checks and fail statements, or the other way
+// round. Package relay uses it. The package has no I/O, clock or goroutine.
 package outlier
 
 import (
@@ -10,44 +10,44 @@
 )
 
 const (
-	// span is the number of attempts over which failures are averaged: a single lost answer
-	// costs a member little, and some in a row most of its share.
+	// averageWindow is the number of requests over which failures are averaged. A single lost
+	// reply then has little effect, and several in a row take most of the member's share.
 	span = 16
-	// steepness is how fast the share falls with the failures: reads should mostly avoid a
-	// member that fails one in two.
+	// shareExponent is how steeply the share falls as failures increase: reads should mostly
+	// avoid a member that fails every second request.
 	steepness = 4
-	// leastShare keeps a member tried, so that it can show that it works again.
+	// minShare keeps some reads going to a failing member, so that its recovery is noticed.
 	leastShare = 0.1
 )
 
-// Failing is the part of the attempts at a member that lately failed. The zero value is a
-// member that never did. It is not safe for concurrent use.
+// Failing is a moving average of the fraction of requests to a member that failed. The zero
+// value is a member without failures. It is not safe for concurrent use.
 type Failing struct{ part float64 }
 
-// Answered notes an attempt that was answered.
+// Answered records a request that the member answered.
 func (f *Failing) Answered() { f.part -= f.part / span }
 
-// Failed notes one that was not, or whose answer was a failure of the member.
+// Failed records a request that the member did not answer or that failed because of the member.
 func (f *Failing) Failed() { f.part += (1 - f.part) / span }
 
-// Part returns the part that failed.
+// Part returns the fraction that failed.
 func (f *Failing) Part() float64 { return f.part }
 
-// Shares returns in what share of the choices each member takes part, given the part that
-// fails of each. It is 1 for the best. At most half of the members get less than that,
-// since what all have in common is not theirs: a network that loses much, or statements
-// that cannot succeed.
-func Shares(failing []float64) []float64 {
-	shares := make([]float64, len(failing))
-	order := make([]int, len(failing))
-	for n := range failing {
+// Shares returns for each member the share of reads that it may be chosen for, from the failure
+// rates of all members. The member with the lowest failure rate has share 1. At most half of
+// the members get less than 1, because failures that all members have in common are not their
+// fault: they come from a lossy network, or from statements that cannot succeed.
+func Shares(failureRates []float64) []float64 {
+	shares := make([]float64, len(failureRates))
+	order := make([]int, len(failureRates))
+	for n := range failureRates {
 		shares[n], order[n] = 1, n
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		switch {
-		case failing[a] < failing[b]:
+		case failureRates[a] < failureRates[b]:
 			return -1
-		case failing[a] > failing[b]:
+		case failureRates[a] > failureRates[b]:
 			return 1
 		}
 		return 0
@@ -55,21 +55,22 @@
 	if len(order) == 0 {
 		return shares
 	}
-	works := 1 - failing[order[0]]
+	bestSuccess := 1 - failureRates[order[0]]
 	for _, n := range order[(len(order)+1)/2:] {
-		if works > 0 {
-			shares[n] = max(leastShare, math.Pow((1-failing[n])/works, steepness))
+		if bestSuccess > 0 {
+			shares[n] = max(leastShare, math.Pow((1-failureRates[n])/bestSuccess, steepness))
 		}
 	}
 	return shares
 }
 
-// Turns spreads the choices in which a member takes part evenly. The zero value begins with
-// one. It is not safe for concurrent use.
+// Turns decides for which reads a member is a candidate, so that these are evenly spaced. The
+// zero value starts with a read for which it is one, unless its share is 0. It is not safe for
+// concurrent use.
 type Turns struct{ missed float64 }
 
-// Next reports whether the member takes part in the next choice, which it does in a share
-// of them.
+// Next reports whether the member is a candidate for the next read, given the share of reads for
+// which it should be one.
 func (t *Turns) Next(share float64) bool {
 	t.missed += 1 - share
 	if t.missed >= 1 {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Whatever fails: the best member has all its share, at most half have less, each is tried,
-// and one that fails more gets no more.
+// For any failure rates: the best member has share 1, at most half of the members have less, every
+// member has at least the minimum, and a member that fails more never has a greater share.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		failing := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 6).Draw(t, "failing")
@@ -39,14 +39,14 @@
 	must.SliceEmpty(t, Shares(nil))
 }
 
-// What all have in common changes nothing.
-func TestSharesOfEquals(t *testing.T) {
+// Failures that all members have in common do not reduce a share.
+func TestSharesOfEqualFailureRates(t *testing.T) {
 	must.Eq(t, []float64{1, 1, 1}, Shares([]float64{0, 0, 0}))
 	must.Eq(t, []float64{1, 1, 1}, Shares([]float64{0.4, 0.4, 0.4}))
 	must.Eq(t, []float64{1, 1}, Shares([]float64{1, 1}))
 }
 
-func TestTurnsAreEven(t *testing.T) {
+func TestTurnsMatchShare(t *testing.T) {
 	var turns Turns
 	taken := 0
 	for range 1000 {
@@ -57,16 +57,15 @@
 	must.InDelta(t, 300, float64(taken), 1)
 }
 
-// The failure: one of three members resets nearly half of what it is sent, between answers
-// that are well, and is well again later. Reads go to it less at once, and as before within
-// some dozens of trials.
-func TestMemberThatFailsPartOfItsWork(t *testing.T) {
+// One of three members resets nearly half of its requests, between successful replies, and recovers
+// later. Reads soon avoid it, and its share is restored within some dozens of requests to it.
+func TestPartlyFailingMemberIsAvoidedAndRecovers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	const choices, well = 3000, 2000
+	const choices, recoversAt = 3000, 2000
 	var members [3]Failing
 	var turns [3]Turns
-	sent := make(map[bool]int) // to the bad one, by whether it is well
-	back := math.MaxInt
+	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
+	recovered := math.MaxInt
 	for n := range choices {
 		shares := Shares([]float64{members[0].Part(), members[1].Part(), members[2].Part()})
 		for m := range members {
@@ -74,19 +73,19 @@
 				continue
 			}
 			if m == 0 {
-				sent[n >= well]++
+				sent[n >= recoversAt]++
 			}
-			if m == 0 && n < well && random.IntN(100) < 45 {
+			if m == 0 && n < recoversAt && random.IntN(100) < 45 {
 				members[m].Failed()
 			} else {
 				members[m].Answered()
 			}
 		}
-		if n >= well && shares[0] > 0.9 {
-			back = min(back, n-well)
+		if n >= recoversAt && shares[0] > 0.9 {
+			recovered = min(recovered, n-recoversAt)
 		}
 	}
-	must.Less(t, well/4, sent[false])
-	must.Less(t, 400, back)
-	must.Greater(t, (choices-well)/2, sent[true])
+	must.Less(t, recoversAt/4, sent[false])
+	must.Less(t, 400, recovered)
+	must.Greater(t, (choices-recoversAt)/2, sent[true])
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,8 +1,9 @@
-// Package ownership places database groups on instances. Each instance computes
-// the same ranking from the same list, by rendezvous hashing, so that one
-// instance more or less moves only its own groups. Placement is a hint: that
-// two instances disagree for a while is harmless, since authority rests on the
-// terms of the group (package failover).
+// Package ownership assigns database groups to instances by rendezvous hashing. Each
+// instance computes the same ranking from the same list. When an instance joins or leaves,
+// only the groups that it owns move, apart from a few that a limit on groups per instance
+// moves on. The assignment is a hint: a temporary disagreement between instances is
+// harmless, because authority depends on the terms of the group (package failover). Package
+// placement uses the same ranking to choose carriers.
 package ownership
 
 import (
@@ -17,16 +18,16 @@
 type Instance struct {
 	Name       string
 	DataCentre string
-	Weight     float64 // of the work that it should get, against the others; 0: not known
+	Weight     float64 // share of the work relative to other instances; 0: unknown
 }
 
-// Group is what is to be placed.
+// Group is a database group to be assigned.
 type Group struct {
 	Name       string
-	DataCentre string // preferred: instances there come first
+	DataCentre string // preferred: instances there rank first
 }
 
-// Rank returns the instances in the order in which they should own the group.
+// Rank returns the names of the instances in order of preference for owning the group.
 func Rank(g Group, instances []Instance) []string {
 	type ranked struct {
 		name string
@@ -58,18 +59,18 @@
 	return names
 }
 
-// Score is the rendezvous weight of an instance for a key.
+// Score returns the rendezvous hash of an instance for a key.
 func Score(key, instance string) uint64 {
-	var space [usualNames]byte // so that usual names allocate nothing
-	both := append(append(append(space[:0], key...), 0), instance...)
-	return mix(xxhash.Sum64(both))
+	var buf [usualNames]byte // avoids an allocation for typical names
+	combined := append(append(append(buf[:0], key...), 0), instance...)
+	return mix(xxhash.Sum64(combined))
 }
 
-// usualNames is the length of most keys with the name of an instance.
+// typicalLength exceeds the combined length of most keys and instance names.
 const usualNames = 96
 
-// mix spreads the hash once more (finalizer of SplitMix64), since short keys
-// that differ in one character are too alike for a ranking.
+// mix applies the finalizer of SplitMix64 to a hash. Without it, short keys that differ in
+// one character have hashes that are too similar for a ranking.
 func mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
@@ -78,10 +79,10 @@
 	return h ^ h>>31
 }
 
-// Assign ranks the instances for every group, with at most limit groups in first
-// place on one instance. Groups are placed in order of their names, so that all
-// instances agree; one over the limit goes to the next in its ranking. Limit 0
-// means no bound.
+// Assign ranks the instances for every group such that at most limit groups have the same
+// instance first. Groups are assigned in order of their names, so that all instances agree. If
+// the first instance has reached the limit, the next one in the ranking that has not moves
+// to the front. A limit of 0 means no limit.
 func Assign(groups []Group, instances []Instance, limit int) map[string][]string {
 	sorted := slices.Clone(groups)
 	slices.SortFunc(sorted, func(a, b Group) int { return strings.Compare(a.Name, b.Name) })
@@ -102,8 +103,8 @@
 	return assigned
 }
 
-// Limit returns the bound on groups for one instance: a quarter above the even
-// share, and at least one more than it.
+// Limit returns the maximum number of groups per instance: a quarter more than the even share,
+// and at least one more.
 func Limit(groups, instances int) int {
 	if instances == 0 {
 		return 0
@@ -112,7 +113,7 @@
 	return even + max(1, even/4)
 }
 
-// Neighbours returns the k instances that rank highest for self, without self.
+// Neighbours returns the k other instances that rank highest for self.
 func Neighbours(self string, instances []Instance, k int) []string {
 	others := slices.DeleteFunc(slices.Clone(instances), func(i Instance) bool { return i.Name == self })
 	ranking := Rank(Group{Name: self}, others)
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -24,9 +24,8 @@
 	return groups
 }
 
-// One instance gone moves its own groups, and of the others only those that the
-// bound on groups pushes on: a small share.
-func TestOneInstanceGoneMovesItsOwnGroups(t *testing.T) {
+// When an instance is lost, its own groups move, and few others move because of the limit.
+func TestLossMovesOwnAndFewOtherGroups(t *testing.T) {
 	instances, groups := fleetOf(550), groupsOf(610)
 	limit := Limit(len(groups), len(instances))
 	before := Assign(groups, instances, limit)
@@ -45,11 +44,11 @@
 		}
 	}
 	must.Positive(t, own)
-	must.LessEq(t, own, moved, must.Sprintf("%d groups of others moved, %d of the instances themselves", moved, own))
+	must.LessEq(t, own, moved, must.Sprintf("%d groups of other instances moved, %d of the lost instances", moved, own))
 }
 
-// Without a bound nothing but the instance's own groups moves.
-func TestRendezvousIsStable(t *testing.T) {
+// Without a limit only the lost instance's groups move.
+func TestLossMovesOnlyOwnGroupsWithoutLimit(t *testing.T) {
 	instances, groups := fleetOf(9), groupsOf(300)
 	before := Assign(groups, instances, 0)
 	after := Assign(groups, instances[1:], 0)
@@ -60,7 +59,7 @@
 	}
 }
 
-func TestAssignKeepsTheLimitAndPrefersTheDataCentre(t *testing.T) {
+func TestAssignRespectsLimitAndDataCentre(t *testing.T) {
 	instances, groups := fleetOf(550), groupsOf(610)
 	limit := Limit(len(groups), len(instances))
 	load := map[string]int{}
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -5,17 +5,17 @@
 	"math"
 )
 
-// Weights turns scores into an order in which instances come first in proportion to their
-// weights, by the logarithmic method of weighted rendezvous hashing (Schindelhauer and
-// Schomaker, Weighted Distributed Hash Tables, 2005): the key is -w/ln(h), with h the score
-// as a fraction. An instance that changes its weight moves only its own part.
+// Weights turns hash scores into a ranking in which an instance comes first in proportion to
+// its weight, by the logarithmic method of weighted rendezvous hashing (Schindelhauer and
+// Schomaker, Weighted Distributed Hash Tables, 2005): the sort key is -w/ln(h), where h is the
+// score as a fraction. A change of one instance's weight moves only groups to or from it.
 type Weights struct {
-	alike bool    // all have the same, so that the scores alone decide
-	least float64 // stands for a weight that is not known
+	alike bool    // all weights are equal, so the scores alone decide
+	least float64 // smallest known weight, used for unknown ones; 0: none is known
 }
 
-// Weigh returns the weights of some instances. One whose weight is not known counts as one
-// of the least.
+// Weigh returns the weights of some instances. An unknown weight counts as the smallest known
+// one.
 func Weigh(instances []Instance) Weights {
 	w := Weights{alike: true}
 	for _, i := range instances {
@@ -32,8 +32,8 @@
 // Alike reports whether all instances have the same weight.
 func (w Weights) Alike() bool { return w.alike }
 
-// Least returns the least weight, which stands for those that are not known as well; 1 when
-// none is known.
+// Least returns the smallest known weight, which also stands for unknown ones. It is 1 when none
+// is known.
 func (w Weights) Least() float64 {
 	if w.least > 0 {
 		return w.least
@@ -49,13 +49,13 @@
 	return w.Least()
 }
 
-// Draw is what an instance has drawn for a key. The greatest ranks first.
+// Draw is the weighted score of an instance for a key. The greatest ranks first.
 type Draw struct {
-	weighted float64 // 0 where all weights are alike
+	weighted float64 // 0 where all weights are equal
 	score    uint64
 }
 
-// Draw returns an instance's draw from its score.
+// Draw returns the weighted score of an instance with a given hash score.
 func (w Weights) Draw(score uint64, i Instance) Draw {
 	if w.alike {
 		return Draw{score: score}
@@ -63,8 +63,8 @@
 	return Draw{weighted: -w.Of(i) / math.Log(fraction(score)), score: score}
 }
 
-// Threshold returns the least score with which an instance ranks before a draw, or as much as
-// one less: what has a lower score need not be drawn.
+// Threshold returns a lower bound for the hash scores with which an instance can rank before d.
+// The caller need not compute the weighted score for a lower hash score.
 func (w Weights) Threshold(d Draw, i Instance) uint64 {
 	if w.alike {
 		return d.score
@@ -73,18 +73,18 @@
 	return uint64(least*(1<<fractionBits)) << (64 - fractionBits)
 }
 
-// thresholdSlack makes up for the rounding of a threshold.
+// thresholdSlack compensates for rounding errors in a threshold.
 const thresholdSlack = 1 - 1e-9
 
-// fractionBits is how many bits of a score make up its fraction, so that it is exact.
+// fractionBits is how many bits of a score its fraction uses, so that it is an exact float64.
 const fractionBits = 52
 
-// fraction returns a score as a number between 0 and 1, and never one of these.
+// fraction returns a score as a number strictly between 0 and 1.
 func fraction(score uint64) float64 {
 	return (float64(score>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
 }
 
-// Compare returns a negative number for a draw that ranks before another.
+// Compare returns a negative number if d ranks before other.
 func (d Draw) Compare(other Draw) int {
 	return cmp.Or(cmp.Compare(other.weighted, d.weighted), cmp.Compare(other.score, d.score))
 }
--- a/internal/ownership/weight_test.go
+++ b/internal/ownership/weight_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// weighted returns instances of which one in four has four times the weight of the others.
+// weighted returns instances; every fourth has four times the weight of the others.
 func weighted(n int) []Instance {
 	instances := fleetOf(n)
 	for i := range instances {
@@ -21,7 +21,7 @@
 	return instances
 }
 
-// Instances come first as often as their weights say.
+// Instances rank first in proportion to their weights.
 func TestRankFollowsWeights(t *testing.T) {
 	instances := weighted(40)
 	const groups = 7000
@@ -32,17 +32,17 @@
 			strong++
 		}
 	}
-	must.InDelta(t, 4.0/7, float64(strong)/groups, 0.02) // 10 of 4 parts, 30 of one
+	must.InDelta(t, 4.0/7, float64(strong)/groups, 0.02) // 10 instances of weight 4, 30 of weight 1
 }
 
-// Weights that are alike, whatever they are, rank as none do.
-func TestWeightsThatAreAlikeChangeNothing(t *testing.T) {
+// Equal weights of any value give the same ranking as no weights.
+func TestEqualWeightsMatchNone(t *testing.T) {
 	plain, alike := fleetOf(50), fleetOf(50)
 	for i := range alike {
 		alike[i].Weight = 0.3
 	}
 	partly := slices.Clone(alike)
-	partly[7].Weight = 0 // one that does not tell counts as the others
+	partly[7].Weight = 0 // an unknown weight counts as the others' weight
 	for g := range 200 {
 		group := Group{Name: fmt.Sprint(g), DataCentre: "dc1"}
 		must.SliceEqOp(t, Rank(group, plain), Rank(group, alike))
@@ -50,8 +50,8 @@
 	}
 }
 
-// One that gets weaker loses some of its groups, and nobody else moves.
-func TestChangeOfWeightMovesOwnPartOnly(t *testing.T) {
+// An instance whose weight decreases loses some of its groups, and no other group moves.
+func TestWeightChangeMovesOnlyOwnGroups(t *testing.T) {
 	before := weighted(40)
 	after := slices.Clone(before)
 	after[8].Weight /= 4
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestDrawIsFinite(t *testing.T) {
+func TestWeightedScoreIsFinite(t *testing.T) {
 	w := Weigh(weighted(8))
 	for _, score := range []uint64{0, 1, math.MaxUint64, math.MaxUint64 - 1} {
 		d := w.Draw(score, Instance{Weight: 0.8})
@@ -71,7 +71,8 @@
 	}
 }
 
-// Whoever scores below the threshold of a draw ranks after it, and not far above all rank before.
+// An instance with a hash score below the threshold ranks after d, and one slightly above it
+// ranks before d.
 func TestThreshold(t *testing.T) {
 	for _, instances := range [][]Instance{fleetOf(40), weighted(40)} {
 		weights := Weigh(instances)
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -9,47 +9,48 @@
 	"github.com/stackspindle/stackspindle/internal/ownership"
 )
 
-// choice places the groups of a table one after another.
+// placer assigns carriers to the groups of a table, one group after another.
 type choice struct {
 	table  *Table
-	chosen []candidate // scratch space of one group
+	chosen []candidate // carriers of the current group; the buffer is reused
 }
 
-// place returns the carriers of the next group.
+// place returns the carriers of a group.
 func (c *choice) place(r *row) Carriers {
 	t, g := c.table, r.group
 	usable := g.MaxConnections - Reserved
 	if t.everybody(g) {
-		count := max(1, t.registered) // none is known while an instance starts
+		count := max(1, t.registered) // no instance is registered yet during startup
 		return Carriers{Everybody: true, usable: usable, count: count}
 	}
-	most := g.most()
+	limit := g.most()
 	c.chosen = c.chosen[:0]
 	for n := range r.homes {
 		c.atHome(r, &r.homes[n])
 	}
 	slices.SortFunc(c.chosen, byRank)
-	c.chosen = c.chosen[:min(most, len(c.chosen))]
-	if len(c.chosen) < most {
-		c.chosen = append(c.chosen, c.elsewhere(r, most-len(c.chosen))...)
+	c.chosen = c.chosen[:min(limit, len(c.chosen))]
+	if len(c.chosen) < limit {
+		c.chosen = append(c.chosen, c.elsewhere(r, limit-len(c.chosen))...)
 	}
 	for _, i := range c.chosen {
 		i.load++
 	}
-	if r.isPlaced(c.chosen, usable, most) {
+	if r.isPlaced(c.chosen, usable, limit) {
 		return r.carriers
 	}
-	names, atHome := make([]string, len(c.chosen)), make(map[string]int, len(r.homes))
+	names, localCount := make([]string, len(c.chosen)), make(map[string]int, len(r.homes))
 	for n, i := range c.chosen {
 		names[n] = i.Name
 		if r.isHome(i.DataCentre) {
-			atHome[i.DataCentre]++ // whoever makes up for others may stand there too
+			localCount[i.DataCentre]++ // a replacement for a missing carrier may also be in a member's data centre
 		}
 	}
-	return Carriers{Names: names, atHome: atHome, usable: usable, count: most}
+	return Carriers{Names: names, atHome: localCount, usable: usable, count: limit}
 }
 
-// atHome chooses the first in rank of a member's data centre that have room.
+// addLocal adds the highest-ranked instances of a member's data centre that are below their
+// group limit.
 func (c *choice) atHome(r *row, h *home) {
 	found := 0
 	for n := 0; found < h.places; n++ {
@@ -64,37 +65,37 @@
 	}
 }
 
-// elsewhere returns instances that make up for those which the members' data centres do not
-// have: those with room first, of these the ones of a region that lacks carriers, and then by
-// rank.
+// replacements returns instances for the carrier slots that instances in the members' data
+// centres do not fill. Instances below their group limit come first, in particular those in
+// a region with unfilled slots; each class is in rank order.
 func (c *choice) elsewhere(r *row, missing int) []candidate {
-	left, places := c.placesLeft(r)
-	taken := make(map[string]bool, len(c.chosen))
+	open, openCount := c.placesLeft(r)
+	chosen := make(map[string]bool, len(c.chosen))
 	for _, i := range c.chosen {
-		taken[i.Name] = true
+		chosen[i.Name] = true
 	}
-	var needed, others, full []candidate
-	for n := 0; len(needed) < missing && (places > 0 || len(needed)+len(others) < missing); n++ {
+	var fillers, others, full []candidate
+	for n := 0; len(fillers) < missing && (openCount > 0 || len(fillers)+len(others) < missing); n++ {
 		i, ok := r.anywhere.at(c.table, r.group.Name, n)
 		if !ok {
 			break
 		}
 		switch {
-		case taken[i.Name]:
+		case chosen[i.Name]:
 		case !i.hasRoom():
 			full = append(full, i)
-		case c.takePlace(left, i):
-			needed = append(needed, i)
-			places--
+		case c.takePlace(open, i):
+			fillers = append(fillers, i)
+			openCount--
 		default:
 			others = append(others, i)
 		}
 	}
-	found := append(needed, others...)
+	found := append(fillers, others...)
 	if len(found) < missing {
 		var rest []candidate
 		for _, i := range full {
-			if c.takePlace(left, i) {
+			if c.takePlace(open, i) {
 				found = append(found, i)
 			} else {
 				rest = append(rest, i)
@@ -105,40 +106,40 @@
 	return found[:min(missing, len(found))]
 }
 
-// placeLeft is how many places of a data centre nobody there takes.
+// unfilledSlots counts the carrier slots of a data centre that no instance there fills.
 type placeLeft struct {
 	home  string
 	count int
 }
 
-// placesLeft returns the places that are left, but for those of which the region has no instance,
-// and how many they are.
+// unfilled returns the unfilled carrier slots and their total. It leaves out data centres whose
+// region has no instance.
 func (c *choice) placesLeft(r *row) ([]placeLeft, int) {
-	var left []placeLeft
-	all := 0
+	var open []placeLeft
+	total := 0
 	for _, h := range r.homes {
 		count := h.places - countIn(c.chosen, h.dataCentre)
 		if count > 0 && c.table.hasNear(h.dataCentre) {
-			left = append(left, placeLeft{h.dataCentre, count})
-			all += count
+			open = append(open, placeLeft{h.dataCentre, count})
+			total += count
 		}
 	}
-	return left, all
+	return open, total
 }
 
-// takePlace reports whether an instance makes up for a place that is left in its region, which is
-// taken then.
-func (c *choice) takePlace(left []placeLeft, i candidate) bool {
-	for n := range left {
-		if left[n].count > 0 && c.table.places.Distance(i.DataCentre, left[n].home) != locality.OtherRegion {
-			left[n].count--
+// fillSlot assigns an instance to an unfilled slot of its region, and reports whether there was
+// one.
+func (c *choice) takePlace(open []placeLeft, i candidate) bool {
+	for n := range open {
+		if open[n].count > 0 && c.table.places.Distance(i.DataCentre, open[n].home) != locality.OtherRegion {
+			open[n].count--
 			return true
 		}
 	}
 	return false
 }
 
-// hasNear reports whether the region of a data centre has an instance.
+// regionHasInstance reports whether the region of a data centre has an instance.
 func (t *Table) hasNear(dataCentre string) bool {
 	for other, instances := range t.byDataCentre {
 		if len(instances) > 0 && t.places.Distance(other, dataCentre) != locality.OtherRegion {
@@ -148,7 +149,7 @@
 	return false
 }
 
-// candidate is an instance with what it has drawn for a group.
+// candidate is an instance with its weighted hash score for a group.
 type candidate struct {
 	*instance
 	draw ownership.Draw
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,16 +1,18 @@
-// Package placement decides which instances of a fleet hold connections to the
-// members of a database group, how much of a member each of them uses, and in
-// which order an instance passes statements to them.
+// Package placement decides which instances are the carriers of a database group. A
+// carrier holds connections to the group's members and runs the statements that ingress
+// instances forward to it. The package also computes how many connections and concurrent
+// statements a carrier may use at a member, and the order in which an ingress instance
+// tries the carriers. Package relay uses it.
 //
-// It answers two patterns of load. A member runs a few statements at once, and what
-// is too much for it waits there in the order in which it came; the fewer
-// instances send to it, the more of that waits at an instance instead, where it
-// has an order and can be given up. And a statement should cross from one data
-// centre to another only once: so the instances that hold connections are near the
-// members, and a statement that needs the primary goes to one near that.
+// The placement has two goals. First, statements should queue at instances rather than at
+// a member: a member runs only a few statements at once and queues the excess in arrival
+// order, whereas an instance can prioritise its queue and time statements out. The fewer
+// instances send to a member, the more statements queue at an instance. Second, a statement
+// should be forwarded between data centres at most once: carriers are placed near the
+// members, and a statement that needs the primary goes to a carrier near the primary.
 //
-// The package has no I/O, clock or goroutine. All instances compute the same from
-// the same list; that two disagree for a while is harmless.
+// The package has no I/O, clock or goroutine. All instances compute the same placement from
+// the same list of instances. A temporary disagreement between instances is harmless.
 package placement
 
 import (
@@ -22,111 +24,114 @@
 )
 
 const (
-	// Reserved connections of each member stay free for questions about its state and
-	// for the connections of instances that have just died.
+	// Reserved is the number of connections per member that stay free for health checks
+	// and for the connections of instances that have just died.
 	Reserved = 2
-	// leastPool is the least number of connections to a member with which an
-	// instance can serve: one that a transaction holds, and one for everything else.
+	// minPoolSize is the smallest pool with which an instance can serve a member: one
+	// connection for a transaction and one for everything else.
 	leastPool = 2
-	// sharedPool is the least that a carrier has where not every instance can be one.
+	// minCarrierPoolSize is the smallest pool of a carrier where only some instances are carriers.
 	sharedPool = 4
-	// leastFarPool is the least number of connections to a member of a carrier in another data
-	// centre: one that a transaction holds, and one for everything else.
+	// minRemotePoolSize is the smallest pool to a member of a carrier in another data centre:
+	// one connection for a transaction and one for everything else.
 	leastFarPool = leastPool
-	// farDivisor divides the equal share of the connections that such a carrier has where that
-	// is more: while replicas lag, its callers' reads need the primary, wherever that is.
+	// remoteShareDivisor divides the equal share of connections for a carrier in another data
+	// centre, where the result exceeds minRemotePoolSize. While replicas lag, reads that arrive
+	// at that carrier need the primary, wherever it is.
 	farDivisor = 2
-	// mostShared is before how many groups every instance may carry all of them. Before more it
-	// would hold connections, and what belongs to them, for more groups than its callers use.
+	// maxGroupsOnAllInstances is the largest number of groups for which every instance may
+	// serve all of them. With more groups an instance would hold connections, and the
+	// resources they need, for more groups than its clients use.
 	mostShared = 64
-	// PerMember is how many carriers stand in the data centre of each member: while
-	// one is gone the other serves.
+	// PerMember is the number of carriers in the data centre of each member: if one fails,
+	// the other serves.
 	PerMember = 2
-	// perSlot is how many statements may be at a member for each that it runs: one
-	// that runs, and one on its way or waiting.
+	// statementsPerSlot is how many statements may be at a member for each of its slots: one
+	// that runs, and one in transit or queued.
 	perSlot = 2
 )
 
-// Group is what placement knows of a database group.
+// Group holds the properties of a database group that placement depends on.
 type Group struct {
 	Name           string
-	MaxConnections int      // a member takes from all instances together
+	MaxConnections int      // that each member accepts from all instances together
 	Homes          []string // data centre of each member
 }
 
-// Fleet is what placement knows of the instances.
+// Fleet holds the instances and regions that placement depends on.
 type Fleet struct {
 	Alive      []ownership.Instance
-	Registered int          // may use connections, those included that may have died
+	Registered int          // number of instances that may hold connections, including any that may have died
 	Places     locality.Map // of the data centres
 }
 
 // Carriers are the instances that hold connections to a group's members.
 type Carriers struct {
-	Everybody bool           // each instance does, so that nobody passes statements on
-	Names     []string       // the first should lead the group; empty with Everybody
-	atHome    map[string]int // by data centre of a member
-	usable    int            // connections to each member that all of them may use
-	count     int
+	Everybody bool           // every instance is a carrier, so no statement is forwarded
+	Names     []string       // in order of preference for leading the group; empty with Everybody
+	atHome    map[string]int // number of carriers by data centre of a member
+	usable    int            // connections to each member, for all carriers together
+	count     int            // number of carriers that share the connections
 }
 
-// everybody reports whether each of some registered instances can have connections of its own,
-// before a number of groups.
+// servedByAll reports whether each of the registered instances can have its own connections
+// to the group, given the total number of groups.
 func (g Group) everybody(registered, groups int) bool {
 	return groups <= mostShared && (g.MaxConnections-Reserved)/leastPool >= registered
 }
 
-// most returns how many carriers the group has where not every instance can be one.
+// maxCarriers returns the number of carriers where not every instance is one.
 func (g Group) most() int {
-	most := max(1, (g.MaxConnections-Reserved)/sharedPool)
-	// While no member is known there is nobody to connect to; someone has to lead the group.
-	return min(most, PerMember*max(1, len(g.Homes)))
+	limit := max(1, (g.MaxConnections-Reserved)/sharedPool)
+	// Without a known member there is nothing to connect to, but an instance must lead the group.
+	return min(limit, PerMember*max(1, len(g.Homes)))
 }
 
-// Place returns the carriers of each group, by name. Groups are placed in the order of their
-// names, so that all instances agree on who has reached its bound.
+// Place returns the carriers of each group, by group name. It places groups in order of their
+// names so that all instances agree on which instance has reached its group limit.
 func Place(groups []Group, f Fleet) map[string]Carriers {
-	t, placed := NewTable(), make(map[string]Carriers, len(groups))
+	table, placed := NewTable(), make(map[string]Carriers, len(groups))
 	for _, g := range groups {
-		t.Set(g)
+		table.Set(g)
 	}
-	t.SetInstances(f.Alive)
-	t.Update(f.Registered, f.Places, func(group string, c Carriers) { placed[group] = c })
+	table.SetInstances(f.Alive)
+	table.Update(f.Registered, f.Places, func(group string, carriers Carriers) { placed[group] = carriers })
 	return placed
 }
 
 // Includes reports whether an instance is one of the carriers.
 func (c Carriers) Includes(name string) bool { return c.Everybody || slices.Contains(c.Names, name) }
 
-// Rank returns the place of an instance among those that should lead the group, and
-// false when it is no carrier. A leader that carries hears from the primary with each
-// statement, and sees itself when the primary has more than it can run.
+// Rank returns the rank of an instance in the order of preference for leading the group, and
+// false when it is not a carrier. A leader that is a carrier gets an answer from the primary
+// with each statement, and observes directly when the primary is overloaded.
 func (c Carriers) Rank(name string) (int, bool) {
 	rank := slices.Index(c.Names, name)
 	return rank, rank >= 0
 }
 
-// Connections returns how many connections to a member a carrier in a data centre may
-// use. Most of a member's work comes through the carriers near it; a far one, which sends what
-// near members have no room for, does with a few, so that the near ones have connections
-// for more client accounts.
+// Connections returns how many connections a carrier in data centre self may hold to a member
+// in data centre member. Carriers near the member get most of them because most of its
+// statements come through them. A remote carrier only sends what members near it have no
+// capacity for, so it gets a few; this leaves the near carriers connections for more client
+// accounts.
 func (c Carriers) Connections(member, self string) int {
 	near := c.atHome[member]
-	far := c.count - near
-	if c.Everybody || near == 0 || c.usable < leastFarPool*far+sharedPool*near {
+	remote := c.count - near
+	if c.Everybody || near == 0 || c.usable < leastFarPool*remote+sharedPool*near {
 		return max(1, c.usable/c.count)
 	}
-	farShare := max(leastFarPool, c.usable/c.count/farDivisor)
+	remoteShare := max(leastFarPool, c.usable/c.count/farDivisor)
 	if member != self {
-		return farShare
+		return remoteShare
 	}
-	return (c.usable - farShare*far) / near
+	return (c.usable - remoteShare*remote) / near
 }
 
-// Active returns how many statements outside transactions a carrier may have running
-// at a member with some slots. Carriers in the member's own data centre share the
-// member; one elsewhere has an equal share of all carriers, which serves when the
-// members near it are worse off.
+// Active returns how many statements outside transactions a carrier in data centre self may
+// run concurrently at a member with some slots in data centre member. Carriers in the
+// member's data centre divide the member among themselves. A remote carrier gets an equal
+// share among all carriers, for use when the members near it are in a worse state.
 func (c Carriers) Active(slots int, member, self string) int {
 	sharers := c.count
 	if !c.Everybody && member == self && c.atHome[member] > 0 {
@@ -135,29 +140,30 @@
 	return max(1, (perSlot*slots+sharers-1)/sharers)
 }
 
-// MostActive returns how many statements outside transactions may be at a member with some
-// slots, from all carriers together.
+// MostActive returns how many statements outside transactions all carriers together may run
+// or queue at a member with some slots.
 func MostActive(slots int) int { return perSlot * slots }
 
-// Caller is the instance that passes a statement on.
+// Caller is the origin of a statement that an ingress instance forwards.
 type Caller struct {
-	Name       string
+	Name       string // hash key that spreads origins over equally distant carriers
 	DataCentre string
 }
 
-// Order sorts carriers into the order in which an instance passes statements to them:
-// by their distance to the preferred data centre, then by that to its own.
-// Among equals each instance begins with another one, so that the carriers share the work.
-// They do so evenly, also where one is stronger: what an instance may have running at a member
-// is bounded, so that one with most of the statements would hold back what the member could run.
-func Order[C any](carriers []C, of func(C) ownership.Instance, caller Caller, preferred string, places locality.Map) []C {
+// Order sorts carriers into the order in which an ingress instance tries them: by distance to
+// the preferred data centre, then by distance to the origin's data centre. Equally distant
+// carriers are ordered by a hash, so that origins start with different carriers and the load
+// spreads evenly. It spreads evenly even if one carrier has more capacity: a carrier's
+// concurrent statements at a member are limited, so a carrier with most of the statements
+// would reach that limit while the member has free slots.
+func Order[C any](carriers []C, instanceOf func(C) ownership.Instance, origin Caller, preferred string, regions locality.Map) []C {
 	sorted := slices.Clone(carriers)
 	slices.SortStableFunc(sorted, func(a, b C) int {
-		ia, ib := of(a), of(b)
+		ia, ib := instanceOf(a), instanceOf(b)
 		return cmp.Or(
-			cmp.Compare(places.Distance(ia.DataCentre, preferred), places.Distance(ib.DataCentre, preferred)),
-			cmp.Compare(places.Distance(ia.DataCentre, caller.DataCentre), places.Distance(ib.DataCentre, caller.DataCentre)),
-			cmp.Compare(ownership.Score(caller.Name, ia.Name), ownership.Score(caller.Name, ib.Name)),
+			cmp.Compare(regions.Distance(ia.DataCentre, preferred), regions.Distance(ib.DataCentre, preferred)),
+			cmp.Compare(regions.Distance(ia.DataCentre, origin.DataCentre), regions.Distance(ib.DataCentre, origin.DataCentre)),
+			cmp.Compare(ownership.Score(origin.Name, ia.Name), ownership.Score(origin.Name, ib.Name)),
 		)
 	})
 	return sorted
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,26 +27,26 @@
 	return all
 }
 
-// place places a group in a fleet of one region.
+// place places a group in a fleet with a single region.
 func place(g Group, alive []ownership.Instance, registered int) Carriers {
 	return Place([]Group{g}, Fleet{Alive: alive, Registered: registered})[g.Name]
 }
 
-func TestHowManyCarry(t *testing.T) {
+func TestCarrierCountAndConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		connections, registered, homes int
 		count, share                   int
 		everybody                      bool
 	}{
-		"each can have two":                            {23, 9, 3, 9, 2, true},
-		"each can have four":                           {38, 8, 3, 8, 4, true},
-		"72 before 283":                                {283, 72, 3, 72, 3, true},
-		"none is known at the start":                   {23, 0, 3, 1, 21, true},
-		"two for each member":                          {53, 71, 3, 6, 8, false},
-		"295 before 131":                               {131, 295, 3, 6, 21, false},
-		"members are not known yet":                    {53, 71, 0, 2, 25, false},
-		"fewer than two each, for want of connections": {25, 550, 3, 5, 4, false},
-		"hardly any connections":                       {2, 550, 3, 1, 1, false},
+		"two connections per instance":                    {23, 9, 3, 9, 2, true},
+		"four connections per instance":                   {38, 8, 3, 8, 4, true},
+		"72 instances, 283 connections":                   {283, 72, 3, 72, 3, true},
+		"no instance registered yet":                      {23, 0, 3, 1, 21, true},
+		"two carriers per member":                         {53, 71, 3, 6, 8, false},
+		"295 instances, 131 connections":                  {131, 295, 3, 6, 21, false},
+		"no known members":                                {53, 71, 0, 2, 25, false},
+		"too few connections for two carriers per member": {25, 550, 3, 5, 4, false},
+		"hardly any connections":                          {2, 550, 3, 1, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := Group{Name: "g", MaxConnections: c.connections}
@@ -82,7 +82,7 @@
 	return n
 }
 
-// The carriers near a member have most of its connections.
+// Carriers near a member get most of its connections.
 func TestNearCarriersHaveMoreConnections(t *testing.T) {
 	c := place(Group{Name: "g", MaxConnections: 29, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 71)
 	must.Eq(t, 9, c.Connections("a", "a"))
@@ -90,15 +90,15 @@
 	must.LessEq(t, 29-Reserved, 2*9+4*2)
 	many := place(Group{Name: "g", MaxConnections: 66, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 83)
 	must.Eq(t, 22, many.Connections("a", "a"))
-	must.Eq(t, 5, many.Connections("a", "b"), must.Sprint("half of an equal share: its callers' reads need the primary while replicas lag"))
+	must.Eq(t, 5, many.Connections("a", "b"), must.Sprint("half of the equal share: reads that arrive there need the primary while replicas lag"))
 	must.LessEq(t, 66-Reserved, 2*22+4*5)
 	everybody := place(Group{Name: "g", MaxConnections: 23, Homes: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
 	must.Eq(t, 2, everybody.Connections("a", "a"))
 }
 
-// Carriers stand two by two in the data centres of the members, also where two members
-// share one; a data centre without instances is made up for by others.
-func TestCarriersAreNearTheMembers(t *testing.T) {
+// Each member has two carriers in its data centre, including members that share one. Carriers
+// elsewhere replace those of a data centre without instances.
+func TestCarriersAreInMemberDataCentres(t *testing.T) {
 	count := func(c Carriers) map[string]int {
 		in := make(map[string]int)
 		for _, name := range c.Names {
@@ -115,8 +115,8 @@
 	must.Greater(t, 1, count(c)["b"])
 }
 
-// One instance more or less moves only its own places.
-func TestPlacementIsStable(t *testing.T) {
+// Losing one instance only replaces that instance.
+func TestLosingAnInstanceReplacesOnlyIt(t *testing.T) {
 	all := fleet(50, "a", "b", "c", "d", "e")
 	g := Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}
 	before := place(g, all, 250).Names
@@ -135,7 +135,7 @@
 	must.False(t, ok)
 }
 
-func TestActive(t *testing.T) {
+func TestActiveLimitPerCarrier(t *testing.T) {
 	everybody := place(Group{Name: "g", MaxConnections: 23}, nil, 9)
 	must.Eq(t, 1, everybody.Active(3, "a", "a"))
 	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).Active(3, "a", "a"))
@@ -144,12 +144,12 @@
 	few := place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, fleet(50, "a", "b", "c", "d"), 200)
 	must.Eq(t, 3, few.Active(3, "a", "a"), must.Sprint("two near carriers share the member"))
 	must.Eq(t, 1, few.Active(3, "a", "b"))
-	must.Eq(t, 1, few.Active(3, "d", "d"), must.Sprint("no carrier stands there"))
+	must.Eq(t, 1, few.Active(3, "d", "d"), must.Sprint("there is no carrier near the member"))
 }
 
-// A statement crosses once: the one that needs the primary goes to the primary's data
-// centre, others stay in the entry's where a carrier is there.
-func TestOrderOfCarriers(t *testing.T) {
+// A statement is forwarded between data centres at most once: one that needs the primary goes to
+// the primary's data centre, others stay in their own where it has a carrier.
+func TestOrderPrefersNearCarriers(t *testing.T) {
 	carriers := fleet(2, "a", "b", "c")
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	near := func(caller Caller, preferred string) []string {
@@ -167,14 +167,14 @@
 		first[Order(carriers, same, Caller{fmt.Sprint(i), "d"}, "d", locality.Map{})[0].Name]++
 	}
 	for _, i := range carriers {
-		must.Greater(t, 25, first[i.Name], must.Sprint("the callers of a data centre without members share all carriers"))
+		must.Greater(t, 25, first[i.Name], must.Sprint("origins in a data centre without members use all carriers"))
 	}
 }
 
-// full drives one member of 3 slots with half more than it can run, through some carriers
-// that have so many statements there at the most. It returns which part of the urgent
-// statements, a sixth of all, is answered within 150 ms.
-func full(carriers, active int) float64 {
+// urgentInTime simulates a member of 3 slots that receives 1.5 times the load it can run, through
+// some carriers with a limit of concurrent statements each. It returns the fraction of urgent
+// statements, a sixth of all, that are answered within 150 ms.
+func urgentInTime(carriers, active int) float64 {
 	const (
 		slots, work   = 3, 18 * time.Millisecond
 		arrivals      = 3000
@@ -239,20 +239,19 @@
 	return float64(inTime) / float64(all)
 }
 
-// The load: a member has half more work than it can run, as a primary whose replicas lag.
-// From 32 instances up to 29 statements wait there, and an urgent one behind them;
-// from 6 it waits behind 5.
-func TestUrgentStatementsPassAFullMember(t *testing.T) {
-	many, few := full(32, 1), full(6, 1)
+// A member receives 1.5 times the load that it can run, like a primary whose replicas lag. With
+// 32 carriers up to 29 statements queue at the member, and an urgent statement behind them; with
+// 6 carriers it queues behind 5.
+func TestFewCarriersKeepUrgentStatementsFast(t *testing.T) {
+	many, few := urgentInTime(32, 1), urgentInTime(6, 1)
 	t.Logf("urgent statements in time: %.2f through 32 instances, %.2f through 6", many, few)
 	must.Less(t, 0.7, many)
 	must.Greater(t, 0.95, few)
 }
 
-// Whoever the carriers of a group are, in data centres that have few instances or none, and
-// with instances that are unlike: together they use no more connections to a member than it
-// takes.
-func TestCarriersShareAMembersConnections(t *testing.T) {
+// The carriers of a group together never use more connections to a member than it accepts, also
+// with few or no instances in a data centre and with instances of different capacity.
+func TestCarriersStayWithinMaxConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var alive []ownership.Instance
 		centres := make(map[string]string)
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -4,24 +4,24 @@
 	"slices"
 )
 
-// spareRanks is how many instances a ranking keeps beyond the places of its data centre: those
-// that take over when some of them leave or have no room.
+// spareRanks is how many instances a ranking keeps beyond the carrier slots of its data centre.
+// They take over when others leave or reach their group limit.
 const spareRanks = 6
 
-// ranking is the first in rank for one group of the instances of a data centre, or of all. It follows
-// the instances that come and go, so that one of them costs each group one comparison; only
-// a ranking that has run short is drawn anew.
+// ranking holds the highest-ranked instances for one group, of one data centre or of all. It is
+// updated as instances join and leave, at the cost of one comparison per instance and group; it
+// is recomputed only when it has run out of instances.
 type ranking struct {
-	dataCentre string // empty: all
-	keeps      int    // instances at the most; 0: nothing is ranked yet
+	dataCentre string // empty: all data centres
+	keeps      int    // maximum length of top; 0: not computed yet
 	first      []candidate
-	whole      bool // first holds every instance that the ranking covers
+	whole      bool // top holds every instance that the ranking covers
 }
 
-// covers reports whether an instance takes part.
+// covers reports whether the ranking includes instances of i's data centre.
 func (r *ranking) covers(i *instance) bool { return r.dataCentre == "" || r.dataCentre == i.DataCentre }
 
-// at returns the nth instance in rank, false when there are fewer.
+// at returns the instance of rank n, counted from 0, and false when there are fewer.
 func (r *ranking) at(t *Table, group string, n int) (candidate, bool) {
 	for n >= len(r.first) {
 		if r.whole {
@@ -33,10 +33,10 @@
 	return r.first[n], true
 }
 
-// fill draws for all instances that the ranking covers.
+// fill recomputes the ranking from all instances that it covers.
 func (r *ranking) fill(t *Table, group string) {
 	r.first = r.first[:0]
-	count, bars := 0, make(map[float64]uint64) // least scores that still matter, by weight
+	count, thresholds := 0, make(map[float64]uint64) // lowest scores that can still enter the ranking, by weight
 	for dataCentre, instances := range t.byDataCentre {
 		if r.dataCentre != "" && r.dataCentre != dataCentre {
 			continue
@@ -44,27 +44,27 @@
 		count += len(instances)
 		for _, i := range instances {
 			score := t.score(group, i)
-			if score < bars[i.Weight] {
+			if score < thresholds[i.Weight] {
 				continue
 			}
 			if r.insert(t.draw(score, i)) && len(r.first) == r.keeps {
-				r.raise(t, bars)
+				r.raise(t, thresholds)
 			}
 		}
 	}
 	r.whole = len(r.first) == count
 }
 
-// raise sets the bars to the last that is kept: most instances are passed over by their scores
-// alone.
-func (r *ranking) raise(t *Table, bars map[float64]uint64) {
+// raiseThresholds sets the thresholds from the last instance in the ranking. Most instances are
+// then skipped by their score, without computing the weighted score.
+func (r *ranking) raise(t *Table, thresholds map[float64]uint64) {
 	last := r.first[len(r.first)-1].draw
 	for _, i := range t.kinds {
-		bars[i.Weight] = t.weights.Threshold(last, i)
+		thresholds[i.Weight] = t.weights.Threshold(last, i)
 	}
 }
 
-// insert takes in an instance unless enough others rank before it, and reports whether it did.
+// insert adds an instance unless the ranking is full of better ones, and reports whether it did.
 func (r *ranking) insert(c candidate) bool {
 	if len(r.first) == r.keeps && byRank(c, r.first[len(r.first)-1]) > 0 {
 		return false
@@ -75,8 +75,9 @@
 	return true
 }
 
-// join takes in an instance that has come. Of those behind the last that is kept nothing is
-// known, unless the ranking is whole.
+// join adds an instance that has joined the fleet. Unless the ranking is complete, it does not
+// know the instances that rank after its last one, so a new instance that would come last is
+// left out.
 func (r *ranking) join(c candidate) {
 	if !r.whole && (len(r.first) == 0 || byRank(c, r.first[len(r.first)-1]) > 0) {
 		return
@@ -86,10 +87,10 @@
 	r.whole = r.whole && len(r.first) > before
 }
 
-// leave drops the instances that have gone.
+// removeGone removes the instances that have left the fleet.
 func (r *ranking) leave() {
 	r.first = slices.DeleteFunc(r.first, func(c candidate) bool { return c.gone })
 }
 
-// clear forgets the ranking.
+// clear marks the ranking as not computed.
 func (r *ranking) clear() { r.first, r.whole, r.keeps = nil, false, 0 }
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -22,10 +22,10 @@
 	}
 }
 
-// twoRegions has three data centres in each of two regions.
+// twoRegions has two regions with three data centres each.
 var twoRegions = locality.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "y", "e": "y", "f": "y"})
 
-// drawFleet returns instances in some data centres.
+// drawFleet draws up to six instances in each of six data centres.
 func drawFleet(t *rapid.T) []ownership.Instance {
 	var all []ownership.Instance
 	for _, dc := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -36,8 +36,8 @@
 	return all
 }
 
-// withoutRegions is the choice of carriers as it is where no data centre is farther away
-// than another: two near each member, in rank, and others in rank where some are missing.
+// withoutRegions chooses carriers without regard to regions: the highest-ranked instances near each
+// member, then others in rank order for the missing ones.
 func withoutRegions(g Group, alive []ownership.Instance, most int) []string {
 	left := make(map[string]int)
 	for _, home := range g.Homes {
@@ -55,9 +55,9 @@
 	return append(names, others[:min(most-len(names), len(others))]...)
 }
 
-// A fleet whose settings name one region, or none, has the same carriers, in the same
-// order, as one that knows nothing of regions.
-func TestOneRegionChangesNothing(t *testing.T) {
+// Without regions, or with a single one, the carriers and their order are the same as those
+// computed without regard to regions.
+func TestSingleRegionMatchesNoRegions(t *testing.T) {
 	one := locality.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x", "e": "x", "f": "x"})
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	rapid.Check(t, func(t *rapid.T) {
@@ -86,10 +86,11 @@
 	})
 }
 
-// The load: callers everywhere, members in some data centres. A read is carried in its
-// caller's region where that has a carrier, and what needs the primary in the primary's
-// data centre, or else its region: neither crosses more than once.
-func TestOrderKeepsToRegions(t *testing.T) {
+// Ingress instances are in any data centre, members in some. Carriers are tried by distance to
+// the preferred data centre, then by distance to the ingress instance. A read thus stays in the
+// region of its ingress instance if there is a carrier, and a statement that needs the primary goes
+// to the primary's data centre, or else to its region; neither changes regions more than once.
+func TestOrderSortsByRegionDistance(t *testing.T) {
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	rapid.Check(t, func(t *rapid.T) {
 		carriers := drawFleet(t)
@@ -107,9 +108,9 @@
 	})
 }
 
-// The failure: a data centre with a member is lost with all its instances. Its region keeps
-// as many carriers as long as it has instances.
-func TestRegionsKeepCarriers(t *testing.T) {
+// A data centre with a member loses all its instances. Its region keeps its number of carriers as
+// long as it has enough instances.
+func TestRegionReplacesLostCarriers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
 		homes := []string{"a", "b", "d"}
--- a/internal/placement/strength_test.go
+++ b/internal/placement/strength_test.go
@@ -11,13 +11,13 @@
 	"github.com/stackspindle/stackspindle/internal/ownership"
 )
 
-// Two instances as unlike as they come, of which a data centre has some of each.
+// Two capacities that differ as much as any in a fleet. Each data centre has instances of both.
 var (
 	strong = Strength{Cores: 0.8, LinkMbps: 200}
 	weak   = Strength{Cores: 0.2, LinkMbps: 10}
 )
 
-// unlike returns a fleet with some strong instances and some weak ones in each data centre.
+// unlike returns a fleet with some strong and some weak instances in each data centre.
 func unlike(strongOnes, weakOnes int, dataCentres ...string) []ownership.Instance {
 	all := fleet(strongOnes+weakOnes, dataCentres...)
 	for n := range all {
@@ -29,7 +29,7 @@
 	return all
 }
 
-// loads returns how many groups each instance carries.
+// loads returns how many groups each instance serves.
 func loads(placed map[string]Carriers) map[string]int {
 	load := make(map[string]int)
 	for _, c := range placed {
@@ -40,22 +40,22 @@
 	return load
 }
 
-func TestCarryingIsBoundByWhatIsShort(t *testing.T) {
+func TestCapacityIsLimitedByScarcestResource(t *testing.T) {
 	must.Greater(t, weak.Carrying(), strong.Carrying())
-	must.Eq(t, 0, Strength{Cores: 1}.Carrying(), must.Sprint("the link is not told"))
+	must.Eq(t, 0, Strength{Cores: 1}.Carrying(), must.Sprint("the link is not announced"))
 	must.Eq(t, Strength{Cores: 1, LinkMbps: 1}.Carrying(), Strength{Cores: 9, LinkMbps: 1}.Carrying())
 }
 
-// The load: each data centre has many weak instances and few strong ones. The strong ones
-// get the greater part of a place each, and nobody more than its bound.
-func TestStrongInstancesCarryMore(t *testing.T) {
+// Each data centre has many weak instances and few strong ones. A strong instance serves most
+// groups, and no instance exceeds its group limit.
+func TestStrongInstancesServeMoreGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alive := unlike(rapid.IntRange(1, 4).Draw(t, "strong"), rapid.IntRange(6, 20).Draw(t, "weak"), "a", "b", "c", "d")
 		groups := groupsOf(rapid.IntRange(1, 40).Draw(t, "groups"))
 		f := Fleet{Alive: alive, Registered: 500}
 		table := NewTable()
 		placed := make(map[string]Carriers)
-		follow(table, placed, groups, f)
+		applyFleet(table, placed, groups, f)
 		load, bound := loads(placed), table.bounds()
 		for _, i := range alive {
 			must.LessEq(t, bound[i.Name], load[i.Name], must.Sprint(i.Name))
@@ -65,9 +65,9 @@
 	must.Greater(t, 3*load["a-5"], load["a-0"]+load["a-1"])
 }
 
-// The failure: an instance is lost. What it carried moves, and of the rest little: what the
-// bounds push on.
-func TestLossMovesOwnPart(t *testing.T) {
+// An instance is lost. Its carrier slots move to others, and few other slots move because of the
+// group limits.
+func TestLossMovesFewOtherSlots(t *testing.T) {
 	alive, groups := unlike(2, 14, "a", "b", "c"), groupsOf(40)
 	before := Place(groups, Fleet{Alive: alive, Registered: 500})
 	own, moved := 0, 0
@@ -85,12 +85,12 @@
 			}
 		}
 	}
-	t.Logf("%d moved with their instance, %d by the bounds", own, moved)
+	t.Logf("%d slots moved with their instance, %d because of group limits", own, moved)
 	must.Less(t, own/2, moved)
 }
 
-// Both strong instances of a data centre are lost at once. The next in rank there take
-// over, and each group has as many carriers as before.
+// Both strong instances of a data centre are lost at once. The next ones in its ranking replace
+// them, and each group keeps its number of carriers.
 func TestLossOfAllStrongInstances(t *testing.T) {
 	alive := slices.DeleteFunc(unlike(2, 14, "a", "b", "c"), func(i ownership.Instance) bool {
 		return i.DataCentre == "a" && i.Weight == strong.Carrying()
@@ -101,8 +101,8 @@
 	}
 }
 
-// Instances that announce the same, or nothing, get what they get without announcements.
-func TestInstancesThatAreAlikeAreAsBefore(t *testing.T) {
+// Instances that all announce the same capacity are placed like instances that announce none.
+func TestEqualCapacitiesMatchNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := drawFleet(t)
 		alike := slices.Clone(plain)
@@ -118,9 +118,9 @@
 	})
 }
 
-// The load: entries anywhere. The two carriers of a data centre share what comes, also where
-// one is stronger.
-func TestCarriersShareEvenly(t *testing.T) {
+// Statements come from any origin. The two carriers of a data centre get equal parts, although
+// one has more capacity.
+func TestOrderSpreadsEvenlyDespiteCapacity(t *testing.T) {
 	carriers := unlike(1, 1, "a")
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	first := 0
@@ -133,7 +133,7 @@
 	must.InDelta(t, 0.5, float64(first)/entries, 0.05)
 }
 
-// BenchmarkPlace is what one change of the fleet costs an instance.
+// BenchmarkPlace measures a full placement, the cost of one change of the fleet without a Table.
 func BenchmarkPlace(b *testing.B) {
 	for _, size := range []int{100, 550, 1000} {
 		for kind, alive := range map[string][]ownership.Instance{
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -9,35 +9,36 @@
 	"github.com/stackspindle/stackspindle/internal/ownership"
 )
 
-// Table keeps the carriers of many groups while the fleet changes. It answers the load of a
-// start of many instances before many groups: each registration changes the picture, and to
-// rank all instances for all groups each time costs the product of the three. A table keeps
-// the first in rank of each group instead, so that an instance that comes or goes costs a
-// comparison a group, also where bounds tie the carriers of all groups together.
+// Table maintains the carriers of many groups while the fleet changes. It is designed for the
+// start of many instances with many groups: each registration changes the fleet, and ranking
+// all instances for all groups each time would cost the product of registrations, instances
+// and groups. A table keeps the highest-ranked instances of each group instead, so that an
+// instance that joins or leaves costs one comparison per group, even where group limits make
+// the carriers of all groups depend on each other.
 //
-// What it tells is what Place returns. It is not safe for concurrent use.
+// The carriers are the same as those from Place. A Table is not safe for concurrent use.
 type Table struct {
-	rows         []*row // in the order of the groups' names
+	rows         []*row // sorted by group name
 	alive        map[string]*instance
 	byDataCentre map[string][]*instance
 	registered   int
 	places       locality.Map
 	weights      ownership.Weights
-	changed      bool                 // groups or instances have, since the last update
-	kinds        []ownership.Instance // one of each weight
-	scores       int                  // worked out so far
+	changed      bool                 // groups or instances have changed since the last Update
+	kinds        []ownership.Instance // one instance of each weight
+	scores       int                  // number of scores computed so far; tests read it
 }
 
-// instance is one that is alive.
+// instance is an instance that is alive.
 type instance struct {
 	ownership.Instance
 	bounded bool
-	bound   int  // groups that it may carry; meaningful where bounded
-	load    int  // groups placed so far that it carries
-	gone    bool // it has left the fleet, or its description has changed
+	bound   int  // maximum number of groups; valid if limited
+	load    int  // groups assigned to it so far during an Update
+	gone    bool // it has left the fleet, or its registration has changed
 }
 
-// hasRoom reports whether the instance may carry another group.
+// belowLimit reports whether another group may be assigned to the instance.
 func (i *instance) hasRoom() bool { return !i.bounded || i.load < i.bound }
 
 // row is the placement of one group.
@@ -49,14 +50,15 @@
 	placed   bool
 }
 
-// home is a data centre of a group's members.
+// memberDataCentre is a data centre that has members of the group.
 type home struct {
 	dataCentre string
-	places     int // of carriers
+	places     int // number of carriers wanted there
 	ranking    ranking
 }
 
-// maxKinds bounds the weights for which scores alone are compared; machines come in few kinds.
+// maxWeightClasses limits the number of distinct weights with a score threshold. A fleet has few
+// machine types.
 const maxKinds = 16
 
 // NewTable returns an empty table.
@@ -64,16 +66,16 @@
 	return &Table{alive: make(map[string]*instance), byDataCentre: make(map[string][]*instance)}
 }
 
-// find returns where the row of a group is, or would be.
+// find returns the index of a group's row, or the index to insert it at, and whether it exists.
 func (t *Table) find(group string) (int, bool) {
 	return slices.BinarySearchFunc(t.rows, group, func(r *row, name string) int { return strings.Compare(r.group.Name, name) })
 }
 
-// Set takes in a group that is new or has changed.
+// Set adds a group, or updates it if it has changed.
 func (t *Table) Set(g Group) {
-	at, known := t.find(g.Name)
+	at, exists := t.find(g.Name)
 	switch {
-	case !known:
+	case !exists:
 		t.rows = slices.Insert(t.rows, at, newRow(g, &row{}))
 	case t.rows[at].group.Equal(g):
 		return
@@ -83,20 +85,20 @@
 	t.changed = true
 }
 
-// Remove drops a group.
+// Remove deletes a group.
 func (t *Table) Remove(group string) {
-	if at, known := t.find(group); known {
+	if at, exists := t.find(group); exists {
 		t.rows = slices.Delete(t.rows, at, at+1)
 		t.changed = true
 	}
 }
 
-// newRow returns the row of a group, with the rankings of its row before.
-func newRow(g Group, before *row) *row {
-	r := &row{group: g, anywhere: before.anywhere}
+// newRow returns the row of a group. It takes over the rankings of the group's previous row.
+func newRow(g Group, previous *row) *row {
+	r := &row{group: g, anywhere: previous.anywhere}
 	for _, dataCentre := range slices.Compact(slices.Sorted(slices.Values(g.Homes))) {
 		h := home{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
-		if known := before.homeAt(dataCentre); known != nil {
+		if known := previous.homeAt(dataCentre); known != nil {
 			h.ranking = known.ranking
 		}
 		r.homes = append(r.homes, h)
@@ -107,7 +109,7 @@
 	return r
 }
 
-// homeAt returns the home in a data centre, nil when no member is there.
+// findDataCentre returns the group's entry for a data centre, nil when no member is there.
 func (r *row) homeAt(dataCentre string) *home {
 	for n := range r.homes {
 		if r.homes[n].dataCentre == dataCentre {
@@ -119,9 +121,9 @@
 
 func (r *row) isHome(dataCentre string) bool { return r.homeAt(dataCentre) != nil }
 
-// isPlaced reports whether the group has been placed on just these instances.
-func (r *row) isPlaced(chosen []candidate, usable, most int) bool {
-	return r.placed && !r.carriers.Everybody && r.carriers.usable == usable && r.carriers.count == most &&
+// hasCarriers reports whether the group already has exactly these carriers.
+func (r *row) isPlaced(chosen []candidate, usable, limit int) bool {
+	return r.placed && !r.carriers.Everybody && r.carriers.usable == usable && r.carriers.count == limit &&
 		slices.EqualFunc(r.carriers.Names, chosen, func(name string, c candidate) bool { return name == c.Name }) &&
 		!slices.ContainsFunc(r.homes, func(h home) bool { return r.carriers.atHome[h.dataCentre] != countIn(chosen, h.dataCentre) })
 }
@@ -137,23 +139,23 @@
 	return count
 }
 
-// Equal reports whether two groups are placed alike.
+// Equal reports whether two groups have the same properties.
 func (g Group) Equal(other Group) bool {
 	return g.Name == other.Name && g.MaxConnections == other.MaxConnections && slices.Equal(g.Homes, other.Homes)
 }
 
-// Update takes in how many instances may use connections, and calls placed with each group that
-// has other carriers than before.
-func (t *Table) Update(registered int, places locality.Map, placed func(string, Carriers)) {
+// Update recomputes the placement for a number of registered instances. It calls placed for
+// each group whose carriers have changed.
+func (t *Table) Update(registered int, regions locality.Map, placed func(string, Carriers)) {
 	if !t.changed && registered == t.registered {
 		return
 	}
-	t.registered, t.places, t.changed = registered, places, false
+	t.registered, t.places, t.changed = registered, regions, false
 	t.bind()
-	c := choice{table: t}
+	p := choice{table: t}
 	for _, r := range t.rows {
 		before := r.carriers
-		r.carriers = c.place(r)
+		r.carriers = p.place(r)
 		if !r.placed || !before.same(r.carriers) {
 			r.placed = true
 			placed(r.group.Name, r.carriers)
@@ -161,13 +163,13 @@
 	}
 }
 
-// same reports whether two placements are the same one, or of everybody alike.
+// equal reports whether two placements are the same.
 func (c Carriers) same(other Carriers) bool {
 	return c.Everybody == other.Everybody && c.usable == other.usable && c.count == other.count && slices.Equal(c.Names, other.Names) &&
 		maps.Equal(c.atHome, other.atHome)
 }
 
-// SetInstances takes in the instances that are alive.
+// SetInstances sets the instances that are alive.
 func (t *Table) SetInstances(alive []ownership.Instance) {
 	joined, left := t.compare(alive)
 	if len(joined) > 0 || left > 0 {
@@ -176,12 +178,12 @@
 	}
 }
 
-// compare notes the instances, and returns those that have joined and how many have left. One
-// whose description has changed has left and joined.
+// updateAlive updates the table's instances, and returns those that joined and how many left. An
+// instance whose registration has changed counts as one that left and one that joined.
 func (t *Table) compare(alive []ownership.Instance) (joined []*instance, left int) {
-	now := make(map[string]bool, len(alive))
+	present := make(map[string]bool, len(alive))
 	for _, i := range alive {
-		now[i.Name] = true
+		present[i.Name] = true
 		before := t.alive[i.Name]
 		if before != nil && before.Instance == i {
 			continue
@@ -194,7 +196,7 @@
 		joined = append(joined, t.alive[i.Name])
 	}
 	for name, i := range t.alive {
-		if !now[name] {
+		if !present[name] {
 			i.gone = true
 			delete(t.alive, name)
 			left++
@@ -211,9 +213,9 @@
 	return joined, left
 }
 
-// rank brings the rankings of all groups up to date.
+// updateRankings updates the rankings of all groups after instances joined or left.
 func (t *Table) rank(joined []*instance, someLeft bool, weights ownership.Weights) {
-	anew := weights != t.weights
+	reweighted := weights != t.weights
 	t.weights = weights
 	for _, i := range joined {
 		if len(t.kinds) < maxKinds && !slices.ContainsFunc(t.kinds, func(k ownership.Instance) bool { return k.Weight == i.Weight }) {
@@ -222,18 +224,18 @@
 	}
 	for _, r := range t.rows {
 		for n := range r.homes {
-			t.follow(r.group, &r.homes[n].ranking, joined, someLeft, anew)
+			t.follow(r.group, &r.homes[n].ranking, joined, someLeft, reweighted)
 		}
-		t.follow(r.group, &r.anywhere, joined, someLeft, anew)
+		t.follow(r.group, &r.anywhere, joined, someLeft, reweighted)
 	}
 }
 
-// follow brings a ranking up to date.
-func (t *Table) follow(g Group, r *ranking, joined []*instance, someLeft, anew bool) {
+// updateRanking updates one ranking.
+func (t *Table) follow(g Group, r *ranking, joined []*instance, someLeft, reweighted bool) {
 	switch {
 	case r.keeps == 0:
-		return // nobody has asked for it yet
-	case anew || t.everybody(g):
+		return // not computed yet
+	case reweighted || t.everybody(g):
 		r.clear()
 		return
 	case someLeft:
@@ -246,25 +248,25 @@
 	}
 }
 
-// score returns an instance's score for a group.
+// score returns the hash score of an instance for a group, and counts the computation.
 func (t *Table) score(group string, i *instance) uint64 {
 	t.scores++
 	return ownership.Score(group, i.Name)
 }
 
-// draw returns what an instance draws by a score.
+// newCandidate returns the candidate for an instance with a given hash score.
 func (t *Table) draw(score uint64, i *instance) candidate {
 	return candidate{instance: i, draw: t.weights.Draw(score, i.Instance)}
 }
 
-// bind sets how many groups each instance may carry, of which it carries none yet.
+// resetLoads sets the group limit of each instance and its load to zero.
 func (t *Table) bind() {
-	bounds := t.bounds()
+	limits := t.bounds()
 	for name, i := range t.alive {
-		i.load, i.bounded = 0, bounds != nil
-		i.bound = bounds[name]
+		i.load, i.bounded = 0, limits != nil
+		i.bound = limits[name]
 	}
 }
 
-// everybody reports whether each instance carries a group.
+// servedByAll reports whether every instance serves a group.
 func (t *Table) everybody(g Group) bool { return g.everybody(t.registered, len(t.rows)) }
--- a/internal/routing/await.go
+++ b/internal/routing/await.go
@@ -6,11 +6,13 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Await reports whether a read should wait for a replica rather than take the primary: a
-// replica that does not fall further behind should hold the required position, which is of an
-// age, within the time that the read can wait, and the primary has other work. One that would
-// rank behind the primary even then is not waited for. order is what Order returned.
-func Await(order []Candidate, required group.Position, age, left time.Duration) bool {
+// Await reports whether a read should wait for a replica instead of running on the primary at
+// once. It returns true when the primary is first in order but busy, and a replica is expected
+// to reach the required position in time. The lag of that replica must not be growing, and it
+// must not cost more than the primary, or the read would not go to it even then. order is the
+// result of Order, age is the age of the required position, and maxWait is how long the read
+// can wait.
+func Await(order []Candidate, required group.Position, age, maxWait time.Duration) bool {
 	if len(order) == 0 || !order[0].Primary || order[0].Load == 0 {
 		return false
 	}
@@ -18,7 +20,7 @@
 		if c.Primary || !c.Usable || c.Behind < 0 || c.Growing || !c.Position.Less(required) || cost(c) > cost(order[0]) {
 			continue
 		}
-		if c.Behind-age <= left {
+		if c.Behind-age <= maxWait {
 			return true
 		}
 	}
--- a/internal/routing/await_test.go
+++ b/internal/routing/await_test.go
@@ -9,9 +9,9 @@
 	"github.com/stackspindle/stackspindle/internal/locality"
 )
 
-// The load: the primary is busy, and replicas lag. A read waits for one that will be there in
-// time, and for none that falls back, is gone, or whose lag is not known.
-func TestAwait(t *testing.T) {
+// The primary is busy, and replicas lag. A read waits for a replica that will catch up in time,
+// and not for one that falls behind, does not answer or has an unknown lag.
+func TestShouldWaitForReplica(t *testing.T) {
 	const age, left = 100 * time.Millisecond, 50 * time.Millisecond
 	primary := Candidate{ID: "p", Primary: true, Usable: true, Load: 1}
 	near := Candidate{ID: "a", Usable: true, Position: at(4), Behind: age + left}
@@ -24,17 +24,17 @@
 		replicas []Candidate
 		want     bool
 	}{
-		"just in time":      {[]Candidate{near}, true},
-		"one of two":        {[]Candidate{with(func(c *Candidate) { c.Behind += time.Second }), near}, true},
-		"a moment too late": {[]Candidate{with(func(c *Candidate) { c.Behind++ })}, false},
-		"falls back":        {[]Candidate{with(func(c *Candidate) { c.Growing = true })}, false},
-		"gone":              {[]Candidate{with(func(c *Candidate) { c.Usable = false })}, false},
-		"lag not known":     {[]Candidate{with(func(c *Candidate) { c.Behind = -1 })}, false},
-		"just refused":      {[]Candidate{with(func(c *Candidate) { c.Refused = true })}, false},
-		"another region":    {[]Candidate{with(func(c *Candidate) { c.Distance = locality.OtherRegion })}, false},
-		"there, not here":   {[]Candidate{with(func(c *Candidate) { c.Distance, c.Behind = locality.OtherRegion, age }), near}, true},
-		"has more to do":    {[]Candidate{with(func(c *Candidate) { c.Load = 2 })}, false},
-		"none":              {nil, false},
+		"just in time":                       {[]Candidate{near}, true},
+		"one of two":                         {[]Candidate{with(func(c *Candidate) { c.Behind += time.Second }), near}, true},
+		"just too late":                      {[]Candidate{with(func(c *Candidate) { c.Behind++ })}, false},
+		"lag is growing":                     {[]Candidate{with(func(c *Candidate) { c.Growing = true })}, false},
+		"does not answer":                    {[]Candidate{with(func(c *Candidate) { c.Usable = false })}, false},
+		"lag unknown":                        {[]Candidate{with(func(c *Candidate) { c.Behind = -1 })}, false},
+		"rejected for its lag":               {[]Candidate{with(func(c *Candidate) { c.Refused = true })}, false},
+		"in another region":                  {[]Candidate{with(func(c *Candidate) { c.Distance = locality.OtherRegion })}, false},
+		"nearly caught up in another region": {[]Candidate{with(func(c *Candidate) { c.Distance, c.Behind = locality.OtherRegion, age }), near}, true},
+		"more loaded than the primary":       {[]Candidate{with(func(c *Candidate) { c.Load = 2 })}, false},
+		"no replica":                         {nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			order := Order(append([]Candidate{primary}, c.replicas...), at(5), age)
@@ -43,7 +43,7 @@
 	}
 	idle := primary
 	idle.Load = 0
-	must.False(t, Await(Order([]Candidate{idle, near}, at(5), age), at(5), age, left), must.Sprint("the primary has nothing else to do"))
+	must.False(t, Await(Order([]Candidate{idle, near}, at(5), age), at(5), age, left), must.Sprint("the primary is idle"))
 	fresh := Candidate{ID: "b", Usable: true, Position: at(5)}
 	must.False(t, Await(Order([]Candidate{primary, fresh}, at(5), age), at(5), age, left), must.Sprint("a replica can serve now"))
 }
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -8,51 +8,52 @@
 	"github.com/stackspindle/stackspindle/internal/locality"
 )
 
-// Candidate is a member that might serve a read, as one instance among several
-// that use it sees it. What it holds is known from its last answer only.
+// Candidate is a member that may serve a read, as seen by one of the instances that use it.
+// It describes the member's state at its last answer.
 type Candidate struct {
 	ID       string
 	Primary  bool
 	Distance locality.Distance // from the instance
 	Draining bool              // gets no new work
-	Usable   bool              // answered when it was last asked
-	Refused  bool              // could not serve a read for want of log a moment ago
-	Position group.Position    // end of its log as last told
-	Behind   time.Duration     // how long ago the primary was there; negative: not known
-	Growing  bool              // it was further behind when it last told than before
-	Seen     time.Duration     // how long ago Behind was told
-	Load     int               // requests of this instance that it holds or that wait for it
-	Slots    int               // of the member's that this instance may count on
-	Work     time.Duration     // that such a read usually takes; 0: not known
-	Failing  float64           // part of what it was sent that lately failed
-	Deferred bool              // takes no part in this choice, since it fails more than others
+	Usable   bool              // it answered the last request
+	Refused  bool              // it rejected a read moments ago because its log did not hold the required position
+	Position group.Position    // end of its log, as last reported
+	Behind   time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
+	Growing  bool              // the lag increased between the last two reports
+	Seen     time.Duration     // age of the report that the lag comes from
+	Load     int               // requests of this instance that run at the member or wait for it
+	Slots    int               // of the member's slots, how many this instance may count on
+	Work     time.Duration     // typical duration of such a read; 0: unknown
+	Failing  float64           // fraction of recent requests to it that failed
+	Deferred bool              // ranked lower for this read, because it fails more than others
 }
 
-// Weights of Order, in half requests waiting.
+// Weights of the cost function, in halves of a queued request.
 const (
 	perRequest     = 2
-	primaryPenalty = 1 // its slots are for writes first
-	farPenalty     = 1 // bytes between data centres are charged, and take longer
+	primaryPenalty = 1 // the primary's slots are for writes first
+	farPenalty     = 1 // traffic between data centres is charged for and takes longer
 )
 
-// trialAfter is how old the knowledge that a replica is behind may be before a read tries
-// it again: one that nobody asks cannot show that it has caught up.
+// retryLaggingAfter is the age of a lag report after which reads try the replica again. A
+// replica that gets no requests cannot report that it has caught up.
 const trialAfter = 250 * time.Millisecond
 
-// regionTrip is what a read is taken to spend on the way to another region and back.
+// crossRegionRTT is the assumed round trip time of a read to another region.
 const regionTrip = 25 * time.Millisecond
 
-// Order returns the members that may serve a read, best first: the least loaded,
-// near replicas before others, and those of other regions once the near ones have
-// so much to do that the way there takes less time. The required position was the end of the
-// primary's log an age ago. A replica that should not hold it yet comes after the
-// primary, and one that has just said so is left out. Members that did not answer
-// come last.
+// Order returns the members that may serve a read, best first. It prefers the least loaded
+// member, and near replicas over other members. Members of other regions come first only when
+// the near ones are so loaded that queueing there takes longer than the cross-region round
+// trip. required is the position that the member's log must hold; it was the end of the
+// primary's log an age ago. A replica that is not expected to hold it yet comes after the
+// primary. A replica that rejected a read for that reason moments ago is left out, and so
+// are draining replicas. Members that did not answer come last.
 func Order(candidates []Candidate, required group.Position, age time.Duration) []Candidate {
 	var order []Candidate
 	for _, c := range candidates {
-		lacks := !c.Primary && c.Position.Less(required)
-		if c.Draining && !c.Primary || lacks && c.Refused {
+		lagging := !c.Primary && c.Position.Less(required)
+		if c.Draining && !c.Primary || lagging && c.Refused {
 			continue
 		}
 		order = append(order, c)
@@ -66,7 +67,7 @@
 	return order
 }
 
-// Trip returns how much longer a read is under way to the member and back than to a near one.
+// Trip returns the extra round trip time of a read at the member compared with a near member.
 func (c Candidate) Trip() time.Duration {
 	if c.Distance == locality.OtherRegion {
 		return regionTrip
@@ -74,9 +75,9 @@
 	return 0
 }
 
-// AtOnce returns the members at which a read should run if they have room now, of those that
-// Order returned. Where a replica of its region should serve it, the read waits a moment
-// for room there rather than cross to another region at once.
+// AtOnce returns the members of order at which a read should run immediately if they have a free
+// slot. Where a replica of this region should serve the read, members of other regions are left
+// out: the read briefly waits for a slot in its region before it goes to another one.
 func AtOnce(order []Candidate, required group.Position, age time.Duration) []Candidate {
 	if len(order) == 0 || order[0].Primary || order[0].Distance == locality.OtherRegion || !order[0].Fit(required, age) {
 		return order
@@ -84,8 +85,8 @@
 	return slices.DeleteFunc(slices.Clone(order), func(c Candidate) bool { return c.Distance == locality.OtherRegion })
 }
 
-// rank groups candidates: those that should serve, those that may, and those
-// that did not answer.
+// rank classifies a candidate: 0 is expected to be able to serve the read, 1 may be able to,
+// and 2 did not answer.
 func rank(c Candidate, required group.Position, age time.Duration) int {
 	switch {
 	case !c.Usable:
@@ -98,11 +99,12 @@
 	return 1
 }
 
-// Fit reports whether a candidate should be able to serve a read now.
+// Fit reports whether a candidate is expected to be able to serve a read now.
 func (c Candidate) Fit(required group.Position, age time.Duration) bool {
 	return rank(c, required, age) == 0
 }
 
+// cost returns the cost of running a read at a candidate; lower is better.
 func cost(c Candidate) int {
 	cost := c.Load * perRequest
 	if c.Primary {
@@ -117,14 +119,15 @@
 	return cost
 }
 
-// crossing is what the way to a member of another region costs. A near member that has
-// fewer requests than that either runs them all at once, or has run them in less
-// time than the way takes.
+// crossRegionCost is the cost of the network latency to a member of another region. It equals the
+// cost of the load at which a read would queue at a near member for as long as the round trip
+// takes. With less load, the near member runs all requests at once or finishes those ahead in
+// less time.
 func crossing(c Candidate) int {
 	slots := max(1, c.Slots)
-	waiting := slots
+	queued := slots
 	if c.Work > 0 {
-		waiting = int((time.Duration(slots)*regionTrip + c.Work - 1) / c.Work)
+		queued = int((time.Duration(slots)*regionTrip + c.Work - 1) / c.Work)
 	}
-	return (slots + waiting) * perRequest
+	return (slots + queued) * perRequest
 }
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -25,24 +25,24 @@
 			[]Candidate{{ID: "p", Primary: true, Usable: true}, {ID: "a", Usable: true, Position: at(5)}}, []string{"a", "p"}},
 		"an idle primary before busy replicas": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(5), Load: 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
-		"near ones first": {
+		"near replicas first": {
 			[]Candidate{{ID: "a", Distance: locality.SameRegion, Usable: true, Position: at(5)}, {ID: "b", Usable: true, Position: at(5)}}, []string{"b", "a"}},
-		"after the primary when the position should not have come yet": {
+		"a lagging replica after the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: age + 1}, {ID: "p", Primary: true, Usable: true, Load: 3}}, []string{"p", "a"}},
-		"before it when it should": {
+		"a replica that should have caught up before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: age}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
-		"before it when it has not been asked for long": {
+		"a replica with an old lag report before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: trialAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
-		"after it when it was asked a moment ago": {
+		"a lagging replica with a recent report after the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: trialAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
-		"before it when nothing is known": {
+		"a replica with unknown lag before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: -1}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
-		"not after a refusal": {
+		"no replica that rejected a read for its lag": {
 			[]Candidate{{ID: "a", Usable: true, Refused: true, Position: at(4)}, {ID: "b", Usable: true, Refused: true, Position: at(5)}}, []string{"b"}},
-		"one that fails more than others in its turn only": {
+		"a deprioritized replica after a busy primary": {
 			[]Candidate{{ID: "a", Usable: true, Deferred: true, Position: at(5)}, {ID: "p", Primary: true, Usable: true, Load: 9}, {ID: "u", Position: at(5)}},
 			[]string{"p", "a", "u"}},
-		"unusable last, draining never, but for a primary": {
+		"unreachable members last, no draining replicas": {
 			[]Candidate{{ID: "d", Draining: true, Usable: true}, {ID: "u", Position: at(9)}, {ID: "p", Primary: true, Draining: true, Usable: true},
 				{ID: "a", Usable: true, Position: at(5), Load: 9}}, []string{"p", "a", "u"}},
 	} {
@@ -50,9 +50,9 @@
 	}
 }
 
-// A read stays in its region until the members there have so much to do that the way to
-// another region takes less time, or one of them fails.
-func TestOrderAmongRegions(t *testing.T) {
+// A read stays in its region until queueing there takes longer than the round trip to another
+// region, or the member in its region fails.
+func TestOrderAcrossRegions(t *testing.T) {
 	const age = 100 * time.Millisecond
 	here := func(load int) Candidate {
 		return Candidate{ID: "here", Usable: true, Position: at(5), Load: load, Slots: 3}
@@ -66,25 +66,25 @@
 		want       string
 	}{
 		"idle":                                    {[]Candidate{there, here(0)}, "here"},
-		"as much as runs at once":                 {[]Candidate{there, here(3)}, "here"},
-		"as long a wait as the way":               {[]Candidate{there, here(6)}, "here"},
-		"a longer wait than the way":              {[]Candidate{there, here(7)}, "there"},
+		"all slots in use":                        {[]Candidate{there, here(3)}, "here"},
+		"queueing as long as the round trip":      {[]Candidate{there, here(6)}, "here"},
+		"queueing longer than the round trip":     {[]Candidate{there, here(7)}, "there"},
 		"the primary of this region":              {[]Candidate{there, primary(4)}, "primary"},
-		"a primary with more than it can run":     {[]Candidate{there, primary(9)}, "there"},
+		"an overloaded primary of this region":    {[]Candidate{there, primary(9)}, "there"},
 		"a replica of this region, and a primary": {[]Candidate{primary(0), there, here(0)}, "here"},
-		"the one here does not answer":            {[]Candidate{{ID: "here", Position: at(5)}, there}, "there"},
-		"the one here is behind":                  {[]Candidate{{ID: "here", Usable: true, Position: at(4), Behind: 2 * age}, there}, "there"},
-		"the one here is about to hold it":        {[]Candidate{{ID: "here", Usable: true, Position: at(4), Behind: age}, there}, "here"},
+		"the near replica does not answer":        {[]Candidate{{ID: "here", Position: at(5)}, there}, "there"},
+		"the near replica lags":                   {[]Candidate{{ID: "here", Usable: true, Position: at(4), Behind: 2 * age}, there}, "there"},
+		"the near replica should have caught up":  {[]Candidate{{ID: "here", Usable: true, Position: at(4), Behind: age}, there}, "here"},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.want, Order(c.candidates, at(5), age)[0].ID) })
 	}
 }
 
-// The load: the replica of this region has no connection free at once. A read that has just
-// come does not cross for that; once that replica has too much to do, is behind, does not
-// answer or fails, the read crosses at once. So it does where this region has the primary
-// only, whose slots are for writes first.
-func TestAtOnceStaysInTheRegion(t *testing.T) {
+// The replica of this region has no free connection. A new read waits for it rather than go to
+// another region. If that replica is overloaded, lags, does not answer or fails, the read goes to
+// the other region at once. So it does where this region only has the primary, whose slots are
+// for writes first.
+func TestImmediateCandidatesStayInRegion(t *testing.T) {
 	const age = 100 * time.Millisecond
 	there := Candidate{ID: "there", Distance: locality.OtherRegion, Usable: true, Position: at(5), Slots: 3}
 	ids := func(candidates []Candidate) (ids []string) {
@@ -97,35 +97,34 @@
 		here Candidate
 		want []string
 	}{
-		"serves":         {Candidate{ID: "here", Usable: true, Position: at(5), Load: 3}, []string{"here"}},
-		"is the primary": {Candidate{ID: "here", Usable: true, Primary: true}, []string{"here", "there"}},
-		"too much to do": {Candidate{ID: "here", Usable: true, Position: at(5), Load: 20}, []string{"there", "here"}},
-		"behind":         {Candidate{ID: "here", Usable: true, Position: at(4), Behind: 2 * age}, []string{"there", "here"}},
-		"silent":         {Candidate{ID: "here", Position: at(5)}, []string{"there", "here"}},
-		"fails more":     {Candidate{ID: "here", Usable: true, Position: at(5), Deferred: true}, []string{"there", "here"}},
+		"busy replica":        {Candidate{ID: "here", Usable: true, Position: at(5), Load: 3}, []string{"here"}},
+		"primary":             {Candidate{ID: "here", Usable: true, Primary: true}, []string{"here", "there"}},
+		"overloaded replica":  {Candidate{ID: "here", Usable: true, Position: at(5), Load: 20}, []string{"there", "here"}},
+		"lagging replica":     {Candidate{ID: "here", Usable: true, Position: at(4), Behind: 2 * age}, []string{"there", "here"}},
+		"unreachable replica": {Candidate{ID: "here", Position: at(5)}, []string{"there", "here"}},
+		"failing replica":     {Candidate{ID: "here", Usable: true, Position: at(5), Deferred: true}, []string{"there", "here"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			order := Order([]Candidate{there, c.here}, at(5), age)
 			must.Eq(t, c.want, ids(AtOnce(order, at(5), age)))
-			must.Len(t, 2, order, must.Sprint("the others are left for those that wait"))
+			must.Len(t, 2, order, must.Sprint("order still has the other members, for reads that wait"))
 		})
 	}
 	must.Len(t, 1, AtOnce([]Candidate{there}, at(5), age))
 	must.SliceEmpty(t, AtOnce(nil, at(5), age))
 }
 
-// The shorter the work is against the way, the more of it waits here rather than cross.
-func TestCrossingCostsWhatTheWayTakes(t *testing.T) {
+// The shorter the reads are relative to the round trip, the more of them queue in the region.
+func TestCrossRegionCostFollowsRoundTrip(t *testing.T) {
 	short := crossing(Candidate{Slots: 3, Work: regionTrip / 5})
 	long := crossing(Candidate{Slots: 3, Work: 5 * regionTrip})
 	must.Greater(t, long, short)
-	must.Greater(t, 3*perRequest, long, must.Sprint("at least what runs at once"))
-	must.Greater(t, 0, crossing(Candidate{}), must.Sprint("nothing is known"))
+	must.Greater(t, 3*perRequest, long, must.Sprint("at least the cost of all slots in use"))
+	must.Greater(t, 0, crossing(Candidate{}), must.Sprint("with unknown slots and durations"))
 }
 
-// The failure: a replica falls far behind for a while, and nobody who would ask it for
-// anything else is left. Once it has caught up reads come back to it, and while it has not
-// it is tried seldom.
+// A replica lags far behind for a while, and no other traffic reports on its lag. Reads return
+// to it after it has caught up, and try it only seldom before that.
 func TestReplicaThatCaughtUpServesAgain(t *testing.T) {
 	const (
 		age      = 100 * time.Millisecond
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,9 +1,10 @@
-// Package routing chooses the member that serves a read. It works on a snapshot
-// of positions and health and has no I/O, clock or goroutine.
+// Package routing chooses the member of a database group that serves a read. Package owner
+// uses Route, on a snapshot of a whole group; package relay uses Order, on the candidates
+// that one instance sees. The package has no I/O, clock or goroutine.
 //
-// A replica serves a read when its log holds every write the read must see: the
-// session's floor, and for a service with staleness d everything acknowledged
-// up to d ago. Staleness 0 asks for everything acknowledged so far.
+// A replica may serve a read when its log holds every write that the read must see: the
+// session's last write, and for a service with staleness d everything acknowledged up to d ago.
+// Staleness 0 requires everything acknowledged so far.
 package routing
 
 import (
@@ -12,77 +13,77 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Member is one member of the group in a snapshot.
+// Member is one member of the group in a View.
 type Member struct {
 	Name     string
 	Primary  bool
-	Healthy  bool // answers, in the current term
-	Leaving  bool // gets no new work
+	Healthy  bool // it answers, in the current term
+	Leaving  bool // draining: gets no new work
 	Position group.Position
-	InFlight int           // statements running
-	Capacity int           // connections that may be used at once
-	Behind   time.Duration // how long ago the member's position was the highest acknowledged one
+	InFlight int           // number of running statements
+	Capacity int           // number of connections that may be used at once
+	Behind   time.Duration // replica lag: how long ago Position was the highest acknowledged position
 }
 
 // View is a snapshot of a group.
 type View struct {
 	Members  []Member
 	MaxWait  time.Duration // longest wait for a replica to catch up
-	Fallback int           // reads that may run on the primary at once for want of a replica
-	OnPrim   int           // reads that run there now for that reason
+	Fallback int           // how many reads may run on the primary at once because no replica can serve them
+	OnPrim   int           // how many reads run on the primary now for that reason
 }
 
-// Choice tells what is to be done with a read.
+// Choice is the action to take for a read.
 type Choice int
 
-// The choices.
+// The actions for a read.
 const (
-	Use    Choice = iota // run on Member
-	Wait                 // until a replica holds the position, then choose again
-	Refuse               // no member may serve it
+	Use    Choice = iota // run on Decision.Member
+	Wait                 // wait until a replica holds the position, then call Route again
+	Refuse               // reject: no member may serve the read
 )
 
-// Decision is the answer to a Request.
+// Decision is the result of Route.
 type Decision struct {
 	Choice   Choice
 	Member   string
-	Fallback bool // the primary serves for want of a replica; count it in OnPrim
+	Fallback bool // the primary serves because no replica can; the caller counts it in View.OnPrim
 	Reason   string
 }
 
-// Request is a read that wants a member.
+// Request is a read to be routed.
 type Request struct {
-	Required group.Position // position that the member must hold
+	Required group.Position // position that the member's log must hold
 	Age      time.Duration  // since the required position was acknowledged
 	Waited   time.Duration  // time already spent waiting for a replica
-	Left     time.Duration  // until the read's deadline
+	Left     time.Duration  // time until the read's deadline
 }
 
-// Route chooses a member. It prefers the least loaded replica that holds the
-// position. When none does, it waits as long as the nearest replica's delay
-// promises success within MaxWait; else the primary serves, up to Fallback such
-// reads at once; beyond that the read waits on, so that a group whose replicas
-// lag does not bury its primary.
+// Route chooses a member for a read. It prefers the least loaded replica that holds the
+// required position. If there is none, the read waits as long as some replica is expected to
+// catch up within MaxWait and before the deadline. Otherwise the primary serves it, up to
+// View.Fallback such reads at once. Beyond that limit the read keeps waiting, so that lagging
+// replicas do not overload the primary.
 func Route(v *View, r Request) Decision {
 	if m := readyReplica(v, r.Required); m != nil {
 		return Decision{Choice: Use, Member: m.Name, Reason: "replica holds the position"}
 	}
-	delay, catching := nearest(v, r.Age)
-	if catching && r.Waited+delay <= v.MaxWait && delay < r.Left {
+	delay, catchingUp := nearest(v, r.Age)
+	if catchingUp && r.Waited+delay <= v.MaxWait && delay < r.Left {
 		return Decision{Choice: Wait, Reason: "a replica is about to catch up"}
 	}
 	primary := findPrimary(v)
 	if primary != nil && v.OnPrim < v.Fallback {
-		return Decision{Choice: Use, Member: primary.Name, Fallback: true, Reason: fallbackReason(catching)}
+		return Decision{Choice: Use, Member: primary.Name, Fallback: true, Reason: fallbackReason(catchingUp)}
 	}
-	if r.Left <= 0 || primary == nil && !catching {
+	if r.Left <= 0 || primary == nil && !catchingUp {
 		return Decision{Choice: Refuse, Reason: "no member holds the position"}
 	}
 	return Decision{Choice: Wait, Reason: "the primary's share of reads is used up"}
 }
 
-func fallbackReason(catching bool) string {
-	if catching {
+func fallbackReason(replicaInService bool) string {
+	if replicaInService {
 		return "replicas are too far behind"
 	}
 	return "no replica is in service"
@@ -102,14 +103,14 @@
 	return best
 }
 
-// lighter compares the use of two members' connections.
+// lessLoaded reports whether a uses a smaller fraction of its connections than b.
 func lighter(a, b *Member) bool {
 	return a.InFlight*max(b.Capacity, 1) < b.InFlight*max(a.Capacity, 1)
 }
 
-// nearest returns after what time the first replica should hold a position of
-// that age. A replica that should hold it by now is only not known to: the next
-// poll will show it.
+// shortestCatchUp returns the shortest time after which a replica is expected to hold a position
+// of some age, and false when no replica is in service. The time is 0 for a replica that is
+// expected to hold it already; the next poll will confirm that.
 func nearest(v *View, age time.Duration) (time.Duration, bool) {
 	var delay time.Duration
 	found := false
@@ -118,8 +119,8 @@
 		if m.Primary || !m.Healthy || m.Leaving {
 			continue
 		}
-		if left := max(0, m.Behind-age); !found || left < delay {
-			delay, found = left, true
+		if remaining := max(0, m.Behind-age); !found || remaining < delay {
+			delay, found = remaining, true
 		}
 	}
 	return delay, found
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -42,10 +42,10 @@
 	return v
 }
 
-// Whatever the snapshot: a chosen replica is healthy, stays, and holds the
-// position; the primary is chosen only when no replica does, within its share;
-// and no read waits when it could run.
-func TestRouteIsCorrectAndKeepsReadsOffThePrimary(t *testing.T) {
+// For any snapshot: a chosen replica is healthy, not draining, and holds the position; the primary
+// is chosen only when no such replica exists, and within the fallback limit; no read waits when
+// it could run.
+func TestRouteChoosesReadyReplicaBeforePrimary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := drawView(t)
 		r := Request{
@@ -59,20 +59,20 @@
 		}
 		d := Route(v, r)
 		if ready != (d.Choice == Use && !d.Fallback) {
-			t.Fatalf("a ready replica: %t, decision %+v", ready, d)
+			t.Fatalf("replica ready: %t, decision %+v", ready, d)
 		}
 		if d.Choice != Use {
 			if d.Choice == Wait && r.Left <= 0 && v.OnPrim >= v.Fallback {
-				t.Fatalf("waits beyond the deadline: %+v", d)
+				t.Fatalf("read waits beyond its deadline: %+v", d)
 			}
 			return
 		}
 		m := memberOf(v, d.Member)
 		if !m.Healthy || !m.Primary && (m.Leaving || m.Position.Less(r.Required)) {
-			t.Fatalf("chose %+v for %+v", m, r)
+			t.Fatalf("member %+v may not serve %+v", m, r)
 		}
 		if d.Fallback != m.Primary || d.Fallback && v.OnPrim >= v.Fallback {
-			t.Fatalf("beyond the primary's share: %+v", d)
+			t.Fatalf("fallback beyond the limit or wrongly marked: %+v", d)
 		}
 	})
 }
@@ -102,13 +102,13 @@
 	}{
 		{"caught up", func(*View) {}, Request{Required: at(9), Left: time.Second}, Decision{Choice: Use, Member: "r1"}},
 		{"about to catch up", func(*View) {}, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
-		{"waited long enough", func(*View) {}, Request{Required: at(10), Waited: 45 * time.Millisecond, Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
+		{"waited for the longest allowed time", func(*View) {}, Request{Required: at(10), Waited: 45 * time.Millisecond, Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
 		{"far behind", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
-		{"primary's share used up", func(v *View) { v.Members[1].Behind, v.OnPrim = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
-		{"old enough to be there by now", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Age: 2 * time.Second, Left: time.Second}, Decision{Choice: Wait}},
-		{"there in a moment", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, Left: time.Second}, Decision{Choice: Wait}},
-		{"lighter replica", func(v *View) { v.Members[1].InFlight = 3 }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Use, Member: "r2"}},
-		{"nobody", func(v *View) { v.Members = nil }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Refuse}},
+		{"fallback limit reached", func(v *View) { v.Members[1].Behind, v.OnPrim = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
+		{"position older than the lag", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Age: 2 * time.Second, Left: time.Second}, Decision{Choice: Wait}},
+		{"about to catch up with an old position", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, Left: time.Second}, Decision{Choice: Wait}},
+		{"less loaded replica", func(v *View) { v.Members[1].InFlight = 3 }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Use, Member: "r2"}},
+		{"no members", func(v *View) { v.Members = nil }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Refuse}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// What RequiredAt asks for holds everything acknowledged up to that time, and
-// Behind never says that a replica is fresher than it is.
+// RequiredAt returns a position that covers everything acknowledged up to the time, and Behind
+// never reports a lag that is too small.
 func TestSamplesAreConservative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewSamples(rapid.IntRange(2, 8).Draw(t, "size"), time.Duration(rapid.IntRange(0, 5).Draw(t, "spacing")))
@@ -143,12 +143,12 @@
 		p, ok := s.RequiredAt(asked)
 		for _, w := range writes {
 			if ok && w.at <= asked && p.Index < w.index {
-				t.Fatalf("asked for %d: %s does not hold the write %d of %d", asked, p, w.index, w.at)
+				t.Fatalf("required at %d: %s does not cover the write %d of time %d", asked, p, w.index, w.at)
 			}
 		}
 		held := rapid.Uint64Range(0, index).Draw(t, "held")
 		if held < index && s.Behind(now+1, at(held)) <= 0 {
-			t.Fatalf("holds %d of %d and is called fresh", held, index)
+			t.Fatalf("log ends at %d of %d, but the lag is 0", held, index)
 		}
 	})
 }
--- a/internal/routing/samples.go
+++ b/internal/routing/samples.go
@@ -6,14 +6,14 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// sample says that everything acknowledged up to at lies at or below position.
+// sample records that everything acknowledged up to a time lies at or below a position.
 type sample struct {
 	at       time.Duration
 	position group.Position
 }
 
-// Samples is a bounded record of how the acknowledged position grew. It turns
-// an age into a position, on the owner's clock alone.
+// Samples is a bounded history of the highest acknowledged position. It converts between a
+// position and its age, using only the clock of the instance that records it.
 type Samples struct {
 	spacing time.Duration
 	ring    []sample
@@ -21,14 +21,14 @@
 	count   int
 }
 
-// NewSamples returns a record of the last size samples, spacing apart.
+// NewSamples returns a history of at most size samples, which are at least spacing apart.
 func NewSamples(size int, spacing time.Duration) *Samples {
 	return &Samples{spacing: spacing, ring: make([]sample, size)}
 }
 
-// Add notes the highest acknowledged position at a time. Times and positions
-// must not go back. A sample too close to the last one is merged into it, which
-// only asks for more.
+// Add records the highest acknowledged position at a time. Neither may decrease. A sample
+// taken less than spacing after the last one is merged into it, which can only raise the
+// position that RequiredAt returns.
 func (s *Samples) Add(at time.Duration, p group.Position) {
 	if s.count > 0 {
 		last := &s.ring[(s.start+s.count-1)%len(s.ring)]
@@ -50,9 +50,9 @@
 	return s.ring[s.start].at, s.count > 0
 }
 
-// RequiredAt returns the position that holds everything acknowledged up to a
-// time: that of the first sample taken after it. It reports false when no sample
-// is that young, so that the caller asks for the highest position.
+// RequiredAt returns a position that covers everything acknowledged up to a time: that of the
+// first sample taken after it. It returns false when there is no later sample; the caller then
+// requires the highest position.
 func (s *Samples) RequiredAt(at time.Duration) (group.Position, bool) {
 	for i := range s.count {
 		entry := s.ring[(s.start+i)%len(s.ring)]
@@ -63,8 +63,7 @@
 	return group.Position{}, false
 }
 
-// Age returns how long ago p was acknowledged. It reports false when p is older
-// than the record.
+// Age returns how long ago p was acknowledged, and false when p is older than the history.
 func (s *Samples) Age(now time.Duration, p group.Position) (time.Duration, bool) {
 	for i := range s.count {
 		entry := s.ring[(s.start+i)%len(s.ring)]
@@ -75,7 +74,8 @@
 	return 0, true
 }
 
-// Behind returns how long ago p was the highest acknowledged position.
+// Behind returns the lag of a log that ends at p: how long ago p was the highest acknowledged
+// position. It may be more than the actual lag, never less.
 func (s *Samples) Behind(now time.Duration, p group.Position) time.Duration {
 	for i := s.count - 1; i >= 0; i-- {
 		entry := s.ring[(s.start+i)%len(s.ring)]
@@ -92,7 +92,7 @@
 	return now - s.ring[s.start].at
 }
 
-// Reset forgets all samples, when the log that they were taken of is another now.
+// Reset removes all samples. It is called when another log replaces the sampled one.
 func (s *Samples) Reset() { s.start, s.count = 0, 0 }
 
 // Newest returns the time of the newest sample.
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,7 +1,6 @@
-// Package topology is the fleet's picture of its surroundings: the routes in
-// force, the members of each database group, and the instances. State takes in
-// changes as the store reports them and yields immutable snapshots. The package
-// has no I/O, clock or goroutine.
+// Package topology holds the configuration and the members of the database groups as an
+// instance knows them from the store. State applies changes and returns immutable
+// snapshots, which most other packages read. The package has no I/O, clock or goroutine.
 package topology
 
 import (
@@ -15,125 +14,126 @@
 	"github.com/stackspindle/stackspindle/internal/account"
 )
 
-// Consistency is what the reads of a route must see.
+// Consistency is the consistency level for the reads of a route.
 type Consistency int
 
-// The kinds of consistency.
+// The consistency levels, by what a read must see.
 const (
-	Strict           Consistency = iota // everything acknowledged
-	BoundedStaleness                    // everything acknowledged before a bounded time
-	ReadYourWrites                      // the same, and the session's own work
+	Strict           Consistency = iota // everything acknowledged before the read
+	BoundedStaleness                    // everything acknowledged until MaxStaleness ago
+	ReadYourWrites                      // the same, and the session's own writes
 )
 
-// Route leads from a database's name to its group.
+// Route maps a database name to a group, with the settings for its statements.
 type Route struct {
 	Name             string
 	Database         string
 	Group            string
 	Consistency      Consistency
-	MaxStaleness     time.Duration // for all but Strict
+	MaxStaleness     time.Duration // for all levels but Strict
 	Timeout          time.Duration // of one statement
-	LatencyObjective time.Duration // of a whole operation
-	Priority         int           // 0 ranks highest
-	Public           bool          // callers need no key
+	LatencyObjective time.Duration // for a whole operation of the client
+	Priority         int           // 0 is the highest
+	Public           bool          // clients need no API key
 }
 
-// Group is a database group as the operators declare it.
+// Group is a database group as declared by the operators.
 type Group struct {
 	Name           string
-	MaxConnections int // a member takes from all instances together
-	SyncReplicas   int // replicas that must have received a commit before it is acknowledged
+	MaxConnections int // that each member accepts from all instances together
+	SyncReplicas   int // number of replicas that must have received a commit before it is acknowledged
 }
 
-// Config is the operators' configuration as a whole.
+// Config is the complete configuration from the operators.
 type Config struct {
 	Version           int64
 	Routes            []Route
 	Groups            []Group
-	IdleInTransaction time.Duration // after which a resting transaction may be ended; 0: never
+	IdleInTransaction time.Duration // time after which an idle transaction may be ended; 0: never
 
-	Accounts *account.Directory // nil: none are declared, and whoever calls is served
+	Accounts *account.Directory // nil: no accounts are declared, and every client is served
 }
 
-// Member is one upstream as it describes itself.
+// Member is an upstream as described by its entry in the store.
 type Member struct {
 	ID         string
 	Group      string
 	Address    string
 	DataCentre string
-	Draining   bool // it leaves: no new work
-	Primary    bool // it believes that it leads
-	Slots      int  // statements that it runs at once
+	Draining   bool // it is about to leave and gets no new work
+	Primary    bool // it considers itself the primary
+	Slots      int  // how many statements it runs at once
 
-	// Born tells one start of the member from the next under the same ID: it holds and
-	// knows nothing of before. 0: the member does not tell.
+	// Born distinguishes the starts of a member with the same ID. A restarted member has lost
+	// its earlier data and state. 0: the member does not report it.
 	Born int64
 
-	Revision int64         // of the entry's last change in the store
-	Since    time.Duration // from when on the entry has been there without a gap
+	Revision int64         // store revision of the entry's last change
+	Since    time.Duration // time from which the entry has been present without interruption
 }
 
-// Snapshot is the picture at one moment. It is not changed after it was made. Snapshots share
-// what did not change between them, so that one costs what has.
+// Snapshot is an immutable view of the topology at one time. Snapshots share unchanged parts, so
+// the cost of a new one depends on the size of the change.
 type Snapshot struct {
-	Version int64 // of the configuration, 0: none yet
+	Version int64 // version of the configuration; 0: none received yet
 	Config  Config
 	catalogue
 
-	members  *immutable.Map[string, Member]   // by ID, those that lapsed a moment ago included
-	byGroup  *immutable.Map[string, []Member] // by ID in order
-	departed *immutable.Map[string, []Member] // by group
+	members  *immutable.Map[string, Member]   // by ID; includes members whose entry is missing for less than the grace period
+	byGroup  *immutable.Map[string, []Member] // by group, sorted by ID
+	departed *immutable.Map[string, []Member] // by group, sorted by ID
 }
 
-// catalogue is what the configuration declares, for look-ups.
+// catalogue indexes the configuration.
 type catalogue struct {
 	Databases  map[string]Route
 	Groups     map[string]Group
-	Priorities map[string]Priorities // of the routes, by group
+	Priorities map[string]Priorities // of the routes to a group, by group
 }
 
-// Member returns a member by its ID, false when there is none. One that lapsed a moment ago
-// is there.
+// Member returns a member by its ID, and false when there is none. It also returns a member whose
+// entry is missing for less than the grace period.
 func (s *Snapshot) Member(id string) (Member, bool) { return s.members.Get(id) }
 
-// MembersOf returns the members of a group by ID in order. They must not be changed.
+// MembersOf returns the members of a group, sorted by ID. The caller must not modify the slice.
 func (s *Snapshot) MembersOf(group string) []Member {
 	members, _ := s.byGroup.Get(group)
 	return members
 }
 
-// DepartedFrom returns the members of a group whose entries vanished so lately that they may
-// have been back in the store since this instance last heard of it. They must not be changed.
+// DepartedFrom returns the members of a group whose entries vanished so recently that they may
+// have been back in the store since this instance's last contact with it. The caller must not
+// modify the slice.
 func (s *Snapshot) DepartedFrom(group string) []Member {
 	members, _ := s.departed.Get(group)
 	return members
 }
 
-// Priorities is the span of some routes' priorities.
+// Priorities is the range of the priorities of some routes.
 type Priorities struct{ Top, Last int }
 
-// State collects changes. It is not safe for concurrent use.
+// State applies changes of the topology. It is not safe for concurrent use.
 type State struct {
 	grace   time.Duration
 	memory  time.Duration
-	now     Snapshot                 // as the next snapshot is to show it
-	lapsed  map[string]time.Duration // when the entry vanished, by ID
-	gone    map[string]departed      // forgotten members, by ID
-	changed map[string]struct{}      // groups, since they were last taken
+	now     Snapshot                 // state that the next snapshot shows
+	lapsed  map[string]time.Duration // when the entry of a member that is still used vanished, by ID
+	gone    map[string]departed      // members that are no longer used, by ID
+	changed map[string]struct{}      // names of groups that changed since the last TakeChanged
 }
 
-// departed is a member that is not used any more.
+// departedMember is a member that is no longer used because its entry has vanished.
 type departed struct {
 	Member
-	at time.Duration // when its entry vanished
+	at time.Duration // when the entry vanished
 }
 
-// New returns an empty picture. A member whose entry has vanished is still used
-// for grace, since entries also vanish while the store is away, and counts as departed
-// for the rest of memory.
-func New(grace, memory time.Duration) *State {
+// New returns an empty State. A member whose entry has vanished is still used for the grace
+// period, because entries also vanish while the store is unavailable. Then it counts as departed
+// until retention has passed since the entry vanished.
+func New(grace, retention time.Duration) *State {
 	return &State{
-		grace: grace, memory: memory,
+		grace: grace, memory: retention,
 		now: Snapshot{
 			catalogue: newCatalogue(Config{}),
 			members:   immutable.NewMap[string, Member](nil),
@@ -144,8 +144,8 @@
 	}
 }
 
-// SetConfig takes in a configuration. An older one than in force is left out,
-// and false is returned.
+// SetConfig applies a configuration. It ignores one that is not newer than the current one, and
+// returns false.
 func (s *State) SetConfig(c Config) bool {
 	if c.Version <= s.now.Version {
 		return false
@@ -185,8 +185,8 @@
 	return c
 }
 
-// TakeChanged returns the groups whose declaration or members have changed since the last call,
-// in order.
+// TakeChanged returns the sorted names of the groups whose declaration or members have changed
+// since the last call.
 func (s *State) TakeChanged() []string {
 	if len(s.changed) == 0 {
 		return nil
@@ -196,9 +196,10 @@
 	return changed
 }
 
-// SetMember takes in a member's entry, and reports whether it says anything new. Where
-// the store was listed anew, an entry that has changed may have been gone meanwhile. A
-// member that was started again under its ID is another one.
+// SetMember applies the entry of a member, and reports whether that changes anything. listed
+// says that the entry comes from a full listing of the store: an entry with another revision
+// may have been absent between the listings. A member that was restarted under the same ID
+// counts as a new member.
 func (s *State) SetMember(now time.Duration, m Member, listed bool) bool {
 	_, lapsed := s.lapsed[m.ID]
 	known, ok := s.now.members.Get(m.ID)
@@ -219,14 +220,14 @@
 	return true
 }
 
-// remove drops a member from the picture.
+// remove deletes a member.
 func (s *State) remove(m Member) {
 	s.now.members = s.now.members.Delete(m.ID)
 	s.now.byGroup = without(s.now.byGroup, m)
 	s.changed[m.Group] = struct{}{}
 }
 
-// forget drops a departed member, and reports whether there was one.
+// forget deletes a departed member, and reports whether there was one.
 func (s *State) forget(id string) bool {
 	m, ok := s.gone[id]
 	if ok {
@@ -236,14 +237,14 @@
 	return ok
 }
 
-// with returns members by group with another one.
+// with returns the members by group with one more member.
 func with(groups *immutable.Map[string, []Member], m Member) *immutable.Map[string, []Member] {
 	members, _ := groups.Get(m.Group)
 	at, _ := slices.BinarySearchFunc(members, m, byID)
 	return groups.Set(m.Group, slices.Insert(slices.Clone(members), at, m))
 }
 
-// without returns members by group without one of them.
+// without returns the members by group without one member.
 func without(groups *immutable.Map[string, []Member], m Member) *immutable.Map[string, []Member] {
 	members, _ := groups.Get(m.Group)
 	rest := slices.DeleteFunc(slices.Clone(members), func(other Member) bool { return other.ID == m.ID })
@@ -255,7 +256,7 @@
 
 func byID(a, b Member) int { return strings.Compare(a.ID, b.ID) }
 
-// DropMember notes that a member's entry has vanished.
+// DropMember records that the entry of a member has vanished.
 func (s *State) DropMember(now time.Duration, id string) {
 	if _, known := s.now.members.Get(id); !known {
 		return
@@ -265,7 +266,8 @@
 	}
 }
 
-// KeepMembers drops all members but those named, after the store was listed anew.
+// KeepMembers records after a full listing of the store that the entries of all members but
+// those present have vanished.
 func (s *State) KeepMembers(now time.Duration, present map[string]bool) {
 	for all := s.now.members.Iterator(); !all.Done(); {
 		if id, _, _ := all.Next(); !present[id] {
@@ -274,8 +276,8 @@
 	}
 }
 
-// Expire forgets members whose entries have been missing for long, and returns
-// whether any was.
+// Expire removes the members whose grace period or retention has ended, and reports whether
+// there were any.
 func (s *State) Expire(now time.Duration) bool {
 	changed := false
 	for id, since := range s.lapsed {
@@ -296,7 +298,7 @@
 	return changed
 }
 
-// Snapshot returns the present picture.
+// Snapshot returns a snapshot of the current state.
 func (s *State) Snapshot() *Snapshot {
 	snap := s.now
 	return &snap
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -7,13 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// member returns a member as the next snapshot shows it.
+// member returns a member as the next snapshot contains it.
 func member(s *State, id string) Member {
 	m, _ := s.Snapshot().Member(id)
 	return m
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigIsIgnored(t *testing.T) {
 	s := New(time.Second, 3*time.Second)
 	must.True(t, s.SetConfig(Config{Version: 5, Routes: []Route{{Database: "a"}}}))
 	must.False(t, s.SetConfig(Config{Version: 4}))
@@ -21,12 +21,12 @@
 	must.MapContainsKey(t, s.Snapshot().Databases, "a")
 }
 
-func TestVanishedMembersStayForAWhile(t *testing.T) {
+func TestVanishedMemberExpiresAfterGrace(t *testing.T) {
 	s := New(time.Second, 3*time.Second)
 	must.True(t, s.SetMember(0, Member{ID: "a", Group: "g"}, false))
 	must.False(t, s.SetMember(0, Member{ID: "a", Group: "g"}, false))
 	s.DropMember(time.Second, "a")
-	s.DropMember(1500*time.Millisecond, "a") // told again: counted from the first time
+	s.DropMember(1500*time.Millisecond, "a") // reported again: the first time counts
 	must.False(t, s.Expire(2*time.Second-1))
 	must.Len(t, 1, s.Snapshot().MembersOf("g"))
 	must.True(t, s.Expire(2*time.Second))
@@ -38,12 +38,12 @@
 
 	s.SetMember(3*time.Second, Member{ID: "b", Group: "g"}, false)
 	s.KeepMembers(3*time.Second, map[string]bool{})
-	must.True(t, s.SetMember(3*time.Second, Member{ID: "b", Group: "g"}, false), must.Sprint("it is back"))
+	must.True(t, s.SetMember(3*time.Second, Member{ID: "b", Group: "g"}, false), must.Sprint("its entry is back"))
 	must.False(t, s.Expire(time.Hour))
 }
 
-// Since says from when on an entry has been there without a gap, and never too early.
-func TestMemberIsKnownSince(t *testing.T) {
+// Since is the time from which an entry has been present without interruption, and never earlier.
+func TestMemberPresentSince(t *testing.T) {
 	s := New(time.Second, 3*time.Second)
 	since := func() time.Duration { return member(s, "a").Since }
 	entry := Member{ID: "a", Group: "g", Revision: 1}
@@ -52,17 +52,17 @@
 	must.Eq(t, 1, since())
 	entry.Revision = 2
 	s.SetMember(3, entry, false)
-	must.Eq(t, 1, since(), must.Sprint("a change was told, and no gap"))
+	must.Eq(t, 1, since(), must.Sprint("the entry changed but never vanished"))
 	entry.Revision = 3
 	s.SetMember(4, entry, true)
-	must.Eq(t, 4, since(), must.Sprint("changes before a listing are not told"))
+	must.Eq(t, 4, since(), must.Sprint("changes between listings are not reported"))
 	s.DropMember(5, "a")
 	s.SetMember(6, entry, false)
-	must.Eq(t, 6, since(), must.Sprint("it was gone"))
+	must.Eq(t, 6, since(), must.Sprint("the entry had vanished"))
 }
 
-// A member that was started again under its ID is another one: it has been there since now.
-func TestMemberStartedAgain(t *testing.T) {
+// A member that was restarted under its ID counts as new: it has been present since the restart.
+func TestRestartedMemberCountsAsNew(t *testing.T) {
 	s := New(time.Second, time.Minute)
 	s.SetMember(1, Member{ID: "a", Group: "g", Born: 7}, false)
 	must.False(t, s.SetMember(5, Member{ID: "a", Group: "g", Born: 7}, false))
