--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -74,9 +74,9 @@
 	maxWait = 10 * time.Second
 	// minRetryAfter is the shortest retry delay. A rejection and a new attempt take some
 	// milliseconds themselves.
-	minComeBack = 20 * time.Millisecond
-	maxAhead    = 1 << 16
-	maxSlowdown = 64
+	minRetryAfter = 20 * time.Millisecond
+	maxAhead      = 1 << 16
+	maxSlowdown   = 64
 )
 
 // Wait predicts how long a request waits for a slot, and returns false when the wait is
@@ -118,13 +118,13 @@
 // retries before its end only take capacity from other requests. The delay does not extend
 // beyond the deadline, unless the wait itself does.
 func ComeBack(r Request, wait, lasted time.Duration) time.Duration {
-	wait = min(max(wait, minComeBack), maxWait)
+	wait = min(max(wait, minRetryAfter), maxWait)
 	interval := min(max(2*lasted, wait), max(wait, r.Deadline-wait), maxWait)
-	return wait + time.Duration(float64(interval)*spread(r.ID))
+	return wait + time.Duration(float64(interval)*jitter(r.ID))
 }
 
 // jitter returns a number in [0, 1) that depends only on the request's ID.
-func spread(id string) float64 {
+func jitter(id string) float64 {
 	const offset, prime = 14695981039346656037, 1099511628211 // FNV-1a
 	h := uint64(offset)
 	for i := range len(id) {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,14 +13,14 @@
 // predicting is the admission policy of this package, with a controller per priority.
 type predicting map[int]*Level
 
-func (p predicting) level(v *visit) *Level {
+func (p predicting) level(v *attempt) *Level {
 	if p[v.kind.priority] == nil {
 		p[v.kind.priority] = &Level{}
 	}
 	return p[v.kind.priority]
 }
 
-func (p predicting) decide(now time.Duration, v *visit, b Backlog) (bool, time.Duration) {
+func (p predicting) decide(now time.Duration, v *attempt, b Backlog) (bool, time.Duration) {
 	r := Request{ID: v.id, Usual: v.kind.work, Objective: v.kind.objective, Deadline: v.kind.patience / 2}
 	verdict := p.level(v).Decide(now, r, b)
 	if verdict.Admit {
@@ -29,12 +29,12 @@
 	return verdict.Admit, verdict.ComeBack
 }
 
-func (p predicting) ran(now time.Duration, v *visit, waited time.Duration) {
+func (p predicting) onGrant(now time.Duration, v *attempt, waited time.Duration) {
 	p.level(v).Left(now, true)
 	p.level(v).Waited(waited, v.predicted)
 }
 
-func (p predicting) hold(v *visit) time.Duration { return v.kind.patience }
+func (p predicting) maxQueueTime(v *attempt) time.Duration { return v.kind.patience }
 
 func TestDecisions(t *testing.T) {
 	urgent := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: 2 * time.Second}
@@ -74,20 +74,20 @@
 		for _, n := range counts {
 			for _, f := range factors {
 				r := Request{Usual: d, Objective: d, Deadline: d}
-				l := &Level{moved: d, waiting: n}
+				l := &Level{lastProgress: d, queued: n}
 				l.Left(d, true)
 				l.Waited(d, -d)
 				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
 				must.Between(t, 0, v.ComeBack, 2*maxWait)
-				must.Between(t, minComeBack, ComeBack(r, d, d), 2*maxWait)
+				must.Between(t, minRetryAfter, ComeBack(r, d, d), 2*maxWait)
 				var c Correction
 				c.Waited(d, d)
 				must.Between(t, minCorrection, c.Factor(), maxCorrection)
 				var o Outages
 				o.Ended(d, n > 0)
 				must.Between(t, 0, o.Left(d, n > 0), maxWait)
-				must.Between(t, 0, (&Overload{since: d, last: d, refusing: n > 0}).Refused(0), time.Hour)
+				must.Between(t, 0, (&Overload{since: d, last: d, active: n > 0}).Refused(0), time.Hour)
 			}
 		}
 	}
--- a/internal/admission/level.go
+++ b/internal/admission/controller.go
@@ -5,10 +5,10 @@
 // Level is the admission controller for the requests of one priority to one member. The zero
 // value has observed nothing. It is not safe for concurrent use.
 type Level struct {
-	correction Correction
-	overload   Overload
-	waiting    int           // number of admitted requests that are queued
-	moved      time.Duration // when one of them was last granted a slot, or the first of them was queued
+	correction   Correction
+	overload     Overload
+	queued       int           // number of admitted requests that are queued
+	lastProgress time.Duration // when one of them was last granted a slot, or the first of them was queued
 }
 
 // Wait predicts how long a request waits for a slot: from the backlog alone, and corrected by the
@@ -21,8 +21,8 @@
 		return 0, 0
 	}
 	wait = time.Duration(float64(predicted) * l.correction.Factor())
-	if l.waiting > 0 {
-		wait = max(wait, bounded(now-l.moved))
+	if l.queued > 0 {
+		wait = max(wait, bounded(now-l.lastProgress))
 	}
 	return predicted, min(wait, maxWait)
 }
@@ -47,17 +47,17 @@
 
 // Began records that a request was queued.
 func (l *Level) Began(now time.Duration) {
-	if l.waiting == 0 {
-		l.moved = now
+	if l.queued == 0 {
+		l.lastProgress = now
 	}
-	l.waiting++
+	l.queued++
 }
 
 // Left records that a request left the queue, with or without a slot.
 func (l *Level) Left(now time.Duration, granted bool) {
-	l.waiting = max(0, l.waiting-1)
+	l.queued = max(0, l.queued-1)
 	if granted {
-		l.moved = now
+		l.lastProgress = now
 	}
 }
 
--- a/internal/admission/correction.go
+++ b/internal/admission/correction.go
@@ -6,7 +6,7 @@
 const (
 	// correctionWindow is the number of waits over which the factor and its deviation are
 	// averaged.
-	correctionSpan = 16
+	correctionWindow = 16
 	// deviations is how many mean deviations the factor lies above the mean. With the mean alone,
 	// half of the requests that are just admitted would be late.
 	deviations    = 2
@@ -14,30 +14,30 @@
 	maxCorrection = 16
 	// minPredicted is the shortest predicted wait that is learned from. For shorter ones the time
 	// to get a connection matters as much as the wait.
-	leastPredicted = 5 * time.Millisecond
+	minPredicted = 5 * time.Millisecond
 )
 
 // Correction learns by what factor the requests of a priority wait longer than predicted, for
 // example because requests of higher priority arrive meanwhile. The zero value has the factor
 // 1. It is not safe for concurrent use.
 type Correction struct {
-	more      float64 // mean factor minus 1
+	excess    float64 // mean factor minus 1
 	deviation float64 // mean absolute deviation of the factors from their mean
 }
 
 // Factor returns a factor that most waits stay below: the mean plus a multiple of the mean
 // deviation, like a retransmission timeout.
-func (c *Correction) Factor() float64 { return clampCorrection(1 + c.more + deviations*c.deviation) }
+func (c *Correction) Factor() float64 { return clampCorrection(1 + c.excess + deviations*c.deviation) }
 
 // Waited records the actual wait of a request for which the backlog alone predicted another. For
 // a request that was given up, the wait is the time until then.
 func (c *Correction) Waited(actual, predicted time.Duration) {
-	if predicted < leastPredicted || actual < 0 {
+	if predicted < minPredicted || actual < 0 {
 		return
 	}
-	deviation := clampCorrection(float64(actual)/float64(predicted)) - 1 - c.more
-	c.more += deviation / correctionSpan
-	c.deviation += (max(deviation, -deviation) - c.deviation) / correctionSpan
+	diff := clampCorrection(float64(actual)/float64(predicted)) - 1 - c.excess
+	c.excess += diff / correctionWindow
+	c.deviation += (max(diff, -diff) - c.deviation) / correctionWindow
 }
 
 // clampCorrection limits a factor to its bounds. NaN and factors that are not positive count as 1.
--- a/internal/admission/outlook.go
+++ b/internal/admission/forecast.go
@@ -13,11 +13,11 @@
 	clearlyLonger = 20 * time.Millisecond
 	// probeInterval is the time between requests that are forwarded although all carriers are known
 	// to reject them, to notice when this has changed.
-	trialPause = 100 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
 	// maxForecasts limits the number of forecasts; only a fault would cause more.
-	maxOutlooks = 8192
+	maxForecasts = 8192
 	// maxPriorities limits the number of priorities in a carrier's forecast.
-	maxTold = 16
+	maxPriorities = 16
 )
 
 // Work classifies requests by the members that can run them. Each class queues separately.
@@ -31,10 +31,10 @@
 )
 
 // forecastKey identifies the forecast of a carrier for a group.
-type outlookKey struct{ carrier, group string }
+type forecastKey struct{ carrier, group string }
 
 // forecast is a carrier's forecast of the waits for one group.
-type told struct {
+type forecast struct {
 	at    time.Duration
 	waits [Works][]time.Duration // by priority; empty: no wait
 }
@@ -43,11 +43,11 @@
 // each group. Carriers send forecasts with their replies. A forecast wait decreases with the
 // forecast's age. The zero value has no forecasts. It is not safe for concurrent use.
 type Outlook struct {
-	known  map[outlookKey]told
-	trials map[trialKey]time.Duration // when a request was last forwarded as a probe
+	forecasts  map[forecastKey]forecast
+	lastProbes map[probeKey]time.Duration // when a request was last forwarded as a probe
 }
 
-type trialKey struct {
+type probeKey struct {
 	group string
 	work  Work
 }
@@ -55,20 +55,20 @@
 // Told stores a carrier's forecast for a group, as waits in microseconds by priority. An
 // implausible forecast counts as no wait.
 func (o *Outlook) Told(now time.Duration, carrier, group string, primary, replica []uint32) {
-	key := outlookKey{carrier, group}
-	if len(primary) == 0 && len(replica) == 0 || len(primary) > maxTold || len(replica) > maxTold {
-		delete(o.known, key)
+	key := forecastKey{carrier, group}
+	if len(primary) == 0 && len(replica) == 0 || len(primary) > maxPriorities || len(replica) > maxPriorities {
+		delete(o.forecasts, key)
 		return
 	}
-	f := told{at: now, waits: [Works][]time.Duration{OnPrimary: believed(primary), OnReplica: believed(replica)}}
-	if o.known == nil || len(o.known) >= maxOutlooks {
-		o.known = make(map[outlookKey]told)
+	f := forecast{at: now, waits: [Works][]time.Duration{OnPrimary: decodeWaits(primary), OnReplica: decodeWaits(replica)}}
+	if o.forecasts == nil || len(o.forecasts) >= maxForecasts {
+		o.forecasts = make(map[forecastKey]forecast)
 	}
-	o.known[key] = f
+	o.forecasts[key] = f
 }
 
 // decodeWaits converts waits from microseconds. It returns nil if one is implausibly long.
-func believed(waits []uint32) []time.Duration {
+func decodeWaits(waits []uint32) []time.Duration {
 	var all []time.Duration
 	for _, us := range waits {
 		wait := time.Duration(us) * time.Microsecond
@@ -82,9 +82,9 @@
 
 // Lost deletes the forecasts of a carrier that did not answer.
 func (o *Outlook) Lost(carrier string) {
-	for key := range o.known {
+	for key := range o.forecasts {
 		if key.carrier == carrier {
-			delete(o.known, key)
+			delete(o.forecasts, key)
 		}
 	}
 }
@@ -92,12 +92,12 @@
 // wait returns how long a request would wait at a carrier now, and the age of the forecast. Both
 // are 0 without a forecast.
 func (o *Outlook) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
-	f, ok := o.known[outlookKey{carrier, q.Group}]
+	f, ok := o.forecasts[forecastKey{carrier, q.Group}]
 	if !ok || now < f.at || q.Work < 0 || q.Work >= Works {
 		return 0, 0
 	}
 	age = now - f.at
-	return max(0, q.of(f.waits[q.Work])-age), age
+	return max(0, q.waitFor(f.waits[q.Work])-age), age
 }
 
 // Query is a request that is to be forwarded to a carrier.
@@ -109,7 +109,7 @@
 }
 
 // waitFor returns the wait for the request's priority.
-func (q Query) of(waits []time.Duration) time.Duration {
+func (q Query) waitFor(waits []time.Duration) time.Duration {
 	if len(waits) == 0 {
 		return 0
 	}
@@ -122,7 +122,7 @@
 	if q.Work == OnReplica {
 		waits = replica
 	}
-	return q.of(believed(waits)) > max(0, q.Objective)
+	return q.waitFor(decodeWaits(waits)) > max(0, q.Objective)
 }
 
 // Carrier is an instance that may run a request. Carriers of equal Rank are equally preferred by
@@ -174,7 +174,7 @@
 			shortest = i
 		}
 	}
-	if c.Open == 0 && shortest >= 0 && !o.tries(now, q) {
+	if c.Open == 0 && shortest >= 0 && !o.probe(now, q) {
 		c.Verdict = Verdict{Wait: waits[shortest], Reason: AllRefuse, ComeBack: ComeBack(q.Request, waits[shortest], 0)}
 		c.Age = ages[shortest]
 	}
@@ -194,15 +194,15 @@
 
 // probe reports whether a request is forwarded as a probe although all carriers are known to reject
 // it.
-func (o *Outlook) tries(now time.Duration, q Query) bool {
-	key := trialKey{q.Group, q.Work}
-	if last, ok := o.trials[key]; ok && now >= last && now-last < trialPause {
+func (o *Outlook) probe(now time.Duration, q Query) bool {
+	key := probeKey{q.Group, q.Work}
+	if last, ok := o.lastProbes[key]; ok && now >= last && now-last < probeInterval {
 		return false
 	}
-	if o.trials == nil || len(o.trials) >= maxOutlooks {
-		o.trials = make(map[trialKey]time.Duration)
+	if o.lastProbes == nil || len(o.lastProbes) >= maxForecasts {
+		o.lastProbes = make(map[probeKey]time.Duration)
 	}
-	o.trials[key] = now
+	o.lastProbes[key] = now
 	return true
 }
 
--- a/internal/admission/outlook_test.go
+++ b/internal/admission/forecast_test.go
@@ -35,7 +35,7 @@
 		"a newer forecast without wait":                   {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Told(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
 		"the carrier does not answer":                     {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Lost("own") }, 0, []int{0, 1, 2}, 3},
 		"implausible wait":                                {func(o *Outlook) { o.Told(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
-		"too many priorities":                             {func(o *Outlook) { o.Told(0, "own", "g", make([]uint32, maxTold+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
+		"too many priorities":                             {func(o *Outlook) { o.Told(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
 		"the clock went backwards":                        {func(o *Outlook) { o.Told(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
 	} {
 		var o Outlook
@@ -71,7 +71,7 @@
 		must.Eq(t, now, c.Age)
 		must.Between(t, c.Verdict.Wait, c.Verdict.ComeBack, 2*c.Verdict.Wait)
 	}
-	must.Eq(t, int(500*ms/trialPause), passed)
+	must.Eq(t, int(500*ms/probeInterval), passed)
 	must.True(t, o.Choose(500*ms, q, both).Verdict.Admit, must.Sprint("b's queue has drained"))
 	must.True(t, o.Choose(0, q, nil).Verdict.Admit, must.Sprint("no carriers"))
 }
@@ -86,11 +86,11 @@
 // The memory is bounded for any number of carriers and groups.
 func TestForecastsAreBounded(t *testing.T) {
 	var o Outlook
-	for n := range 2 * maxOutlooks {
+	for n := range 2 * maxForecasts {
 		name := time.Duration(n).String()
 		o.Told(0, name, "g", []uint32{1e6}, nil)
 		o.Choose(0, Query{Group: name, Request: Request{}}, []Carrier{{Name: name}})
 	}
-	must.LessEq(t, maxOutlooks, len(o.known))
-	must.LessEq(t, maxOutlooks, len(o.trials))
+	must.LessEq(t, maxForecasts, len(o.forecasts))
+	must.LessEq(t, maxForecasts, len(o.lastProbes))
 }
--- a/internal/admission/change.go
+++ b/internal/admission/outage.go
@@ -13,33 +13,33 @@
 	// defaultLapse is the assumed duration of an outage without a known change of primary: the
 	// next reply of the store, or of a majority of the instances, confirms the grant again.
 	defaultLapse = 100 * time.Millisecond
-	outageSpan   = 4 // number of outages over which their duration is averaged
+	outageWindow = 4 // number of outages over which their duration is averaged
 )
 
 // Outages learns how long groups have no primary. The zero value has observed no outage. It is
 // not safe for concurrent use.
 type Outages struct {
-	change, lapse time.Duration // moving averages of durations; 0: none observed
+	changeDuration, lapseDuration time.Duration // moving averages of durations; 0: none observed
 }
 
 // Ended records the duration of an outage that has ended.
 func (o *Outages) Ended(lasted time.Duration, change bool) {
 	lasted = min(max(lasted, 0), maxWait)
-	usual := &o.lapse
+	usual := &o.lapseDuration
 	if change {
-		usual = &o.change
+		usual = &o.changeDuration
 	}
 	if *usual == 0 {
 		*usual = lasted
 		return
 	}
-	*usual += (lasted - *usual) / outageSpan
+	*usual += (lasted - *usual) / outageWindow
 }
 
 // Lapse returns the usual duration of an outage without a known change of primary.
 func (o *Outages) Lapse() time.Duration {
-	if o.lapse > 0 {
-		return o.lapse
+	if o.lapseDuration > 0 {
+		return o.lapseDuration
 	}
 	return defaultLapse
 }
@@ -50,22 +50,22 @@
 func (o *Outages) Left(lasted time.Duration, change bool) time.Duration {
 	usual := o.Lapse()
 	if change {
-		usual = cmp.Or(o.change, defaultChange)
+		usual = cmp.Or(o.changeDuration, defaultChange)
 	}
 	lasted = min(max(lasted, 0), maxWait)
 	if lasted < usual {
 		return usual - lasted
 	}
-	return unusual(lasted)
+	return remainingUnusual(lasted)
 }
 
 // remainingUnusual predicts the remaining duration of a condition of which only the duration so
 // far is known.
-func unusual(lasted time.Duration) time.Duration { return min(2*lasted, maxWait) }
+func remainingUnusual(lasted time.Duration) time.Duration { return min(2*lasted, maxWait) }
 
 // Silence predicts for how much longer a member that has not answered for some time will not
 // answer.
-func Silence(lasted time.Duration) time.Duration { return unusual(bounded(lasted)) }
+func Silence(lasted time.Duration) time.Duration { return remainingUnusual(bounded(lasted)) }
 
 // DecideOutage decides whether a request waits until the condition that keeps it from running
 // ends, which is expected to take the remaining time.
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -10,14 +10,14 @@
 // not safe for concurrent use.
 type Overload struct {
 	since, last time.Duration
-	refusing    bool
+	active      bool
 }
 
 // Refused records a rejection and returns the duration of the overload so far.
 func (o *Overload) Refused(now time.Duration) time.Duration {
 	now = bounded(now)
 	if !o.lasts(now) {
-		o.refusing, o.since = true, now
+		o.active, o.since = true, now
 	}
 	o.last = now
 	return bounded(now - o.since)
@@ -25,5 +25,5 @@
 
 // lasts reports whether the overload lasts: the last rejection is at most overloadGap ago.
 func (o *Overload) lasts(now time.Duration) bool {
-	return o.refusing && now >= o.last && now-o.last <= overloadGap
+	return o.active && now >= o.last && now-o.last <= overloadGap
 }
--- a/internal/admission/ways_test.go
+++ b/internal/admission/policies_test.go
@@ -7,32 +7,32 @@
 	"github.com/shoenig/test/must"
 )
 
-// fixedHold is the policy that admits everything, gives up a request that has not run after a
+// fixedTimeout is the policy that admits everything, gives up a request that has not run after a
 // quarter of its objective, and returns a fixed retry delay.
-type fixedHold struct{}
+type fixedTimeout struct{}
 
-func (fixedHold) decide(time.Duration, *visit, Backlog) (bool, time.Duration) { return true, 0 }
-func (fixedHold) ran(time.Duration, *visit, time.Duration)                    {}
-func (fixedHold) hold(v *visit) time.Duration                                 { return v.kind.objective / 4 }
+func (fixedTimeout) decide(time.Duration, *attempt, Backlog) (bool, time.Duration) { return true, 0 }
+func (fixedTimeout) onGrant(time.Duration, *attempt, time.Duration)                {}
+func (fixedTimeout) maxQueueTime(v *attempt) time.Duration                         { return v.kind.objective / 4 }
 
-// standing is a policy that rejects requests while all requests of a priority have waited longer
+// standingQueue is a policy that rejects requests while all requests of a priority have waited longer
 // than a part of their objective over an interval, like CoDel but on arrival. It can be combined
 // with another policy.
-type standing struct {
-	also   gate
-	levels map[int]*standingLevel
+type standingQueue struct {
+	also   policy
+	states map[int]*standingState
 }
 
-type standingLevel struct{ least, since, last time.Duration }
+type standingState struct{ least, since, last time.Duration }
 
-func (s *standing) level(v *visit) *standingLevel {
-	if s.levels[v.kind.priority] == nil {
-		s.levels[v.kind.priority] = &standingLevel{}
+func (s *standingQueue) level(v *attempt) *standingState {
+	if s.states[v.kind.priority] == nil {
+		s.states[v.kind.priority] = &standingState{}
 	}
-	return s.levels[v.kind.priority]
+	return s.states[v.kind.priority]
 }
 
-func (s *standing) decide(now time.Duration, v *visit, b Backlog) (bool, time.Duration) {
+func (s *standingQueue) decide(now time.Duration, v *attempt, b Backlog) (bool, time.Duration) {
 	l := s.level(v)
 	if interval := v.kind.objective / 2; l.least > v.kind.objective/4 && now-l.last < interval && now-l.since >= interval && b.Ahead > 0 {
 		wait, _ := b.Wait()
@@ -44,7 +44,7 @@
 	return true, 0
 }
 
-func (s *standing) ran(now time.Duration, v *visit, waited time.Duration) {
+func (s *standingQueue) onGrant(now time.Duration, v *attempt, waited time.Duration) {
 	l := s.level(v)
 	l.last = now
 	if waited < l.least || waited <= v.kind.objective/4 {
@@ -54,11 +54,11 @@
 		l.least = waited
 	}
 	if s.also != nil {
-		s.also.ran(now, v, waited)
+		s.also.onGrant(now, v, waited)
 	}
 }
 
-func (s *standing) hold(v *visit) time.Duration { return v.kind.patience }
+func (s *standingQueue) maxQueueTime(v *attempt) time.Duration { return v.kind.patience }
 
 // worth scores the outcome for the clients of a kind: 1 for an answer in time, less for a late one.
 func (t *tally) worth() float64 {
@@ -71,21 +71,21 @@
 // never queues a request and then gives it up.
 func TestPoliciesUnderOverload(t *testing.T) {
 	loads := overloaded()
-	before := simulate(6, fixedHold{}, loads...)
-	ways := map[string]*member{
+	before := simulate(6, fixedTimeout{}, loads...)
+	results := map[string]*member{
 		"fixed hold":             before,
 		"predicted wait":         simulate(6, predicting{}, loads...),
-		"standing queue":         simulate(6, &standing{levels: make(map[int]*standingLevel)}, loads...),
-		"predicted and standing": simulate(6, &standing{also: predicting{}, levels: make(map[int]*standingLevel)}, loads...),
+		"standing queue":         simulate(6, &standingQueue{states: make(map[int]*standingState)}, loads...),
+		"predicted and standing": simulate(6, &standingQueue{also: predicting{}, states: make(map[int]*standingState)}, loads...),
 	}
-	for name, m := range ways {
+	for name, m := range results {
 		for _, l := range loads {
 			c := m.tallies[l.name]
 			t.Logf("%-24s %-7s worth %.3f of %d: in time %d, late %d, given up %d, admitted and late %d", name, l.name, c.worth(), c.callers, c.inTime, c.late, c.gaveUp, c.lateAdmitted)
 		}
 	}
 	for _, l := range loads {
-		chosen := ways["predicted wait"].tallies[l.name]
+		chosen := results["predicted wait"].tallies[l.name]
 		must.Zero(t, chosen.gaveUp)
 		must.GreaterEq(t, before.tallies[l.name].worth(), chosen.worth())
 	}
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// visit is one attempt of a client to run a request at the simulated member.
-type visit struct {
+// attempt is one try of a client to run a request at the simulated member.
+type attempt struct {
 	at        time.Duration
 	kind      *load
 	id        string
@@ -41,31 +41,31 @@
 // member simulates a member: a queue in front of some slots, with strict priority and FIFO order.
 type member struct {
 	slots        int
-	gate         gate
+	rules        policy
 	now          time.Duration
-	events       visits // arrivals and completions, by time
-	queue        []*visit
-	running      []*visit
+	events       eventHeap // arrivals and completions, by time
+	queue        []*attempt
+	running      []*attempt
 	tallies      map[string]*tally
 	earlyRetries int // rejections with a retry delay in which the queue they met could not drain
 }
 
-// gate is an admission policy: it decides on a visit given a backlog, and observes the waits.
-type gate interface {
-	decide(now time.Duration, v *visit, b Backlog) (admit bool, comeBack time.Duration)
-	ran(now time.Duration, v *visit, waited time.Duration)
-	hold(v *visit) time.Duration // maximum time in the queue
+// policy is an admission policy: it decides on an attempt, given a backlog, and observes the waits.
+type policy interface {
+	decide(now time.Duration, v *attempt, b Backlog) (admit bool, retryAfter time.Duration)
+	onGrant(now time.Duration, v *attempt, waited time.Duration)
+	maxQueueTime(v *attempt) time.Duration // maximum time in the queue
 }
 
-type visits []*visit
+type eventHeap []*attempt
 
-func (v visits) Len() int { return len(v) }
-func (v visits) Less(i, j int) bool {
+func (v eventHeap) Len() int { return len(v) }
+func (v eventHeap) Less(i, j int) bool {
 	return v[i].at < v[j].at || v[i].at == v[j].at && v[i].seq < v[j].seq
 }
-func (v visits) Swap(i, j int) { v[i], v[j] = v[j], v[i] }
-func (v *visits) Push(x any)   { *v = append(*v, x.(*visit)) }
-func (v *visits) Pop() any {
+func (v eventHeap) Swap(i, j int) { v[i], v[j] = v[j], v[i] }
+func (v *eventHeap) Push(x any)   { *v = append(*v, x.(*attempt)) }
+func (v *eventHeap) Pop() any {
 	old := *v
 	last := old[len(old)-1]
 	*v = old[:len(old)-1]
@@ -75,21 +75,21 @@
 // fixedComeBack is the retry delay of a client whose request was queued and given up.
 const fixedRetryAfter = 50 * time.Millisecond
 
-const attempts = 3 // of a client in total
+const maxAttempts = 3 // of a client in total
 
 // simulate runs some loads against a member until all requests are done.
-func simulate(slots int, g gate, loads ...load) *member {
-	m := &member{slots: slots, gate: g, tallies: make(map[string]*tally)}
+func simulate(slots int, p policy, loads ...load) *member {
+	m := &member{slots: slots, rules: p, tallies: make(map[string]*tally)}
 	for i := range loads {
 		l := &loads[i]
 		m.tallies[l.name] = &tally{}
 		for at, n := l.from, 0; at < l.to; at, n = at+l.every, n+1 {
-			heap.Push(&m.events, &visit{at: at, kind: l, id: fmt.Sprint(l.name, n), seq: len(m.events), first: at})
+			heap.Push(&m.events, &attempt{at: at, kind: l, id: fmt.Sprint(l.name, n), seq: len(m.events), first: at})
 			m.tallies[l.name].callers++
 		}
 	}
 	for len(m.events) > 0 {
-		v := heap.Pop(&m.events).(*visit)
+		v := heap.Pop(&m.events).(*attempt)
 		m.now = v.at
 		if i := slices.Index(m.running, v); i >= 0 {
 			m.running = slices.Delete(m.running, i, i+1)
@@ -102,7 +102,7 @@
 	return m
 }
 
-func (m *member) backlog(v *visit) Backlog {
+func (m *member) backlog(v *attempt) Backlog {
 	b := Backlog{Active: len(m.running), Slots: m.slots, Slowdown: 1, Held: v.kind.work}
 	for _, w := range m.queue {
 		if w.kind.priority <= v.kind.priority {
@@ -113,13 +113,13 @@
 	return b
 }
 
-func (m *member) arrive(v *visit) {
+func (m *member) arrive(v *attempt) {
 	t, b := m.tallies[v.kind.name], m.backlog(v)
 	v.predicted, _ = b.Wait()
 	if v.retries > 0 {
 		t.retried++
 	}
-	admit, comeBack := m.gate.decide(m.now, v, b)
+	admit, retryAfter := m.rules.decide(m.now, v, b)
 	if admit {
 		if v.retries > 0 {
 			t.retriesAdmitted++
@@ -127,16 +127,16 @@
 		m.queue = append(m.queue, v)
 		return
 	}
-	if comeBack < b.Work/time.Duration(m.slots) {
+	if retryAfter < b.Work/time.Duration(m.slots) {
 		m.earlyRetries++
 	}
-	m.refuse(v, comeBack)
+	m.reject(v, retryAfter)
 }
 
-// refuse rejects a request. The client retries after the delay if that is within its patience.
-func (m *member) refuse(v *visit, comeBack time.Duration) {
-	t, next := m.tallies[v.kind.name], m.now+comeBack
-	if v.retries+1 >= attempts || next >= v.first+v.kind.patience {
+// reject rejects a request. The client retries after the delay if that is within its patience.
+func (m *member) reject(v *attempt, retryAfter time.Duration) {
+	t, next := m.tallies[v.kind.name], m.now+retryAfter
+	if v.retries+1 >= maxAttempts || next >= v.first+v.kind.patience {
 		t.lost++
 		return
 	}
@@ -146,11 +146,11 @@
 }
 
 func (m *member) grant() {
-	m.queue = slices.DeleteFunc(m.queue, func(v *visit) bool {
-		over := m.now-v.at > m.gate.hold(v)
+	m.queue = slices.DeleteFunc(m.queue, func(v *attempt) bool {
+		over := m.now-v.at > m.rules.maxQueueTime(v)
 		if over {
 			m.tallies[v.kind.name].gaveUp++
-			m.refuse(v, fixedRetryAfter)
+			m.reject(v, fixedRetryAfter)
 		}
 		return over
 	})
@@ -163,7 +163,7 @@
 		}
 		v := m.queue[best]
 		m.queue = slices.Delete(m.queue, best, best+1)
-		m.gate.ran(m.now, v, m.now-v.at)
+		m.rules.onGrant(m.now, v, m.now-v.at)
 		v.granted = v.at
 		v.at = m.now + v.kind.work
 		m.running = append(m.running, v)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (m *member) answered(v *visit) {
+func (m *member) answered(v *attempt) {
 	t := m.tallies[v.kind.name]
 	if m.now-v.granted > v.kind.objective {
 		t.lateAdmitted++
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -31,8 +31,8 @@
 // Map holds the region of each data centre. With an empty map all data centres count as one
 // region. A Map is immutable.
 type Map struct {
-	regions map[string]string // by data centre
-	several bool              // there is more than one region
+	regions     map[string]string // by data centre
+	multiRegion bool              // there is more than one region
 }
 
 // New returns a Map from the region of each data centre.
@@ -44,13 +44,13 @@
 		if first == "" {
 			first = region
 		}
-		m.several = m.several || region != first
+		m.multiRegion = m.multiRegion || region != first
 	}
 	return m
 }
 
 // Several reports whether there is more than one region.
-func (m Map) Several() bool { return m.several }
+func (m Map) Several() bool { return m.multiRegion }
 
 // Region returns the region of a data centre, empty when unknown.
 func (m Map) Region(dataCentre string) string { return m.regions[dataCentre] }
@@ -62,7 +62,7 @@
 	switch {
 	case a == b:
 		return SameDataCentre
-	case !m.several:
+	case !m.multiRegion:
 		return SameRegion
 	case m.regions[a] == "" || m.regions[a] != m.regions[b]:
 		return OtherRegion
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -12,26 +12,26 @@
 const (
 	// averageWindow is the number of requests over which failures are averaged. A single lost
 	// reply then has little effect, and several in a row take most of the member's share.
-	span = 16
+	averageWindow = 16
 	// shareExponent is how steeply the share falls as failures increase: reads should mostly
 	// avoid a member that fails every second request.
-	steepness = 4
+	shareExponent = 4
 	// minShare keeps some reads going to a failing member, so that its recovery is noticed.
-	leastShare = 0.1
+	minShare = 0.1
 )
 
 // Failing is a moving average of the fraction of requests to a member that failed. The zero
 // value is a member without failures. It is not safe for concurrent use.
-type Failing struct{ part float64 }
+type Failing struct{ rate float64 }
 
 // Answered records a request that the member answered.
-func (f *Failing) Answered() { f.part -= f.part / span }
+func (f *Failing) Answered() { f.rate -= f.rate / averageWindow }
 
 // Failed records a request that the member did not answer or that failed because of the member.
-func (f *Failing) Failed() { f.part += (1 - f.part) / span }
+func (f *Failing) Failed() { f.rate += (1 - f.rate) / averageWindow }
 
 // Part returns the fraction that failed.
-func (f *Failing) Part() float64 { return f.part }
+func (f *Failing) Part() float64 { return f.rate }
 
 // Shares returns for each member the share of reads that it may be chosen for, from the failure
 // rates of all members. The member with the lowest failure rate has share 1. At most half of
@@ -58,7 +58,7 @@
 	bestSuccess := 1 - failureRates[order[0]]
 	for _, n := range order[(len(order)+1)/2:] {
 		if bestSuccess > 0 {
-			shares[n] = max(leastShare, math.Pow((1-failureRates[n])/bestSuccess, steepness))
+			shares[n] = max(minShare, math.Pow((1-failureRates[n])/bestSuccess, shareExponent))
 		}
 	}
 	return shares
@@ -67,14 +67,14 @@
 // Turns decides for which reads a member is a candidate, so that these are evenly spaced. The
 // zero value starts with a read for which it is one, unless its share is 0. It is not safe for
 // concurrent use.
-type Turns struct{ missed float64 }
+type Turns struct{ skipped float64 }
 
 // Next reports whether the member is a candidate for the next read, given the share of reads for
 // which it should be one.
 func (t *Turns) Next(share float64) bool {
-	t.missed += 1 - share
-	if t.missed >= 1 {
-		t.missed--
+	t.skipped += 1 - share
+	if t.skipped >= 1 {
+		t.skipped--
 		return false
 	}
 	return true
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -26,7 +26,7 @@
 		shares := Shares(failing)
 		less := 0
 		for n, share := range shares {
-			must.True(t, share >= leastShare && share <= 1, must.Sprint(share))
+			must.True(t, share >= minShare && share <= 1, must.Sprint(share))
 			if share < 1 {
 				less++
 			}
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -61,13 +61,13 @@
 
 // Score returns the rendezvous hash of an instance for a key.
 func Score(key, instance string) uint64 {
-	var buf [usualNames]byte // avoids an allocation for typical names
+	var buf [typicalLength]byte // avoids an allocation for typical names
 	combined := append(append(append(buf[:0], key...), 0), instance...)
 	return mix(xxhash.Sum64(combined))
 }
 
 // typicalLength exceeds the combined length of most keys and instance names.
-const usualNames = 96
+const typicalLength = 96
 
 // mix applies the finalizer of SplitMix64 to a hash. Without it, short keys that differ in
 // one character have hashes that are too similar for a ranking.
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -10,33 +10,33 @@
 // Schomaker, Weighted Distributed Hash Tables, 2005): the sort key is -w/ln(h), where h is the
 // score as a fraction. A change of one instance's weight moves only groups to or from it.
 type Weights struct {
-	alike bool    // all weights are equal, so the scores alone decide
-	least float64 // smallest known weight, used for unknown ones; 0: none is known
+	equal    bool    // all weights are equal, so the scores alone decide
+	smallest float64 // smallest known weight, used for unknown ones; 0: none is known
 }
 
 // Weigh returns the weights of some instances. An unknown weight counts as the smallest known
 // one.
 func Weigh(instances []Instance) Weights {
-	w := Weights{alike: true}
+	w := Weights{equal: true}
 	for _, i := range instances {
-		if i.Weight > 0 && (w.least == 0 || i.Weight < w.least) {
-			w.least = i.Weight
+		if i.Weight > 0 && (w.smallest == 0 || i.Weight < w.smallest) {
+			w.smallest = i.Weight
 		}
 	}
 	for _, i := range instances {
-		w.alike = w.alike && w.Of(i) == w.Least()
+		w.equal = w.equal && w.Of(i) == w.Least()
 	}
 	return w
 }
 
 // Alike reports whether all instances have the same weight.
-func (w Weights) Alike() bool { return w.alike }
+func (w Weights) Alike() bool { return w.equal }
 
 // Least returns the smallest known weight, which also stands for unknown ones. It is 1 when none
 // is known.
 func (w Weights) Least() float64 {
-	if w.least > 0 {
-		return w.least
+	if w.smallest > 0 {
+		return w.smallest
 	}
 	return 1
 }
@@ -57,7 +57,7 @@
 
 // Draw returns the weighted score of an instance with a given hash score.
 func (w Weights) Draw(score uint64, i Instance) Draw {
-	if w.alike {
+	if w.equal {
 		return Draw{score: score}
 	}
 	return Draw{weighted: -w.Of(i) / math.Log(fraction(score)), score: score}
@@ -66,7 +66,7 @@
 // Threshold returns a lower bound for the hash scores with which an instance can rank before d.
 // The caller need not compute the weighted score for a lower hash score.
 func (w Weights) Threshold(d Draw, i Instance) uint64 {
-	if w.alike {
+	if w.equal {
 		return d.score
 	}
 	least := math.Exp(-w.Of(i)/d.weighted) * thresholdSlack
--- a/internal/placement/strength.go
+++ b/internal/placement/capacity.go
@@ -27,37 +27,37 @@
 // is 0 when the instance does not announce both.
 func (s Strength) Carrying() float64 {
 	weight := min(s.Cores/coreSecondsPerStatement, s.LinkMbps/megabitsPerStatement)
-	if !(weight > 0 && weight <= maxCarrying) {
+	if !(weight > 0 && weight <= maxStatementsPerSecond) {
 		return 0 // implausible: treat another instance's registration as if it announced nothing
 	}
 	return weight
 }
 
 // maxStatementsPerSecond is above the rate of any real instance.
-const maxCarrying = 1e7
+const maxStatementsPerSecond = 1e7
 
 // groupLimitFactor is how much more than its share by weight an instance may serve, as in
 // consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018). A smaller
 // factor moves more groups when an instance joins or leaves; a larger one allows more random
 // imbalance.
-const boundSlack = 1.25
+const groupLimitFactor = 1.25
 
 // groupLimits returns how many groups each instance may serve: its share by weight of the
 // carrier slots in its data centre, or of all carrier slots if that is more, since it may have
 // to replace instances elsewhere. It returns nil for no limits when all weights are equal,
 // because then hashing alone spreads the groups.
-func (t *Table) bounds() map[string]int {
+func (t *Table) groupLimits() map[string]int {
 	if t.weights.Alike() {
 		return nil
 	}
 	totalSlots, slotsIn := 0, make(map[string]int)
 	for _, r := range t.rows {
-		if t.everybody(r.group) {
+		if t.servedByAll(r.group) {
 			continue
 		}
-		totalSlots += r.group.most()
-		for _, h := range r.homes {
-			slotsIn[h.dataCentre] += h.places
+		totalSlots += r.group.maxCarriers()
+		for _, h := range r.dataCentres {
+			slotsIn[h.dataCentre] += h.slots
 		}
 	}
 	totalWeight, weightIn := 0.0, make(map[string]float64) // summed in name order, so that all instances get the same floating-point totals
@@ -73,7 +73,7 @@
 			float64(slotsIn[i.DataCentre])*t.weights.Of(i)/weightIn[i.DataCentre],
 			float64(totalSlots)*t.weights.Of(i)/totalWeight,
 		)
-		limits[i.Name] = max(1, int(math.Ceil(boundSlack*share)))
+		limits[i.Name] = max(1, int(math.Ceil(groupLimitFactor*share)))
 	}
 	return limits
 }
--- a/internal/placement/strength_test.go
+++ b/internal/placement/capacity_test.go
@@ -56,7 +56,7 @@
 		table := NewTable()
 		placed := make(map[string]Carriers)
 		applyFleet(table, placed, groups, f)
-		load, bound := loads(placed), table.bounds()
+		load, bound := loads(placed), table.groupLimits()
 		for _, i := range alive {
 			must.LessEq(t, bound[i.Name], load[i.Name], must.Sprint(i.Name))
 		}
@@ -97,7 +97,7 @@
 	})
 	for _, c := range Place(groupsOf(40), Fleet{Alive: alive, Registered: 500}) {
 		must.Len(t, 6, c.Names)
-		must.Eq(t, PerMember, c.atHome["a"])
+		must.Eq(t, PerMember, c.localCount["a"])
 	}
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -29,26 +29,26 @@
 	Reserved = 2
 	// minPoolSize is the smallest pool with which an instance can serve a member: one
 	// connection for a transaction and one for everything else.
-	leastPool = 2
+	minPoolSize = 2
 	// minCarrierPoolSize is the smallest pool of a carrier where only some instances are carriers.
-	sharedPool = 4
+	minCarrierPoolSize = 4
 	// minRemotePoolSize is the smallest pool to a member of a carrier in another data centre:
 	// one connection for a transaction and one for everything else.
-	leastFarPool = leastPool
+	minRemotePoolSize = minPoolSize
 	// remoteShareDivisor divides the equal share of connections for a carrier in another data
 	// centre, where the result exceeds minRemotePoolSize. While replicas lag, reads that arrive
 	// at that carrier need the primary, wherever it is.
-	farDivisor = 2
+	remoteShareDivisor = 2
 	// maxGroupsOnAllInstances is the largest number of groups for which every instance may
 	// serve all of them. With more groups an instance would hold connections, and the
 	// resources they need, for more groups than its clients use.
-	mostShared = 64
+	maxGroupsOnAllInstances = 64
 	// PerMember is the number of carriers in the data centre of each member: if one fails,
 	// the other serves.
 	PerMember = 2
 	// statementsPerSlot is how many statements may be at a member for each of its slots: one
 	// that runs, and one in transit or queued.
-	perSlot = 2
+	statementsPerSlot = 2
 )
 
 // Group holds the properties of a database group that placement depends on.
@@ -67,22 +67,22 @@
 
 // Carriers are the instances that hold connections to a group's members.
 type Carriers struct {
-	Everybody bool           // every instance is a carrier, so no statement is forwarded
-	Names     []string       // in order of preference for leading the group; empty with Everybody
-	atHome    map[string]int // number of carriers by data centre of a member
-	usable    int            // connections to each member, for all carriers together
-	count     int            // number of carriers that share the connections
+	Everybody         bool           // every instance is a carrier, so no statement is forwarded
+	Names             []string       // in order of preference for leading the group; empty with Everybody
+	localCount        map[string]int // number of carriers by data centre of a member
+	usableConnections int            // connections to each member, for all carriers together
+	count             int            // number of carriers that share the connections
 }
 
 // servedByAll reports whether each of the registered instances can have its own connections
 // to the group, given the total number of groups.
-func (g Group) everybody(registered, groups int) bool {
-	return groups <= mostShared && (g.MaxConnections-Reserved)/leastPool >= registered
+func (g Group) servedByAll(registered, groups int) bool {
+	return groups <= maxGroupsOnAllInstances && (g.MaxConnections-Reserved)/minPoolSize >= registered
 }
 
 // maxCarriers returns the number of carriers where not every instance is one.
-func (g Group) most() int {
-	limit := max(1, (g.MaxConnections-Reserved)/sharedPool)
+func (g Group) maxCarriers() int {
+	limit := max(1, (g.MaxConnections-Reserved)/minCarrierPoolSize)
 	// Without a known member there is nothing to connect to, but an instance must lead the group.
 	return min(limit, PerMember*max(1, len(g.Homes)))
 }
@@ -116,16 +116,16 @@
 // capacity for, so it gets a few; this leaves the near carriers connections for more client
 // accounts.
 func (c Carriers) Connections(member, self string) int {
-	near := c.atHome[member]
+	near := c.localCount[member]
 	remote := c.count - near
-	if c.Everybody || near == 0 || c.usable < leastFarPool*remote+sharedPool*near {
-		return max(1, c.usable/c.count)
+	if c.Everybody || near == 0 || c.usableConnections < minRemotePoolSize*remote+minCarrierPoolSize*near {
+		return max(1, c.usableConnections/c.count)
 	}
-	remoteShare := max(leastFarPool, c.usable/c.count/farDivisor)
+	remoteShare := max(minRemotePoolSize, c.usableConnections/c.count/remoteShareDivisor)
 	if member != self {
 		return remoteShare
 	}
-	return (c.usable - remoteShare*remote) / near
+	return (c.usableConnections - remoteShare*remote) / near
 }
 
 // Active returns how many statements outside transactions a carrier in data centre self may
@@ -134,15 +134,15 @@
 // share among all carriers, for use when the members near it are in a worse state.
 func (c Carriers) Active(slots int, member, self string) int {
 	sharers := c.count
-	if !c.Everybody && member == self && c.atHome[member] > 0 {
-		sharers = c.atHome[member]
+	if !c.Everybody && member == self && c.localCount[member] > 0 {
+		sharers = c.localCount[member]
 	}
-	return max(1, (perSlot*slots+sharers-1)/sharers)
+	return max(1, (statementsPerSlot*slots+sharers-1)/sharers)
 }
 
 // MostActive returns how many statements outside transactions all carriers together may run
 // or queue at a member with some slots.
-func MostActive(slots int) int { return perSlot * slots }
+func MostActive(slots int) int { return statementsPerSlot * slots }
 
 // Caller is the origin of a statement that an ingress instance forwards.
 type Caller struct {
--- a/internal/placement/choose.go
+++ b/internal/placement/placer.go
@@ -10,55 +10,55 @@
 )
 
 // placer assigns carriers to the groups of a table, one group after another.
-type choice struct {
+type placer struct {
 	table  *Table
 	chosen []candidate // carriers of the current group; the buffer is reused
 }
 
 // place returns the carriers of a group.
-func (c *choice) place(r *row) Carriers {
+func (c *placer) place(r *row) Carriers {
 	t, g := c.table, r.group
 	usable := g.MaxConnections - Reserved
-	if t.everybody(g) {
+	if t.servedByAll(g) {
 		count := max(1, t.registered) // no instance is registered yet during startup
-		return Carriers{Everybody: true, usable: usable, count: count}
+		return Carriers{Everybody: true, usableConnections: usable, count: count}
 	}
-	limit := g.most()
+	limit := g.maxCarriers()
 	c.chosen = c.chosen[:0]
-	for n := range r.homes {
-		c.atHome(r, &r.homes[n])
+	for n := range r.dataCentres {
+		c.addLocal(r, &r.dataCentres[n])
 	}
 	slices.SortFunc(c.chosen, byRank)
 	c.chosen = c.chosen[:min(limit, len(c.chosen))]
 	if len(c.chosen) < limit {
-		c.chosen = append(c.chosen, c.elsewhere(r, limit-len(c.chosen))...)
+		c.chosen = append(c.chosen, c.replacements(r, limit-len(c.chosen))...)
 	}
 	for _, i := range c.chosen {
 		i.load++
 	}
-	if r.isPlaced(c.chosen, usable, limit) {
+	if r.hasCarriers(c.chosen, usable, limit) {
 		return r.carriers
 	}
-	names, localCount := make([]string, len(c.chosen)), make(map[string]int, len(r.homes))
+	names, localCount := make([]string, len(c.chosen)), make(map[string]int, len(r.dataCentres))
 	for n, i := range c.chosen {
 		names[n] = i.Name
-		if r.isHome(i.DataCentre) {
+		if r.hasMemberIn(i.DataCentre) {
 			localCount[i.DataCentre]++ // a replacement for a missing carrier may also be in a member's data centre
 		}
 	}
-	return Carriers{Names: names, atHome: localCount, usable: usable, count: limit}
+	return Carriers{Names: names, localCount: localCount, usableConnections: usable, count: limit}
 }
 
 // addLocal adds the highest-ranked instances of a member's data centre that are below their
 // group limit.
-func (c *choice) atHome(r *row, h *home) {
+func (c *placer) addLocal(r *row, h *memberDataCentre) {
 	found := 0
-	for n := 0; found < h.places; n++ {
+	for n := 0; found < h.slots; n++ {
 		i, ok := h.ranking.at(c.table, r.group.Name, n)
 		if !ok {
 			return
 		}
-		if i.hasRoom() {
+		if i.belowLimit() {
 			c.chosen = append(c.chosen, i)
 			found++
 		}
@@ -68,23 +68,23 @@
 // replacements returns instances for the carrier slots that instances in the members' data
 // centres do not fill. Instances below their group limit come first, in particular those in
 // a region with unfilled slots; each class is in rank order.
-func (c *choice) elsewhere(r *row, missing int) []candidate {
-	open, openCount := c.placesLeft(r)
-	chosen := make(map[string]bool, len(c.chosen))
+func (c *placer) replacements(r *row, missing int) []candidate {
+	open, openCount := c.unfilled(r)
+	used := make(map[string]bool, len(c.chosen))
 	for _, i := range c.chosen {
-		chosen[i.Name] = true
+		used[i.Name] = true
 	}
 	var fillers, others, full []candidate
 	for n := 0; len(fillers) < missing && (openCount > 0 || len(fillers)+len(others) < missing); n++ {
-		i, ok := r.anywhere.at(c.table, r.group.Name, n)
+		i, ok := r.allInstances.at(c.table, r.group.Name, n)
 		if !ok {
 			break
 		}
 		switch {
-		case chosen[i.Name]:
-		case !i.hasRoom():
+		case used[i.Name]:
+		case !i.belowLimit():
 			full = append(full, i)
-		case c.takePlace(open, i):
+		case c.fillSlot(open, i):
 			fillers = append(fillers, i)
 			openCount--
 		default:
@@ -95,7 +95,7 @@
 	if len(found) < missing {
 		var rest []candidate
 		for _, i := range full {
-			if c.takePlace(open, i) {
+			if c.fillSlot(open, i) {
 				found = append(found, i)
 			} else {
 				rest = append(rest, i)
@@ -107,20 +107,20 @@
 }
 
 // unfilledSlots counts the carrier slots of a data centre that no instance there fills.
-type placeLeft struct {
-	home  string
-	count int
+type unfilledSlots struct {
+	dataCentre string
+	count      int
 }
 
 // unfilled returns the unfilled carrier slots and their total. It leaves out data centres whose
 // region has no instance.
-func (c *choice) placesLeft(r *row) ([]placeLeft, int) {
-	var open []placeLeft
+func (c *placer) unfilled(r *row) ([]unfilledSlots, int) {
+	var open []unfilledSlots
 	total := 0
-	for _, h := range r.homes {
-		count := h.places - countIn(c.chosen, h.dataCentre)
-		if count > 0 && c.table.hasNear(h.dataCentre) {
-			open = append(open, placeLeft{h.dataCentre, count})
+	for _, h := range r.dataCentres {
+		count := h.slots - countIn(c.chosen, h.dataCentre)
+		if count > 0 && c.table.regionHasInstance(h.dataCentre) {
+			open = append(open, unfilledSlots{h.dataCentre, count})
 			total += count
 		}
 	}
@@ -129,9 +129,9 @@
 
 // fillSlot assigns an instance to an unfilled slot of its region, and reports whether there was
 // one.
-func (c *choice) takePlace(open []placeLeft, i candidate) bool {
+func (c *placer) fillSlot(open []unfilledSlots, i candidate) bool {
 	for n := range open {
-		if open[n].count > 0 && c.table.places.Distance(i.DataCentre, open[n].home) != locality.OtherRegion {
+		if open[n].count > 0 && c.table.regions.Distance(i.DataCentre, open[n].dataCentre) != locality.OtherRegion {
 			open[n].count--
 			return true
 		}
@@ -140,9 +140,9 @@
 }
 
 // regionHasInstance reports whether the region of a data centre has an instance.
-func (t *Table) hasNear(dataCentre string) bool {
+func (t *Table) regionHasInstance(dataCentre string) bool {
 	for other, instances := range t.byDataCentre {
-		if len(instances) > 0 && t.places.Distance(other, dataCentre) != locality.OtherRegion {
+		if len(instances) > 0 && t.regions.Distance(other, dataCentre) != locality.OtherRegion {
 			return true
 		}
 	}
@@ -152,9 +152,9 @@
 // candidate is an instance with its weighted hash score for a group.
 type candidate struct {
 	*instance
-	draw ownership.Draw
+	score ownership.Draw
 }
 
 func byRank(a, b candidate) int {
-	return cmp.Or(a.draw.Compare(b.draw), strings.Compare(a.Name, b.Name))
+	return cmp.Or(a.score.Compare(b.score), strings.Compare(a.Name, b.Name))
 }
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -13,9 +13,9 @@
 // is recomputed only when it has run out of instances.
 type ranking struct {
 	dataCentre string // empty: all data centres
-	keeps      int    // maximum length of top; 0: not computed yet
-	first      []candidate
-	whole      bool // top holds every instance that the ranking covers
+	limit      int    // maximum length of top; 0: not computed yet
+	top        []candidate
+	complete   bool // top holds every instance that the ranking covers
 }
 
 // covers reports whether the ranking includes instances of i's data centre.
@@ -23,19 +23,19 @@
 
 // at returns the instance of rank n, counted from 0, and false when there are fewer.
 func (r *ranking) at(t *Table, group string, n int) (candidate, bool) {
-	for n >= len(r.first) {
-		if r.whole {
+	for n >= len(r.top) {
+		if r.complete {
 			return candidate{}, false
 		}
-		r.keeps = max(n+spareRanks, 2*r.keeps)
+		r.limit = max(n+spareRanks, 2*r.limit)
 		r.fill(t, group)
 	}
-	return r.first[n], true
+	return r.top[n], true
 }
 
 // fill recomputes the ranking from all instances that it covers.
 func (r *ranking) fill(t *Table, group string) {
-	r.first = r.first[:0]
+	r.top = r.top[:0]
 	count, thresholds := 0, make(map[float64]uint64) // lowest scores that can still enter the ranking, by weight
 	for dataCentre, instances := range t.byDataCentre {
 		if r.dataCentre != "" && r.dataCentre != dataCentre {
@@ -47,31 +47,31 @@
 			if score < thresholds[i.Weight] {
 				continue
 			}
-			if r.insert(t.draw(score, i)) && len(r.first) == r.keeps {
-				r.raise(t, thresholds)
+			if r.insert(t.newCandidate(score, i)) && len(r.top) == r.limit {
+				r.raiseThresholds(t, thresholds)
 			}
 		}
 	}
-	r.whole = len(r.first) == count
+	r.complete = len(r.top) == count
 }
 
 // raiseThresholds sets the thresholds from the last instance in the ranking. Most instances are
 // then skipped by their score, without computing the weighted score.
-func (r *ranking) raise(t *Table, thresholds map[float64]uint64) {
-	last := r.first[len(r.first)-1].draw
-	for _, i := range t.kinds {
+func (r *ranking) raiseThresholds(t *Table, thresholds map[float64]uint64) {
+	last := r.top[len(r.top)-1].score
+	for _, i := range t.weightClasses {
 		thresholds[i.Weight] = t.weights.Threshold(last, i)
 	}
 }
 
 // insert adds an instance unless the ranking is full of better ones, and reports whether it did.
 func (r *ranking) insert(c candidate) bool {
-	if len(r.first) == r.keeps && byRank(c, r.first[len(r.first)-1]) > 0 {
+	if len(r.top) == r.limit && byRank(c, r.top[len(r.top)-1]) > 0 {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.first, c, byRank)
-	r.first = slices.Insert(r.first, at, c)
-	r.first = r.first[:min(r.keeps, len(r.first))]
+	at, _ := slices.BinarySearchFunc(r.top, c, byRank)
+	r.top = slices.Insert(r.top, at, c)
+	r.top = r.top[:min(r.limit, len(r.top))]
 	return true
 }
 
@@ -79,18 +79,18 @@
 // know the instances that rank after its last one, so a new instance that would come last is
 // left out.
 func (r *ranking) join(c candidate) {
-	if !r.whole && (len(r.first) == 0 || byRank(c, r.first[len(r.first)-1]) > 0) {
+	if !r.complete && (len(r.top) == 0 || byRank(c, r.top[len(r.top)-1]) > 0) {
 		return
 	}
-	before := len(r.first)
+	before := len(r.top)
 	r.insert(c)
-	r.whole = r.whole && len(r.first) > before
+	r.complete = r.complete && len(r.top) > before
 }
 
 // removeGone removes the instances that have left the fleet.
-func (r *ranking) leave() {
-	r.first = slices.DeleteFunc(r.first, func(c candidate) bool { return c.gone })
+func (r *ranking) removeGone() {
+	r.top = slices.DeleteFunc(r.top, func(c candidate) bool { return c.gone })
 }
 
 // clear marks the ranking as not computed.
-func (r *ranking) clear() { r.first, r.whole, r.keeps = nil, false, 0 }
+func (r *ranking) clear() { r.top, r.complete, r.limit = nil, false, 0 }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -18,48 +18,48 @@
 //
 // The carriers are the same as those from Place. A Table is not safe for concurrent use.
 type Table struct {
-	rows         []*row // sorted by group name
-	alive        map[string]*instance
-	byDataCentre map[string][]*instance
-	registered   int
-	places       locality.Map
-	weights      ownership.Weights
-	changed      bool                 // groups or instances have changed since the last Update
-	kinds        []ownership.Instance // one instance of each weight
-	scores       int                  // number of scores computed so far; tests read it
+	rows           []*row // sorted by group name
+	alive          map[string]*instance
+	byDataCentre   map[string][]*instance
+	registered     int
+	regions        locality.Map
+	weights        ownership.Weights
+	changed        bool                 // groups or instances have changed since the last Update
+	weightClasses  []ownership.Instance // one instance of each weight
+	scoresComputed int                  // number of scores computed so far; tests read it
 }
 
 // instance is an instance that is alive.
 type instance struct {
 	ownership.Instance
-	bounded bool
-	bound   int  // maximum number of groups; valid if limited
+	limited bool
+	limit   int  // maximum number of groups; valid if limited
 	load    int  // groups assigned to it so far during an Update
 	gone    bool // it has left the fleet, or its registration has changed
 }
 
 // belowLimit reports whether another group may be assigned to the instance.
-func (i *instance) hasRoom() bool { return !i.bounded || i.load < i.bound }
+func (i *instance) belowLimit() bool { return !i.limited || i.load < i.limit }
 
 // row is the placement of one group.
 type row struct {
-	group    Group
-	homes    []home
-	anywhere ranking // of all instances
-	carriers Carriers
-	placed   bool
+	group        Group
+	dataCentres  []memberDataCentre
+	allInstances ranking // of all instances
+	carriers     Carriers
+	placed       bool
 }
 
 // memberDataCentre is a data centre that has members of the group.
-type home struct {
+type memberDataCentre struct {
 	dataCentre string
-	places     int // number of carriers wanted there
+	slots      int // number of carriers wanted there
 	ranking    ranking
 }
 
 // maxWeightClasses limits the number of distinct weights with a score threshold. A fleet has few
 // machine types.
-const maxKinds = 16
+const maxWeightClasses = 16
 
 // NewTable returns an empty table.
 func NewTable() *Table {
@@ -95,37 +95,39 @@
 
 // newRow returns the row of a group. It takes over the rankings of the group's previous row.
 func newRow(g Group, previous *row) *row {
-	r := &row{group: g, anywhere: previous.anywhere}
+	r := &row{group: g, allInstances: previous.allInstances}
 	for _, dataCentre := range slices.Compact(slices.Sorted(slices.Values(g.Homes))) {
-		h := home{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
-		if known := previous.homeAt(dataCentre); known != nil {
+		h := memberDataCentre{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
+		if known := previous.findDataCentre(dataCentre); known != nil {
 			h.ranking = known.ranking
 		}
-		r.homes = append(r.homes, h)
+		r.dataCentres = append(r.dataCentres, h)
 	}
 	for _, dataCentre := range g.Homes {
-		r.homeAt(dataCentre).places += PerMember
+		r.findDataCentre(dataCentre).slots += PerMember
 	}
 	return r
 }
 
 // findDataCentre returns the group's entry for a data centre, nil when no member is there.
-func (r *row) homeAt(dataCentre string) *home {
-	for n := range r.homes {
-		if r.homes[n].dataCentre == dataCentre {
-			return &r.homes[n]
+func (r *row) findDataCentre(dataCentre string) *memberDataCentre {
+	for n := range r.dataCentres {
+		if r.dataCentres[n].dataCentre == dataCentre {
+			return &r.dataCentres[n]
 		}
 	}
 	return nil
 }
 
-func (r *row) isHome(dataCentre string) bool { return r.homeAt(dataCentre) != nil }
+func (r *row) hasMemberIn(dataCentre string) bool { return r.findDataCentre(dataCentre) != nil }
 
 // hasCarriers reports whether the group already has exactly these carriers.
-func (r *row) isPlaced(chosen []candidate, usable, limit int) bool {
-	return r.placed && !r.carriers.Everybody && r.carriers.usable == usable && r.carriers.count == limit &&
+func (r *row) hasCarriers(chosen []candidate, usable, limit int) bool {
+	return r.placed && !r.carriers.Everybody && r.carriers.usableConnections == usable && r.carriers.count == limit &&
 		slices.EqualFunc(r.carriers.Names, chosen, func(name string, c candidate) bool { return name == c.Name }) &&
-		!slices.ContainsFunc(r.homes, func(h home) bool { return r.carriers.atHome[h.dataCentre] != countIn(chosen, h.dataCentre) })
+		!slices.ContainsFunc(r.dataCentres, func(h memberDataCentre) bool {
+			return r.carriers.localCount[h.dataCentre] != countIn(chosen, h.dataCentre)
+		})
 }
 
 // countIn returns how many instances are in a data centre.
@@ -150,13 +152,13 @@
 	if !t.changed && registered == t.registered {
 		return
 	}
-	t.registered, t.places, t.changed = registered, regions, false
-	t.bind()
-	p := choice{table: t}
+	t.registered, t.regions, t.changed = registered, regions, false
+	t.resetLoads()
+	p := placer{table: t}
 	for _, r := range t.rows {
 		before := r.carriers
 		r.carriers = p.place(r)
-		if !r.placed || !before.same(r.carriers) {
+		if !r.placed || !before.equal(r.carriers) {
 			r.placed = true
 			placed(r.group.Name, r.carriers)
 		}
@@ -164,23 +166,23 @@
 }
 
 // equal reports whether two placements are the same.
-func (c Carriers) same(other Carriers) bool {
-	return c.Everybody == other.Everybody && c.usable == other.usable && c.count == other.count && slices.Equal(c.Names, other.Names) &&
-		maps.Equal(c.atHome, other.atHome)
+func (c Carriers) equal(other Carriers) bool {
+	return c.Everybody == other.Everybody && c.usableConnections == other.usableConnections && c.count == other.count && slices.Equal(c.Names, other.Names) &&
+		maps.Equal(c.localCount, other.localCount)
 }
 
 // SetInstances sets the instances that are alive.
 func (t *Table) SetInstances(alive []ownership.Instance) {
-	joined, left := t.compare(alive)
+	joined, left := t.updateAlive(alive)
 	if len(joined) > 0 || left > 0 {
 		t.changed = true
-		t.rank(joined, left > 0, ownership.Weigh(alive))
+		t.updateRankings(joined, left > 0, ownership.Weigh(alive))
 	}
 }
 
 // updateAlive updates the table's instances, and returns those that joined and how many left. An
 // instance whose registration has changed counts as one that left and one that joined.
-func (t *Table) compare(alive []ownership.Instance) (joined []*instance, left int) {
+func (t *Table) updateAlive(alive []ownership.Instance) (joined []*instance, left int) {
 	present := make(map[string]bool, len(alive))
 	for _, i := range alive {
 		present[i.Name] = true
@@ -214,59 +216,59 @@
 }
 
 // updateRankings updates the rankings of all groups after instances joined or left.
-func (t *Table) rank(joined []*instance, someLeft bool, weights ownership.Weights) {
+func (t *Table) updateRankings(joined []*instance, someLeft bool, weights ownership.Weights) {
 	reweighted := weights != t.weights
 	t.weights = weights
 	for _, i := range joined {
-		if len(t.kinds) < maxKinds && !slices.ContainsFunc(t.kinds, func(k ownership.Instance) bool { return k.Weight == i.Weight }) {
-			t.kinds = append(t.kinds, i.Instance)
+		if len(t.weightClasses) < maxWeightClasses && !slices.ContainsFunc(t.weightClasses, func(k ownership.Instance) bool { return k.Weight == i.Weight }) {
+			t.weightClasses = append(t.weightClasses, i.Instance)
 		}
 	}
 	for _, r := range t.rows {
-		for n := range r.homes {
-			t.follow(r.group, &r.homes[n].ranking, joined, someLeft, reweighted)
+		for n := range r.dataCentres {
+			t.updateRanking(r.group, &r.dataCentres[n].ranking, joined, someLeft, reweighted)
 		}
-		t.follow(r.group, &r.anywhere, joined, someLeft, reweighted)
+		t.updateRanking(r.group, &r.allInstances, joined, someLeft, reweighted)
 	}
 }
 
 // updateRanking updates one ranking.
-func (t *Table) follow(g Group, r *ranking, joined []*instance, someLeft, reweighted bool) {
+func (t *Table) updateRanking(g Group, r *ranking, joined []*instance, someLeft, reweighted bool) {
 	switch {
-	case r.keeps == 0:
+	case r.limit == 0:
 		return // not computed yet
-	case reweighted || t.everybody(g):
+	case reweighted || t.servedByAll(g):
 		r.clear()
 		return
 	case someLeft:
-		r.leave()
+		r.removeGone()
 	}
 	for _, i := range joined {
 		if r.covers(i) {
-			r.join(t.draw(t.score(g.Name, i), i))
+			r.join(t.newCandidate(t.score(g.Name, i), i))
 		}
 	}
 }
 
 // score returns the hash score of an instance for a group, and counts the computation.
 func (t *Table) score(group string, i *instance) uint64 {
-	t.scores++
+	t.scoresComputed++
 	return ownership.Score(group, i.Name)
 }
 
 // newCandidate returns the candidate for an instance with a given hash score.
-func (t *Table) draw(score uint64, i *instance) candidate {
-	return candidate{instance: i, draw: t.weights.Draw(score, i.Instance)}
+func (t *Table) newCandidate(score uint64, i *instance) candidate {
+	return candidate{instance: i, score: t.weights.Draw(score, i.Instance)}
 }
 
 // resetLoads sets the group limit of each instance and its load to zero.
-func (t *Table) bind() {
-	limits := t.bounds()
+func (t *Table) resetLoads() {
+	limits := t.groupLimits()
 	for name, i := range t.alive {
-		i.load, i.bounded = 0, limits != nil
-		i.bound = limits[name]
+		i.load, i.limited = 0, limits != nil
+		i.limit = limits[name]
 	}
 }
 
 // servedByAll reports whether every instance serves a group.
-func (t *Table) everybody(g Group) bool { return g.everybody(t.registered, len(t.rows)) }
+func (t *Table) servedByAll(g Group) bool { return g.servedByAll(t.registered, len(t.rows)) }
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -79,8 +79,8 @@
 			for name := range groups {
 				want, got := wanted[name], reported[name]
 				must.Eq(t, want.Names, got.Names)
-				must.Eq(t, want.atHome, got.atHome)
-				must.Eq(t, []any{want.Everybody, want.usable, want.count}, []any{got.Everybody, got.usable, got.count})
+				must.Eq(t, want.localCount, got.localCount)
+				must.Eq(t, []any{want.Everybody, want.usableConnections, want.count}, []any{got.Everybody, got.usableConnections, got.count})
 			}
 		}
 	})
@@ -132,10 +132,10 @@
 		table, reported, groups := NewTable(), make(map[string]Carriers), groupsOf(size)
 		all := unlike(1, size/5-1, "a", "b", "c", "d", "e")
 		applyFleet(table, reported, groups, Fleet{Alive: all[1:], Registered: size - 1})
-		before := table.scores
+		before := table.scoresComputed
 		applyFleet(table, reported, groups, Fleet{Alive: all, Registered: size})
 		applyFleet(table, reported, groups, Fleet{Alive: all[1:], Registered: size - 1})
-		scored[size] = float64(table.scores-before) / float64(len(groups))
+		scored[size] = float64(table.scoresComputed-before) / float64(len(groups))
 	}
 	must.LessEq(t, 2, scored[100], must.Sprint("one score when it joins, one when it leaves"))
 	must.LessEq(t, 2, scored[1000])
@@ -160,7 +160,7 @@
 	}
 	lost := slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.DataCentre == "a" })
 	applyFleet(table, reported, groups, Fleet{Alive: lost, Registered: size})
-	must.LessEq(t, 3*size, table.scores/len(groups), must.Sprint("all instances, those near members, and all that are left"))
+	must.LessEq(t, 3*size, table.scoresComputed/len(groups), must.Sprint("all instances, those near members, and all that are left"))
 }
 
 // Hundreds of instances and more groups than an instance may have its own connections to, even if
@@ -178,7 +178,7 @@
 		}
 		must.Between(t, 1, carried, len(groups)-1)
 	}
-	must.True(t, Place(groups[:mostShared], Fleet{Alive: unlike(1, 4, "a"), Registered: 5})[groups[0].Name].Everybody)
+	must.True(t, Place(groups[:maxGroupsOnAllInstances], Fleet{Alive: unlike(1, 4, "a"), Registered: 5})[groups[0].Name].Everybody)
 }
 
 // groupsOf returns groups with members in three data centres.
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -30,17 +30,17 @@
 
 // Weights of the cost function, in halves of a queued request.
 const (
-	perRequest     = 2
+	requestCost    = 2
 	primaryPenalty = 1 // the primary's slots are for writes first
-	farPenalty     = 1 // traffic between data centres is charged for and takes longer
+	remotePenalty  = 1 // traffic between data centres is charged for and takes longer
 )
 
 // retryLaggingAfter is the age of a lag report after which reads try the replica again. A
 // replica that gets no requests cannot report that it has caught up.
-const trialAfter = 250 * time.Millisecond
+const retryLaggingAfter = 250 * time.Millisecond
 
 // crossRegionRTT is the assumed round trip time of a read to another region.
-const regionTrip = 25 * time.Millisecond
+const crossRegionRTT = 25 * time.Millisecond
 
 // Order returns the members that may serve a read, best first. It prefers the least loaded
 // member, and near replicas over other members. Members of other regions come first only when
@@ -70,7 +70,7 @@
 // Trip returns the extra round trip time of a read at the member compared with a near member.
 func (c Candidate) Trip() time.Duration {
 	if c.Distance == locality.OtherRegion {
-		return regionTrip
+		return crossRegionRTT
 	}
 	return 0
 }
@@ -93,7 +93,7 @@
 		return 2
 	case c.Deferred:
 		return 1
-	case c.Primary || !c.Position.Less(required) || c.Behind < 0 || age >= c.Behind || c.Seen >= trialAfter:
+	case c.Primary || !c.Position.Less(required) || c.Behind < 0 || age >= c.Behind || c.Seen >= retryLaggingAfter:
 		return 0
 	}
 	return 1
@@ -106,15 +106,15 @@
 
 // cost returns the cost of running a read at a candidate; lower is better.
 func cost(c Candidate) int {
-	cost := c.Load * perRequest
+	cost := c.Load * requestCost
 	if c.Primary {
 		cost += primaryPenalty
 	}
 	switch c.Distance {
 	case locality.SameRegion:
-		cost += farPenalty
+		cost += remotePenalty
 	case locality.OtherRegion:
-		cost += farPenalty + crossing(c)
+		cost += remotePenalty + crossRegionCost(c)
 	}
 	return cost
 }
@@ -123,11 +123,11 @@
 // cost of the load at which a read would queue at a near member for as long as the round trip
 // takes. With less load, the near member runs all requests at once or finishes those ahead in
 // less time.
-func crossing(c Candidate) int {
+func crossRegionCost(c Candidate) int {
 	slots := max(1, c.Slots)
 	queued := slots
 	if c.Work > 0 {
-		queued = int((time.Duration(slots)*regionTrip + c.Work - 1) / c.Work)
+		queued = int((time.Duration(slots)*crossRegionRTT + c.Work - 1) / c.Work)
 	}
-	return (slots + queued) * perRequest
+	return (slots + queued) * requestCost
 }
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -32,9 +32,9 @@
 		"a replica that should have caught up before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: age}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"a replica with an old lag report before the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: trialAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: retryLaggingAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"a lagging replica with a recent report after the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: trialAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: retryLaggingAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
 		"a replica with unknown lag before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: -1}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"no replica that rejected a read for its lag": {
@@ -57,7 +57,7 @@
 	here := func(load int) Candidate {
 		return Candidate{ID: "here", Usable: true, Position: at(5), Load: load, Slots: 3}
 	}
-	there := Candidate{ID: "there", Distance: locality.OtherRegion, Usable: true, Position: at(5), Slots: 3, Work: regionTrip}
+	there := Candidate{ID: "there", Distance: locality.OtherRegion, Usable: true, Position: at(5), Slots: 3, Work: crossRegionRTT}
 	primary := func(load int) Candidate {
 		return Candidate{ID: "primary", Primary: true, Distance: locality.SameRegion, Usable: true, Load: load, Slots: 3}
 	}
@@ -116,11 +116,11 @@
 
 // The shorter the reads are relative to the round trip, the more of them queue in the region.
 func TestCrossRegionCostFollowsRoundTrip(t *testing.T) {
-	short := crossing(Candidate{Slots: 3, Work: regionTrip / 5})
-	long := crossing(Candidate{Slots: 3, Work: 5 * regionTrip})
+	short := crossRegionCost(Candidate{Slots: 3, Work: crossRegionRTT / 5})
+	long := crossRegionCost(Candidate{Slots: 3, Work: 5 * crossRegionRTT})
 	must.Greater(t, long, short)
-	must.Greater(t, 3*perRequest, long, must.Sprint("at least the cost of all slots in use"))
-	must.Greater(t, 0, crossing(Candidate{}), must.Sprint("with unknown slots and durations"))
+	must.Greater(t, 3*requestCost, long, must.Sprint("at least the cost of all slots in use"))
+	must.Greater(t, 0, crossRegionCost(Candidate{}), must.Sprint("with unknown slots and durations"))
 }
 
 // A replica lags far behind for a while, and no other traffic reports on its lag. Reads return
@@ -148,6 +148,6 @@
 		served++
 		replica.Position, replica.Behind = at(5), 0
 	}
-	must.LessEq(t, int(lagging/trialAfter), tried)
+	must.LessEq(t, int(lagging/retryLaggingAfter), tried)
 	must.Greater(t, int(lagging/interval)/2, served)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -68,7 +68,7 @@
 	if m := readyReplica(v, r.Required); m != nil {
 		return Decision{Choice: Use, Member: m.Name, Reason: "replica holds the position"}
 	}
-	delay, catchingUp := nearest(v, r.Age)
+	delay, catchingUp := shortestCatchUp(v, r.Age)
 	if catchingUp && r.Waited+delay <= v.MaxWait && delay < r.Left {
 		return Decision{Choice: Wait, Reason: "a replica is about to catch up"}
 	}
@@ -96,7 +96,7 @@
 		if m.Primary || !m.Healthy || m.Leaving || m.Position.Less(required) {
 			continue
 		}
-		if best == nil || lighter(m, best) {
+		if best == nil || lessLoaded(m, best) {
 			best = m
 		}
 	}
@@ -104,14 +104,14 @@
 }
 
 // lessLoaded reports whether a uses a smaller fraction of its connections than b.
-func lighter(a, b *Member) bool {
+func lessLoaded(a, b *Member) bool {
 	return a.InFlight*max(b.Capacity, 1) < b.InFlight*max(a.Capacity, 1)
 }
 
 // shortestCatchUp returns the shortest time after which a replica is expected to hold a position
 // of some age, and false when no replica is in service. The time is 0 for a replica that is
 // expected to hold it already; the next poll will confirm that.
-func nearest(v *View, age time.Duration) (time.Duration, bool) {
+func shortestCatchUp(v *View, age time.Duration) (time.Duration, bool) {
 	var delay time.Duration
 	found := false
 	for i := range v.Members {
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -114,18 +114,18 @@
 
 // State applies changes of the topology. It is not safe for concurrent use.
 type State struct {
-	grace   time.Duration
-	memory  time.Duration
-	now     Snapshot                 // state that the next snapshot shows
-	lapsed  map[string]time.Duration // when the entry of a member that is still used vanished, by ID
-	gone    map[string]departed      // members that are no longer used, by ID
-	changed map[string]struct{}      // names of groups that changed since the last TakeChanged
+	grace        time.Duration
+	retention    time.Duration
+	current      Snapshot                  // state that the next snapshot shows
+	missingSince map[string]time.Duration  // when the entry of a member that is still used vanished, by ID
+	departedByID map[string]departedMember // members that are no longer used, by ID
+	changed      map[string]struct{}       // names of groups that changed since the last TakeChanged
 }
 
 // departedMember is a member that is no longer used because its entry has vanished.
-type departed struct {
+type departedMember struct {
 	Member
-	at time.Duration // when the entry vanished
+	vanishedAt time.Duration // when the entry vanished
 }
 
 // New returns an empty State. A member whose entry has vanished is still used for the grace
@@ -133,32 +133,32 @@
 // until retention has passed since the entry vanished.
 func New(grace, retention time.Duration) *State {
 	return &State{
-		grace: grace, memory: retention,
-		now: Snapshot{
+		grace: grace, retention: retention,
+		current: Snapshot{
 			catalogue: newCatalogue(Config{}),
 			members:   immutable.NewMap[string, Member](nil),
 			byGroup:   immutable.NewMap[string, []Member](nil),
 			departed:  immutable.NewMap[string, []Member](nil),
 		},
-		lapsed: make(map[string]time.Duration), gone: make(map[string]departed), changed: make(map[string]struct{}),
+		missingSince: make(map[string]time.Duration), departedByID: make(map[string]departedMember), changed: make(map[string]struct{}),
 	}
 }
 
 // SetConfig applies a configuration. It ignores one that is not newer than the current one, and
 // returns false.
 func (s *State) SetConfig(c Config) bool {
-	if c.Version <= s.now.Version {
+	if c.Version <= s.current.Version {
 		return false
 	}
-	before := s.now.Groups
-	s.now.Version, s.now.Config, s.now.catalogue = c.Version, c, newCatalogue(c)
-	for name, g := range s.now.Groups {
+	before := s.current.Groups
+	s.current.Version, s.current.Config, s.current.catalogue = c.Version, c, newCatalogue(c)
+	for name, g := range s.current.Groups {
 		if known, ok := before[name]; !ok || known != g {
 			s.changed[name] = struct{}{}
 		}
 	}
 	for name := range before {
-		if _, ok := s.now.Groups[name]; !ok {
+		if _, ok := s.current.Groups[name]; !ok {
 			s.changed[name] = struct{}{}
 		}
 	}
@@ -201,38 +201,38 @@
 // may have been absent between the listings. A member that was restarted under the same ID
 // counts as a new member.
 func (s *State) SetMember(now time.Duration, m Member, listed bool) bool {
-	_, lapsed := s.lapsed[m.ID]
-	known, ok := s.now.members.Get(m.ID)
-	if m.Since = known.Since; !ok || lapsed || known.Born != m.Born || listed && known.Revision != m.Revision {
+	_, missing := s.missingSince[m.ID]
+	known, ok := s.current.members.Get(m.ID)
+	if m.Since = known.Since; !ok || missing || known.Born != m.Born || listed && known.Revision != m.Revision {
 		m.Since = now
 	}
-	if ok && known == m && !lapsed {
+	if ok && known == m && !missing {
 		return false
 	}
 	if ok {
 		s.remove(known)
 	}
-	s.now.members = s.now.members.Set(m.ID, m)
-	s.now.byGroup = with(s.now.byGroup, m)
+	s.current.members = s.current.members.Set(m.ID, m)
+	s.current.byGroup = with(s.current.byGroup, m)
 	s.changed[m.Group] = struct{}{}
-	delete(s.lapsed, m.ID)
+	delete(s.missingSince, m.ID)
 	s.forget(m.ID)
 	return true
 }
 
 // remove deletes a member.
 func (s *State) remove(m Member) {
-	s.now.members = s.now.members.Delete(m.ID)
-	s.now.byGroup = without(s.now.byGroup, m)
+	s.current.members = s.current.members.Delete(m.ID)
+	s.current.byGroup = without(s.current.byGroup, m)
 	s.changed[m.Group] = struct{}{}
 }
 
 // forget deletes a departed member, and reports whether there was one.
 func (s *State) forget(id string) bool {
-	m, ok := s.gone[id]
+	m, ok := s.departedByID[id]
 	if ok {
-		delete(s.gone, id)
-		s.now.departed = without(s.now.departed, m.Member)
+		delete(s.departedByID, id)
+		s.current.departed = without(s.current.departed, m.Member)
 	}
 	return ok
 }
@@ -258,18 +258,18 @@
 
 // DropMember records that the entry of a member has vanished.
 func (s *State) DropMember(now time.Duration, id string) {
-	if _, known := s.now.members.Get(id); !known {
+	if _, known := s.current.members.Get(id); !known {
 		return
 	}
-	if _, noted := s.lapsed[id]; !noted {
-		s.lapsed[id] = now
+	if _, noted := s.missingSince[id]; !noted {
+		s.missingSince[id] = now
 	}
 }
 
 // KeepMembers records after a full listing of the store that the entries of all members but
 // those present have vanished.
 func (s *State) KeepMembers(now time.Duration, present map[string]bool) {
-	for all := s.now.members.Iterator(); !all.Done(); {
+	for all := s.current.members.Iterator(); !all.Done(); {
 		if id, _, _ := all.Next(); !present[id] {
 			s.DropMember(now, id)
 		}
@@ -280,18 +280,18 @@
 // there were any.
 func (s *State) Expire(now time.Duration) bool {
 	changed := false
-	for id, since := range s.lapsed {
+	for id, since := range s.missingSince {
 		if now-since >= s.grace {
-			m, _ := s.now.members.Get(id)
+			m, _ := s.current.members.Get(id)
 			s.remove(m)
-			s.gone[id] = departed{Member: m, at: since}
-			s.now.departed = with(s.now.departed, m)
-			delete(s.lapsed, id)
+			s.departedByID[id] = departedMember{Member: m, vanishedAt: since}
+			s.current.departed = with(s.current.departed, m)
+			delete(s.missingSince, id)
 			changed = true
 		}
 	}
-	for id, m := range s.gone {
-		if now-m.at >= s.memory {
+	for id, m := range s.departedByID {
+		if now-m.vanishedAt >= s.retention {
 			changed = s.forget(id) || changed
 		}
 	}
@@ -300,6 +300,6 @@
 
 // Snapshot returns a snapshot of the current state.
 func (s *State) Snapshot() *Snapshot {
-	snap := s.now
+	snap := s.current
 	return &snap
 }
