--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -61,11 +61,11 @@
 
 // Verdict is the result of an admission decision.
 type Verdict struct {
-	Admit     bool
-	Predicted time.Duration // wait computed from the backlog; 0: the request runs at once, or the wait is unknown
-	Wait      time.Duration // the same, corrected by the waits of earlier requests; the decision uses it
-	ComeBack  time.Duration // for a rejection: delay after which a retry is expected to succeed
-	Reason    Reason
+	Admit      bool
+	Predicted  time.Duration // wait computed from the backlog; 0: the request runs at once, or the wait is unknown
+	Wait       time.Duration // the same, corrected by the waits of earlier requests; the decision uses it
+	RetryAfter time.Duration // for a rejection: delay after which a retry is expected to succeed
+	Reason     Reason
 }
 
 // Limits of plausible values.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -26,7 +26,7 @@
 	if verdict.Admit {
 		p.level(v).Began(now)
 	}
-	return verdict.Admit, verdict.ComeBack
+	return verdict.Admit, verdict.RetryAfter
 }
 
 func (p predicting) onGrant(now time.Duration, v *attempt, waited time.Duration) {
@@ -79,7 +79,7 @@
 				l.Waited(d, -d)
 				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
-				must.Between(t, 0, v.ComeBack, 2*maxWait)
+				must.Between(t, 0, v.RetryAfter, 2*maxWait)
 				must.Between(t, minRetryAfter, ComeBack(r, d, d), 2*maxWait)
 				var c Correction
 				c.Waited(d, d)
@@ -190,5 +190,5 @@
 	v := DecideOutage(r, 8*time.Second, Change)
 	must.False(t, v.Admit)
 	must.Eq(t, Change, v.Reason)
-	must.Between(t, defaultChange, v.ComeBack, 2*defaultChange)
+	must.Between(t, defaultChange, v.RetryAfter, 2*defaultChange)
 }
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -69,7 +69,7 @@
 		must.Eq(t, AllRefuse, c.Verdict.Reason)
 		must.Eq(t, 700*ms-now, c.Verdict.Wait)
 		must.Eq(t, now, c.Age)
-		must.Between(t, c.Verdict.Wait, c.Verdict.ComeBack, 2*c.Verdict.Wait)
+		must.Between(t, c.Verdict.Wait, c.Verdict.RetryAfter, 2*c.Verdict.Wait)
 	}
 	must.Eq(t, int(500*ms/probeInterval), passed)
 	must.True(t, o.Choose(500*ms, q, both).Verdict.Admit, must.Sprint("b's queue has drained"))
--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -74,7 +74,7 @@
 	if v.Wait+bounded(r.Usual) <= r.Objective {
 		return v
 	}
-	v.Admit, v.Reason, v.ComeBack = false, reason, ComeBackAfter(r, remaining)
+	v.Admit, v.Reason, v.RetryAfter = false, reason, ComeBackAfter(r, remaining)
 	return v
 }
 
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -285,8 +285,8 @@
 // comeBack returns after what time the caller is told to try again.
 func (a *attempt) comeBack() time.Duration {
 	switch {
-	case a.verdict.ComeBack > 0:
-		return a.verdict.ComeBack
+	case a.verdict.RetryAfter > 0:
+		return a.verdict.RetryAfter
 	case a.obstacle != nil:
 		return admission.ComeBackAfter(a.request(), a.obstacle.left)
 	}
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -143,9 +143,9 @@
 	if leftOut, ok := r.sampler.Allow("refusal carriers " + route.Group); ok {
 		r.log.WithField("request", st.ID).WithField("group", route.Group).WithField("priority", route.Priority).
 			WithField("reason", c.Verdict.Reason.String()).WithField("wait_ms", c.Verdict.Wait.Milliseconds()).WithField("age_ms", c.Age.Milliseconds()).
-			WithField("come_back_ms", c.Verdict.ComeBack.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, since all carriers would refuse it")
+			WithField("come_back_ms", c.Verdict.RetryAfter.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, since all carriers would refuse it")
 	}
 	answer := statement.Failure(statement.Idle, statement.Busy, "not run: what waits at all carriers already takes longer than the statement can wait")
-	answer.Err.RetryAfter = c.Verdict.ComeBack
+	answer.Err.RetryAfter = c.Verdict.RetryAfter
 	return answer
 }
