--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -111,13 +111,13 @@
 // bounded limits a duration to the plausible range, from 0 to one hour.
 func bounded(d time.Duration) time.Duration { return min(max(d, 0), time.Hour) }
 
-// ComeBack returns the delay after which a request that was rejected because of a wait should
+// RetryAfter returns the delay after which a request that was rejected because of a wait should
 // be retried. The delay is at least the wait, plus a part that depends on the request's ID, so
 // that requests rejected together are not retried together. lasted is for how long requests
 // have been rejected for the same reason: an overload is expected to last as long again, and
 // retries before its end only take capacity from other requests. The delay does not extend
 // beyond the deadline, unless the wait itself does.
-func ComeBack(r Request, wait, lasted time.Duration) time.Duration {
+func RetryAfter(r Request, wait, lasted time.Duration) time.Duration {
 	wait = min(max(wait, minRetryAfter), maxWait)
 	interval := min(max(2*lasted, wait), max(wait, r.Deadline-wait), maxWait)
 	return wait + time.Duration(float64(interval)*jitter(r.ID))
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -80,7 +80,7 @@
 				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
 				must.Between(t, 0, v.RetryAfter, 2*maxWait)
-				must.Between(t, minRetryAfter, ComeBack(r, d, d), 2*maxWait)
+				must.Between(t, minRetryAfter, RetryAfter(r, d, d), 2*maxWait)
 				var c Correction
 				c.Waited(d, d)
 				must.Between(t, minCorrection, c.Factor(), maxCorrection)
@@ -99,8 +99,8 @@
 	seen := make([]int, 10)
 	for i := range 1000 {
 		r := Request{ID: string(rune('a'+i%26)) + time.Duration(i).String(), Deadline: time.Second}
-		delay := ComeBack(r, 100*ms, 0)
-		must.Eq(t, delay, ComeBack(r, 100*ms, 0))
+		delay := RetryAfter(r, 100*ms, 0)
+		must.Eq(t, delay, RetryAfter(r, 100*ms, 0))
 		seen[(delay-100*ms)/(10*ms)]++
 	}
 	for _, n := range seen {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -41,7 +41,7 @@
 	if wait+duration <= r.Objective {
 		return v
 	}
-	v.Admit, v.Reason, v.RetryAfter = false, Late, ComeBack(r, wait, l.overload.Refused(now))
+	v.Admit, v.Reason, v.RetryAfter = false, Late, RetryAfter(r, wait, l.overload.Refused(now))
 	return v
 }
 
--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -83,5 +83,5 @@
 // change of primary may end the condition, so the expected wait counts for at most the
 // duration of such a change.
 func ComeBackAfter(r Request, remaining time.Duration) time.Duration {
-	return ComeBack(r, min(remaining, defaultChange), 0)
+	return RetryAfter(r, min(remaining, defaultChange), 0)
 }
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -36,7 +36,7 @@
 	l := s.level(v)
 	if interval := v.kind.objective / 2; l.least > v.kind.objective/4 && now-l.last < interval && now-l.since >= interval && b.Ahead > 0 {
 		wait, _ := b.Wait()
-		return false, ComeBack(Request{ID: v.id}, wait, 0)
+		return false, RetryAfter(Request{ID: v.id}, wait, 0)
 	}
 	if s.also != nil {
 		return s.also.decide(now, v, b)
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -292,7 +292,7 @@
 	}
 	if up := a.s.relay.upstreams.get(a.lastMember); up != nil {
 		if v := up.decide(a.now(), a.level(), a.request(), a.work()); v.Wait > 0 {
-			return admission.ComeBack(a.request(), v.Wait, 0)
+			return admission.RetryAfter(a.request(), v.Wait, 0)
 		}
 	}
 	return comeBack
