--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -74,14 +74,14 @@
 	if v.Wait+bounded(r.Usual) <= r.Objective {
 		return v
 	}
-	v.Admit, v.Reason, v.RetryAfter = false, reason, ComeBackAfter(r, remaining)
+	v.Admit, v.Reason, v.RetryAfter = false, reason, RetryAfterOutage(r, remaining)
 	return v
 }
 
-// ComeBackAfter returns the retry delay for a request that was rejected because an unusual
+// RetryAfterOutage returns the retry delay for a request that was rejected because an unusual
 // condition is expected to last for the remaining time. The real duration is unknown, and a
 // change of primary may end the condition, so the expected wait counts for at most the
 // duration of such a change.
-func ComeBackAfter(r Request, remaining time.Duration) time.Duration {
+func RetryAfterOutage(r Request, remaining time.Duration) time.Duration {
 	return RetryAfter(r, min(remaining, defaultChange), 0)
 }
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -288,7 +288,7 @@
 	case a.verdict.RetryAfter > 0:
 		return a.verdict.RetryAfter
 	case a.obstacle != nil:
-		return admission.ComeBackAfter(a.request(), a.obstacle.left)
+		return admission.RetryAfterOutage(a.request(), a.obstacle.left)
 	}
 	if up := a.s.relay.upstreams.get(a.lastMember); up != nil {
 		if v := up.decide(a.now(), a.level(), a.request(), a.work()); v.Wait > 0 {
