--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -19,7 +19,7 @@
 	var o Outlook
 	carriers := []Carrier{{Name: "10.0.0.1:7560"}, {Name: "10.0.0.2:7560"}, {Name: "10.0.0.3:7560", Rank: 1}}
 	for _, c := range carriers {
-		o.Told(0, c.Name, "group", us(0, 50*ms, 300*ms), us(0, 10*ms))
+		o.Update(0, c.Name, "group", us(0, 50*ms, 300*ms), us(0, 10*ms))
 	}
 	q := Query{Group: "group", Priority: 1, Request: Request{ID: "5c0e7a21d94b36f8", Objective: 200 * ms, Deadline: time.Second}}
 	b.ReportAllocs()
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -52,9 +52,9 @@
 	work  Work
 }
 
-// Told stores a carrier's forecast for a group, as waits in microseconds by priority. An
+// Update stores a carrier's forecast for a group, as waits in microseconds by priority. An
 // implausible forecast counts as no wait.
-func (o *Outlook) Told(now time.Duration, carrier, group string, primary, replica []uint32) {
+func (o *Outlook) Update(now time.Duration, carrier, group string, primary, replica []uint32) {
 	key := forecastKey{carrier, group}
 	if len(primary) == 0 && len(replica) == 0 || len(primary) > maxPriorities || len(replica) > maxPriorities {
 		delete(o.forecasts, key)
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -21,22 +21,22 @@
 		open  int
 	}{
 		"no forecast": {func(*Outlook) {}, 0, []int{0, 1, 2}, 3},
-		"the first carrier while its wait is not clearly longer": {func(o *Outlook) { o.Told(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
-		"the shorter wait of two with equal rank":                {func(o *Outlook) { o.Told(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
+		"the first carrier while its wait is not clearly longer": {func(o *Outlook) { o.Update(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
+		"the shorter wait of two with equal rank":                {func(o *Outlook) { o.Update(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
 		"no far carrier while a near one would admit": {func(o *Outlook) {
-			o.Told(0, "own", "g", us(0, 100*ms), nil)
-			o.Told(0, "alike", "g", us(0, 100*ms), nil)
+			o.Update(0, "own", "g", us(0, 100*ms), nil)
+			o.Update(0, "alike", "g", us(0, 100*ms), nil)
 		}, 0, []int{0, 1, 2}, 3},
-		"the far carrier when the near ones would reject": {func(o *Outlook) { o.Told(0, "own", "g", us(300*ms), nil); o.Told(0, "alike", "g", us(300*ms), nil) }, 0, []int{2, 0, 1}, 1},
-		"the forecast queue has drained since":            {func(o *Outlook) { o.Told(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
-		"wait of a lower priority":                        {func(o *Outlook) { o.Told(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"wait of another request class":                   {func(o *Outlook) { o.Told(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
-		"wait of another group":                           {func(o *Outlook) { o.Told(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"a newer forecast without wait":                   {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Told(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
-		"the carrier does not answer":                     {func(o *Outlook) { o.Told(0, "own", "g", us(time.Second), nil); o.Lost("own") }, 0, []int{0, 1, 2}, 3},
-		"implausible wait":                                {func(o *Outlook) { o.Told(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
-		"too many priorities":                             {func(o *Outlook) { o.Told(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
-		"the clock went backwards":                        {func(o *Outlook) { o.Told(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"the far carrier when the near ones would reject": {func(o *Outlook) { o.Update(0, "own", "g", us(300*ms), nil); o.Update(0, "alike", "g", us(300*ms), nil) }, 0, []int{2, 0, 1}, 1},
+		"the forecast queue has drained since":            {func(o *Outlook) { o.Update(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
+		"wait of a lower priority":                        {func(o *Outlook) { o.Update(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"wait of another request class":                   {func(o *Outlook) { o.Update(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
+		"wait of another group":                           {func(o *Outlook) { o.Update(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"a newer forecast without wait":                   {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Update(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
+		"the carrier does not answer":                     {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Lost("own") }, 0, []int{0, 1, 2}, 3},
+		"implausible wait":                                {func(o *Outlook) { o.Update(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
+		"too many priorities":                             {func(o *Outlook) { o.Update(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
+		"the clock went backwards":                        {func(o *Outlook) { o.Update(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
 	} {
 		var o Outlook
 		c.tell(&o)
@@ -56,8 +56,8 @@
 	var o Outlook
 	both := []Carrier{{Name: "a"}, {Name: "b"}}
 	q := Query{Group: "g", Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
-	o.Told(0, "a", "g", us(900*ms), nil)
-	o.Told(0, "b", "g", us(700*ms), nil)
+	o.Update(0, "a", "g", us(900*ms), nil)
+	o.Update(0, "b", "g", us(700*ms), nil)
 	passed := 0
 	for now := time.Duration(0); now < 500*ms; now += ms {
 		c := o.Choose(now, q, both)
@@ -88,7 +88,7 @@
 	var o Outlook
 	for n := range 2 * maxForecasts {
 		name := time.Duration(n).String()
-		o.Told(0, name, "g", []uint32{1e6}, nil)
+		o.Update(0, name, "g", []uint32{1e6}, nil)
 		o.Choose(0, Query{Group: name, Request: Request{}}, []Carrier{{Name: name}})
 	}
 	must.LessEq(t, maxForecasts, len(o.forecasts))
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -99,7 +99,7 @@
 func (o *outlook) told(now time.Duration, carrier, group string, reply *relaypb.CarryReply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.what.Told(now, carrier, group, reply.PrimaryWaitUs, reply.ReplicaWaitUs)
+	o.what.Update(now, carrier, group, reply.PrimaryWaitUs, reply.ReplicaWaitUs)
 }
 
 func (o *outlook) lost(carrier string) {
