--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -80,8 +80,8 @@
 	return all
 }
 
-// Lost deletes the forecasts of a carrier that did not answer.
-func (o *Outlook) Lost(carrier string) {
+// Forget deletes the forecasts of a carrier that did not answer.
+func (o *Outlook) Forget(carrier string) {
 	for key := range o.forecasts {
 		if key.carrier == carrier {
 			delete(o.forecasts, key)
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -33,7 +33,7 @@
 		"wait of another request class":                   {func(o *Outlook) { o.Update(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
 		"wait of another group":                           {func(o *Outlook) { o.Update(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
 		"a newer forecast without wait":                   {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Update(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
-		"the carrier does not answer":                     {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Lost("own") }, 0, []int{0, 1, 2}, 3},
+		"the carrier does not answer":                     {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Forget("own") }, 0, []int{0, 1, 2}, 3},
 		"implausible wait":                                {func(o *Outlook) { o.Update(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
 		"too many priorities":                             {func(o *Outlook) { o.Update(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
 		"the clock went backwards":                        {func(o *Outlook) { o.Update(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -105,7 +105,7 @@
 func (o *outlook) lost(carrier string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.what.Lost(carrier)
+	o.what.Forget(carrier)
 }
 
 func (o *outlook) choose(now time.Duration, q admission.Query, carriers []lead.Instance) admission.Choice {
