--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -2,7 +2,7 @@
 // that is expected to be answered in time is admitted and stays queued until it runs. Any other
 // request is rejected immediately with a retry delay. Package relay uses it, both for the
 // members that an instance is connected to (Level) and for the carriers that it forwards to
-// (Outlook).
+// (WaitForecast).
 //
 // The package has no I/O, clock or goroutine. Its inputs may come from peers or from averages
 // of few samples. An implausible input counts as unknown, and no request is rejected because
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -16,7 +16,7 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	var o Outlook
+	var o WaitForecast
 	carriers := []Carrier{{Name: "10.0.0.1:7560"}, {Name: "10.0.0.2:7560"}, {Name: "10.0.0.3:7560", Rank: 1}}
 	for _, c := range carriers {
 		o.Update(0, c.Name, "group", us(0, 50*ms, 300*ms), us(0, 10*ms))
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -39,10 +39,10 @@
 	waits [Works][]time.Duration // by priority; empty: no wait
 }
 
-// Outlook holds an ingress instance's forecasts of how long requests queue at the carriers of
+// WaitForecast holds an ingress instance's forecasts of how long requests queue at the carriers of
 // each group. Carriers send forecasts with their replies. A forecast wait decreases with the
 // forecast's age. The zero value has no forecasts. It is not safe for concurrent use.
-type Outlook struct {
+type WaitForecast struct {
 	forecasts  map[forecastKey]forecast
 	lastProbes map[probeKey]time.Duration // when a request was last forwarded as a probe
 }
@@ -54,7 +54,7 @@
 
 // Update stores a carrier's forecast for a group, as waits in microseconds by priority. An
 // implausible forecast counts as no wait.
-func (o *Outlook) Update(now time.Duration, carrier, group string, primary, replica []uint32) {
+func (o *WaitForecast) Update(now time.Duration, carrier, group string, primary, replica []uint32) {
 	key := forecastKey{carrier, group}
 	if len(primary) == 0 && len(replica) == 0 || len(primary) > maxPriorities || len(replica) > maxPriorities {
 		delete(o.forecasts, key)
@@ -81,7 +81,7 @@
 }
 
 // Forget deletes the forecasts of a carrier that did not answer.
-func (o *Outlook) Forget(carrier string) {
+func (o *WaitForecast) Forget(carrier string) {
 	for key := range o.forecasts {
 		if key.carrier == carrier {
 			delete(o.forecasts, key)
@@ -91,7 +91,7 @@
 
 // wait returns how long a request would wait at a carrier now, and the age of the forecast. Both
 // are 0 without a forecast.
-func (o *Outlook) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
+func (o *WaitForecast) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
 	f, ok := o.forecasts[forecastKey{carrier, q.Group}]
 	if !ok || now < f.at || q.Work < 0 || q.Work >= Works {
 		return 0, 0
@@ -151,7 +151,7 @@
 
 // Choose returns the order in which to try the carriers, given in the order from placement. Without
 // forecasts it keeps that order.
-func (o *Outlook) Choose(now time.Duration, q Query, carriers []Carrier) Choice {
+func (o *WaitForecast) Choose(now time.Duration, q Query, carriers []Carrier) Choice {
 	carriers = carriers[:min(len(carriers), maxChoice)]
 	c := Choice{Len: len(carriers), Verdict: Verdict{Admit: true}}
 	var waits, ages [maxChoice]time.Duration
@@ -183,7 +183,7 @@
 
 // preferShorter swaps the first two carriers if placement prefers them equally and the second
 // one's wait is clearly shorter.
-func (o *Outlook) preferShorter(carriers []Carrier, waits []time.Duration, order []int) {
+func (o *WaitForecast) preferShorter(carriers []Carrier, waits []time.Duration, order []int) {
 	if len(order) < 2 || carriers[order[0]].Rank != carriers[order[1]].Rank {
 		return
 	}
@@ -194,7 +194,7 @@
 
 // probe reports whether a request is forwarded as a probe although all carriers are known to reject
 // it.
-func (o *Outlook) probe(now time.Duration, q Query) bool {
+func (o *WaitForecast) probe(now time.Duration, q Query) bool {
 	key := probeKey{q.Group, q.Work}
 	if last, ok := o.lastProbes[key]; ok && now >= last && now-last < probeInterval {
 		return false
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -15,30 +15,36 @@
 	three := []Carrier{{Name: "own"}, {Name: "alike"}, {Name: "far", Rank: 1}}
 	q := Query{Group: "g", Work: OnPrimary, Priority: 1, Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
 	for name, c := range map[string]struct {
-		tell  func(o *Outlook)
+		tell  func(o *WaitForecast)
 		at    time.Duration
 		order []int
 		open  int
 	}{
-		"no forecast": {func(*Outlook) {}, 0, []int{0, 1, 2}, 3},
-		"the first carrier while its wait is not clearly longer": {func(o *Outlook) { o.Update(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
-		"the shorter wait of two with equal rank":                {func(o *Outlook) { o.Update(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
-		"no far carrier while a near one would admit": {func(o *Outlook) {
+		"no forecast": {func(*WaitForecast) {}, 0, []int{0, 1, 2}, 3},
+		"the first carrier while its wait is not clearly longer": {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
+		"the shorter wait of two with equal rank":                {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
+		"no far carrier while a near one would admit": {func(o *WaitForecast) {
 			o.Update(0, "own", "g", us(0, 100*ms), nil)
 			o.Update(0, "alike", "g", us(0, 100*ms), nil)
 		}, 0, []int{0, 1, 2}, 3},
-		"the far carrier when the near ones would reject": {func(o *Outlook) { o.Update(0, "own", "g", us(300*ms), nil); o.Update(0, "alike", "g", us(300*ms), nil) }, 0, []int{2, 0, 1}, 1},
-		"the forecast queue has drained since":            {func(o *Outlook) { o.Update(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
-		"wait of a lower priority":                        {func(o *Outlook) { o.Update(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"wait of another request class":                   {func(o *Outlook) { o.Update(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
-		"wait of another group":                           {func(o *Outlook) { o.Update(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"a newer forecast without wait":                   {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Update(1, "own", "g", nil, nil) }, 1, []int{0, 1, 2}, 3},
-		"the carrier does not answer":                     {func(o *Outlook) { o.Update(0, "own", "g", us(time.Second), nil); o.Forget("own") }, 0, []int{0, 1, 2}, 3},
-		"implausible wait":                                {func(o *Outlook) { o.Update(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
-		"too many priorities":                             {func(o *Outlook) { o.Update(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
-		"the clock went backwards":                        {func(o *Outlook) { o.Update(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"the far carrier when the near ones would reject": {func(o *WaitForecast) {
+			o.Update(0, "own", "g", us(300*ms), nil)
+			o.Update(0, "alike", "g", us(300*ms), nil)
+		}, 0, []int{2, 0, 1}, 1},
+		"the forecast queue has drained since": {func(o *WaitForecast) { o.Update(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
+		"wait of a lower priority":             {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"wait of another request class":        {func(o *WaitForecast) { o.Update(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
+		"wait of another group":                {func(o *WaitForecast) { o.Update(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"a newer forecast without wait": {func(o *WaitForecast) {
+			o.Update(0, "own", "g", us(time.Second), nil)
+			o.Update(1, "own", "g", nil, nil)
+		}, 1, []int{0, 1, 2}, 3},
+		"the carrier does not answer": {func(o *WaitForecast) { o.Update(0, "own", "g", us(time.Second), nil); o.Forget("own") }, 0, []int{0, 1, 2}, 3},
+		"implausible wait":            {func(o *WaitForecast) { o.Update(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
+		"too many priorities":         {func(o *WaitForecast) { o.Update(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
+		"the clock went backwards":    {func(o *WaitForecast) { o.Update(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
 	} {
-		var o Outlook
+		var o WaitForecast
 		c.tell(&o)
 		choice := o.Choose(c.at, q, three)
 		for i, index := range c.order {
@@ -53,7 +59,7 @@
 // All carriers of a group are overloaded. The ingress instance rejects requests until the shortest
 // queue has drained, and forwards one as a probe from time to time.
 func TestIngressRejectsWhenAllCarriersWould(t *testing.T) {
-	var o Outlook
+	var o WaitForecast
 	both := []Carrier{{Name: "a"}, {Name: "b"}}
 	q := Query{Group: "g", Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
 	o.Update(0, "a", "g", us(900*ms), nil)
@@ -85,7 +91,7 @@
 
 // The memory is bounded for any number of carriers and groups.
 func TestForecastsAreBounded(t *testing.T) {
-	var o Outlook
+	var o WaitForecast
 	for n := range 2 * maxForecasts {
 		name := time.Duration(n).String()
 		o.Update(0, name, "g", []uint32{1e6}, nil)
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -93,7 +93,7 @@
 // outlook is what this instance knows of its carriers. It is safe for concurrent use.
 type outlook struct {
 	mu   sync.Mutex // guards what
-	what admission.Outlook
+	what admission.WaitForecast
 }
 
 func (o *outlook) told(now time.Duration, carrier, group string, reply *relaypb.CarryReply) {
