--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -79,13 +79,13 @@
 	maxSlowdown   = 64
 )
 
-// Wait predicts how long a request waits for a slot, and returns false when the wait is
+// PredictWait predicts how long a request waits for a slot, and returns false when the wait is
 // unknown.
 //
 // A member at which each request takes several times its usual duration is shared by all of
 // them. The queue therefore drains at the rate of its slots divided by the slowdown, no matter
 // whose requests cause the slowdown.
-func (b Backlog) Wait() (time.Duration, bool) {
+func (b Backlog) PredictWait() (time.Duration, bool) {
 	paused := min(bounded(b.Paused), maxWait)
 	if b.Ahead <= 0 && b.Active < b.Slots {
 		return paused, true
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -16,7 +16,7 @@
 // is at least the time since one of them was last granted a slot. This covers a member that has
 // stopped answering, and requests of higher priority that take all slots.
 func (l *Level) Wait(now time.Duration, b Backlog) (predicted, wait time.Duration) {
-	predicted, known := b.Wait()
+	predicted, known := b.PredictWait()
 	if known && predicted == 0 {
 		return 0, 0
 	}
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -35,7 +35,7 @@
 func (s *standingQueue) decide(now time.Duration, v *attempt, b Backlog) (bool, time.Duration) {
 	l := s.level(v)
 	if interval := v.kind.objective / 2; l.least > v.kind.objective/4 && now-l.last < interval && now-l.since >= interval && b.Ahead > 0 {
-		wait, _ := b.Wait()
+		wait, _ := b.PredictWait()
 		return false, RetryAfter(Request{ID: v.id}, wait, 0)
 	}
 	if s.also != nil {
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -115,7 +115,7 @@
 
 func (m *member) arrive(v *attempt) {
 	t, b := m.tallies[v.kind.name], m.backlog(v)
-	v.predicted, _ = b.Wait()
+	v.predicted, _ = b.PredictWait()
 	if v.retries > 0 {
 		t.retried++
 	}
