--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -11,11 +11,11 @@
 	lastProgress time.Duration // when one of them was last granted a slot, or the first of them was queued
 }
 
-// Wait predicts how long a request waits for a slot: from the backlog alone, and corrected by the
+// PredictWait predicts how long a request waits for a slot: from the backlog alone, and corrected by the
 // waits of earlier requests of its priority. While such requests are queued, the corrected wait
 // is at least the time since one of them was last granted a slot. This covers a member that has
 // stopped answering, and requests of higher priority that take all slots.
-func (l *Level) Wait(now time.Duration, b Backlog) (predicted, wait time.Duration) {
+func (l *Level) PredictWait(now time.Duration, b Backlog) (predicted, wait time.Duration) {
 	predicted, known := b.PredictWait()
 	if known && predicted == 0 {
 		return 0, 0
@@ -32,7 +32,7 @@
 
 // Decide decides whether a request is queued behind a backlog.
 func (l *Level) Decide(now time.Duration, r Request, b Backlog) Verdict {
-	predicted, wait := l.Wait(now, b)
+	predicted, wait := l.PredictWait(now, b)
 	v := Verdict{Admit: true, Predicted: predicted, Wait: wait}
 	if wait == 0 {
 		return v // a rejection would gain nothing
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -86,7 +86,7 @@
 	if silent := up.silent(now); silent > 0 {
 		return admission.Silence(silent)
 	}
-	_, wait := up.levels[work][level].Wait(now, up.slowed(now, backlog))
+	_, wait := up.levels[work][level].PredictWait(now, up.slowed(now, backlog))
 	return wait
 }
 
