--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -24,7 +24,7 @@
 	r := Request{ID: v.id, Usual: v.kind.work, Objective: v.kind.objective, Deadline: v.kind.patience / 2}
 	verdict := p.level(v).Decide(now, r, b)
 	if verdict.Admit {
-		p.level(v).Began(now)
+		p.level(v).Enqueued(now)
 	}
 	return verdict.Admit, verdict.RetryAfter
 }
@@ -150,7 +150,7 @@
 	var l Level
 	r := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
 	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, Held: 20 * ms, Slowdown: 1}
-	l.Began(time.Second)
+	l.Enqueued(time.Second)
 	must.True(t, l.Decide(time.Second+100*ms, r, stuck).Admit)
 	must.False(t, l.Overloaded(time.Second+100*ms))
 	v := l.Decide(time.Second+300*ms, r, stuck)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -45,8 +45,8 @@
 	return v
 }
 
-// Began records that a request was queued.
-func (l *Level) Began(now time.Duration) {
+// Enqueued records that a request was queued.
+func (l *Level) Enqueued(now time.Duration) {
 	if l.queued == 0 {
 		l.lastProgress = now
 	}
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -160,7 +160,7 @@
 	p := &place{a: a, up: up}
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.level(a).Began(now)
+	up.level(a).Enqueued(now)
 	if !up.probing && up.silent(now) > 0 {
 		p.probe, up.probing = true, true
 	}
