--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,7 +30,7 @@
 }
 
 func (p predicting) onGrant(now time.Duration, v *attempt, waited time.Duration) {
-	p.level(v).Left(now, true)
+	p.level(v).Dequeued(now, true)
 	p.level(v).Waited(waited, v.predicted)
 }
 
@@ -75,7 +75,7 @@
 			for _, f := range factors {
 				r := Request{Usual: d, Objective: d, Deadline: d}
 				l := &Level{lastProgress: d, queued: n}
-				l.Left(d, true)
+				l.Dequeued(d, true)
 				l.Waited(d, -d)
 				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
@@ -159,7 +159,7 @@
 	must.True(t, l.Overloaded(time.Second+300*ms+overloadGap))
 	must.False(t, l.Overloaded(time.Second+301*ms+overloadGap))
 	must.False(t, l.Decide(time.Second+300*ms, r, Backlog{Ahead: 1, Active: 6, Slots: 6}).Admit, must.Sprint("also rejected while durations are unknown"))
-	l.Left(time.Second+300*ms, true)
+	l.Dequeued(time.Second+300*ms, true)
 	must.True(t, l.Decide(time.Second+310*ms, r, stuck).Admit, must.Sprint("a request was granted a slot"))
 }
 
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -53,8 +53,8 @@
 	l.queued++
 }
 
-// Left records that a request left the queue, with or without a slot.
-func (l *Level) Left(now time.Duration, granted bool) {
+// Dequeued records that a request left the queue, with or without a slot.
+func (l *Level) Dequeued(now time.Duration, granted bool) {
 	l.queued = max(0, l.queued-1)
 	if granted {
 		l.lastProgress = now
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -181,7 +181,7 @@
 	if p.probe && !granted {
 		p.up.probing = false
 	}
-	p.up.level(p.a).Left(now, granted)
+	p.up.level(p.a).Dequeued(now, granted)
 	if granted {
 		p.a.learnWait(p.up, now)
 	}
