--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,7 +31,7 @@
 
 func (p predicting) onGrant(now time.Duration, v *attempt, waited time.Duration) {
 	p.level(v).Dequeued(now, true)
-	p.level(v).Waited(waited, v.predicted)
+	p.level(v).ObserveWait(waited, v.predicted)
 }
 
 func (p predicting) maxQueueTime(v *attempt) time.Duration { return v.kind.patience }
@@ -76,7 +76,7 @@
 				r := Request{Usual: d, Objective: d, Deadline: d}
 				l := &Level{lastProgress: d, queued: n}
 				l.Dequeued(d, true)
-				l.Waited(d, -d)
+				l.ObserveWait(d, -d)
 				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
 				must.Between(t, 0, v.RetryAfter, 2*maxWait)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -61,6 +61,6 @@
 	}
 }
 
-// Waited records how long a request waited in total until it was granted a slot or given up.
+// ObserveWait records how long a request waited in total until it was granted a slot or given up.
 // predicted is the value from its verdict.
-func (l *Level) Waited(actual, predicted time.Duration) { l.correction.Waited(actual, predicted) }
+func (l *Level) ObserveWait(actual, predicted time.Duration) { l.correction.Waited(actual, predicted) }
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -203,7 +203,7 @@
 	if a.queuedAt == 0 {
 		return
 	}
-	up.level(a).Waited(now-a.queuedAt, a.verdict.Predicted)
+	up.level(a).ObserveWait(now-a.queuedAt, a.verdict.Predicted)
 	a.s.relay.observeWait(a, now-a.queuedAt)
 	a.queuedAt = 0
 }
