--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,7 +1,7 @@
 // Package admission decides whether a request is queued for a member or rejected. A request
 // that is expected to be answered in time is admitted and stays queued until it runs. Any other
 // request is rejected immediately with a retry delay. Package relay uses it, both for the
-// members that an instance is connected to (Level) and for the carriers that it forwards to
+// members that an instance is connected to (Controller) and for the carriers that it forwards to
 // (WaitForecast).
 //
 // The package has no I/O, clock or goroutine. Its inputs may come from peers or from averages
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,11 +11,11 @@
 const ms = time.Millisecond
 
 // predicting is the admission policy of this package, with a controller per priority.
-type predicting map[int]*Level
+type predicting map[int]*Controller
 
-func (p predicting) level(v *attempt) *Level {
+func (p predicting) level(v *attempt) *Controller {
 	if p[v.kind.priority] == nil {
-		p[v.kind.priority] = &Level{}
+		p[v.kind.priority] = &Controller{}
 	}
 	return p[v.kind.priority]
 }
@@ -59,7 +59,7 @@
 		"objective missed, empty queue":                     {Request{ID: "x", Objective: -ms}, Backlog{Slots: 6}, true},
 		"objective missed, others queued":                   {Request{ID: "x", Objective: -ms}, behind(1), false},
 	} {
-		v := (&Level{}).Decide(0, c.r, c.b)
+		v := (&Controller{}).Decide(0, c.r, c.b)
 		must.Eq(t, c.admit, v.Admit, must.Sprint(name))
 		must.Eq(t, c.admit, v.Reason == None, must.Sprint(name))
 	}
@@ -74,7 +74,7 @@
 		for _, n := range counts {
 			for _, f := range factors {
 				r := Request{Usual: d, Objective: d, Deadline: d}
-				l := &Level{lastProgress: d, queued: n}
+				l := &Controller{lastProgress: d, queued: n}
 				l.Dequeued(d, true)
 				l.ObserveWait(d, -d)
 				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
@@ -147,7 +147,7 @@
 // slots. No request of the priority is granted a slot, so the wait is at least the time since the
 // last grant.
 func TestWaitGrowsWithoutGrants(t *testing.T) {
-	var l Level
+	var l Controller
 	r := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
 	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, Held: 20 * ms, Slowdown: 1}
 	l.Enqueued(time.Second)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Level is the admission controller for the requests of one priority to one member. The zero
+// Controller is the admission controller for the requests of one priority to one member. The zero
 // value has observed nothing. It is not safe for concurrent use.
-type Level struct {
+type Controller struct {
 	correction   Correction
 	overload     Overload
 	queued       int           // number of admitted requests that are queued
@@ -15,7 +15,7 @@
 // waits of earlier requests of its priority. While such requests are queued, the corrected wait
 // is at least the time since one of them was last granted a slot. This covers a member that has
 // stopped answering, and requests of higher priority that take all slots.
-func (l *Level) PredictWait(now time.Duration, b Backlog) (predicted, wait time.Duration) {
+func (l *Controller) PredictWait(now time.Duration, b Backlog) (predicted, wait time.Duration) {
 	predicted, known := b.PredictWait()
 	if known && predicted == 0 {
 		return 0, 0
@@ -28,10 +28,10 @@
 }
 
 // Overloaded reports whether a request of the priority was rejected recently.
-func (l *Level) Overloaded(now time.Duration) bool { return l.overload.lasts(now) }
+func (l *Controller) Overloaded(now time.Duration) bool { return l.overload.lasts(now) }
 
 // Decide decides whether a request is queued behind a backlog.
-func (l *Level) Decide(now time.Duration, r Request, b Backlog) Verdict {
+func (l *Controller) Decide(now time.Duration, r Request, b Backlog) Verdict {
 	predicted, wait := l.PredictWait(now, b)
 	v := Verdict{Admit: true, Predicted: predicted, Wait: wait}
 	if wait == 0 {
@@ -46,7 +46,7 @@
 }
 
 // Enqueued records that a request was queued.
-func (l *Level) Enqueued(now time.Duration) {
+func (l *Controller) Enqueued(now time.Duration) {
 	if l.queued == 0 {
 		l.lastProgress = now
 	}
@@ -54,7 +54,7 @@
 }
 
 // Dequeued records that a request left the queue, with or without a slot.
-func (l *Level) Dequeued(now time.Duration, granted bool) {
+func (l *Controller) Dequeued(now time.Duration, granted bool) {
 	l.queued = max(0, l.queued-1)
 	if granted {
 		l.lastProgress = now
@@ -63,4 +63,6 @@
 
 // ObserveWait records how long a request waited in total until it was granted a slot or given up.
 // predicted is the value from its verdict.
-func (l *Level) ObserveWait(actual, predicted time.Duration) { l.correction.Waited(actual, predicted) }
+func (l *Controller) ObserveWait(actual, predicted time.Duration) {
+	l.correction.Waited(actual, predicted)
+}
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -168,7 +168,7 @@
 }
 
 // level returns what is known of statements like this one. The caller holds mu.
-func (up *upstream) level(a *attempt) *admission.Level { return &up.levels[a.work()][a.level()] }
+func (up *upstream) level(a *attempt) *admission.Controller { return &up.levels[a.work()][a.level()] }
 
 // leave notes that the statement waits no longer.
 func (p *place) leave(granted bool) {
