--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -93,17 +93,17 @@
 // are 0 without a forecast.
 func (o *WaitForecast) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
 	f, ok := o.forecasts[forecastKey{carrier, q.Group}]
-	if !ok || now < f.at || q.Work < 0 || q.Work >= Works {
+	if !ok || now < f.at || q.Target < 0 || q.Target >= Works {
 		return 0, 0
 	}
 	age = now - f.at
-	return max(0, q.waitFor(f.waits[q.Work])-age), age
+	return max(0, q.waitFor(f.waits[q.Target])-age), age
 }
 
 // Query is a request that is to be forwarded to a carrier.
 type Query struct {
 	Group    string
-	Work     Work
+	Target   Work
 	Priority int
 	Request
 }
@@ -119,7 +119,7 @@
 // WouldWait reports whether a carrier with these forecast waits would reject the request.
 func (q Query) WouldWait(primary, replica []uint32) bool {
 	waits := primary
-	if q.Work == OnReplica {
+	if q.Target == OnReplica {
 		waits = replica
 	}
 	return q.waitFor(decodeWaits(waits)) > max(0, q.Objective)
@@ -195,7 +195,7 @@
 // probe reports whether a request is forwarded as a probe although all carriers are known to reject
 // it.
 func (o *WaitForecast) probe(now time.Duration, q Query) bool {
-	key := probeKey{q.Group, q.Work}
+	key := probeKey{q.Group, q.Target}
 	if last, ok := o.lastProbes[key]; ok && now >= last && now-last < probeInterval {
 		return false
 	}
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -126,9 +126,9 @@
 
 // query describes a statement that is to be passed on.
 func (s *session) query(st statement.Statement, route topology.Route, arrived time.Duration) admission.Query {
-	q := admission.Query{Group: route.Group, Work: admission.OnReplica, Priority: route.Priority}
+	q := admission.Query{Group: route.Group, Target: admission.OnReplica, Priority: route.Priority}
 	if !s.reads(st) || route.Consistency == topology.Strict {
-		q.Work = admission.OnPrimary
+		q.Target = admission.OnPrimary
 	}
 	left := max(0, arrived+route.Timeout-s.relay.now())
 	q.Request = admission.Request{ID: st.ID, Objective: min(route.LatencyObjective, left), Deadline: left}
