--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -13,7 +13,7 @@
 
 func TestChooseUsesForecasts(t *testing.T) {
 	three := []Carrier{{Name: "own"}, {Name: "alike"}, {Name: "far", Rank: 1}}
-	q := Query{Group: "g", Target: OnPrimary, Priority: 1, Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
+	q := Query{Group: "g", Target: PrimaryOnly, Priority: 1, Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
 	for name, c := range map[string]struct {
 		tell  func(o *WaitForecast)
 		at    time.Duration
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -54,7 +54,7 @@
 // work returns what the statement needs.
 func (a *attempt) work() admission.Work {
 	if a.needsPrimary() {
-		return admission.OnPrimary
+		return admission.PrimaryOnly
 	}
 	return admission.OnReplica
 }
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -205,7 +205,7 @@
 	up.noteAnswer(0, 0, group.Position{})
 	up.noteMiss(0)
 	hurried := admission.Request{ID: "x", Objective: 200 * time.Millisecond}
-	decide := func() admission.Verdict { return up.decide(time.Second, 0, hurried, admission.OnPrimary) }
+	decide := func() admission.Verdict { return up.decide(time.Second, 0, hurried, admission.PrimaryOnly) }
 	must.True(t, decide().Admit, must.Sprint("nobody asks it"))
 	a := &attempt{s: &session{relay: b.relay}, reads: true}
 	probe := a.enterQueue(up, b.relay.now()+generous)
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -60,7 +60,7 @@
 		}
 		for level := range onReplica {
 			if m.ID == leader {
-				onPrimary[level] = up.wait(now, level, admission.OnPrimary)
+				onPrimary[level] = up.wait(now, level, admission.PrimaryOnly)
 			}
 			wait := up.wait(now, level, admission.OnReplica)
 			if first || wait < onReplica[level] {
@@ -128,7 +128,7 @@
 func (s *session) query(st statement.Statement, route topology.Route, arrived time.Duration) admission.Query {
 	q := admission.Query{Group: route.Group, Target: admission.OnReplica, Priority: route.Priority}
 	if !s.reads(st) || route.Consistency == topology.Strict {
-		q.Target = admission.OnPrimary
+		q.Target = admission.PrimaryOnly
 	}
 	left := max(0, arrived+route.Timeout-s.relay.now())
 	q.Request = admission.Request{ID: st.ID, Objective: min(route.LatencyObjective, left), Deadline: left}
