--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -25,9 +25,9 @@
 
 // The classes.
 const (
-	PrimaryOnly Work = iota // only the primary can run the request
-	OnReplica               // a replica may run the request
-	Works                   // number of classes
+	PrimaryOnly    Work = iota // only the primary can run the request
+	ReplicaAllowed             // a replica may run the request
+	Works                      // number of classes
 )
 
 // forecastKey identifies the forecast of a carrier for a group.
@@ -60,7 +60,7 @@
 		delete(o.forecasts, key)
 		return
 	}
-	f := forecast{at: now, waits: [Works][]time.Duration{PrimaryOnly: decodeWaits(primary), OnReplica: decodeWaits(replica)}}
+	f := forecast{at: now, waits: [Works][]time.Duration{PrimaryOnly: decodeWaits(primary), ReplicaAllowed: decodeWaits(replica)}}
 	if o.forecasts == nil || len(o.forecasts) >= maxForecasts {
 		o.forecasts = make(map[forecastKey]forecast)
 	}
@@ -119,7 +119,7 @@
 // WouldWait reports whether a carrier with these forecast waits would reject the request.
 func (q Query) WouldWait(primary, replica []uint32) bool {
 	waits := primary
-	if q.Target == OnReplica {
+	if q.Target == ReplicaAllowed {
 		waits = replica
 	}
 	return q.waitFor(decodeWaits(waits)) > max(0, q.Objective)
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -56,7 +56,7 @@
 	if a.needsPrimary() {
 		return admission.PrimaryOnly
 	}
-	return admission.OnReplica
+	return admission.ReplicaAllowed
 }
 
 // decide returns whether the wait for a member is worth it.
@@ -81,7 +81,7 @@
 
 func (up *upstream) backlog(level int, work admission.Work) admission.Backlog {
 	b := up.pool.Backlog(level)
-	if work == admission.OnReplica {
+	if work == admission.ReplicaAllowed {
 		b.Slots = b.Flexible
 	} else {
 		b.PausedUntil = 0 // a pause holds flexible requests only
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -62,7 +62,7 @@
 			if m.ID == leader {
 				onPrimary[level] = up.wait(now, level, admission.PrimaryOnly)
 			}
-			wait := up.wait(now, level, admission.OnReplica)
+			wait := up.wait(now, level, admission.ReplicaAllowed)
 			if first || wait < onReplica[level] {
 				onReplica[level] = wait
 			}
@@ -126,7 +126,7 @@
 
 // query describes a statement that is to be passed on.
 func (s *session) query(st statement.Statement, route topology.Route, arrived time.Duration) admission.Query {
-	q := admission.Query{Group: route.Group, Target: admission.OnReplica, Priority: route.Priority}
+	q := admission.Query{Group: route.Group, Target: admission.ReplicaAllowed, Priority: route.Priority}
 	if !s.reads(st) || route.Consistency == topology.Strict {
 		q.Target = admission.PrimaryOnly
 	}
