--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -27,7 +27,7 @@
 const (
 	PrimaryOnly    Work = iota // only the primary can run the request
 	ReplicaAllowed             // a replica may run the request
-	Works                      // number of classes
+	NumTargets                 // number of classes
 )
 
 // forecastKey identifies the forecast of a carrier for a group.
@@ -36,7 +36,7 @@
 // forecast is a carrier's forecast of the waits for one group.
 type forecast struct {
 	at    time.Duration
-	waits [Works][]time.Duration // by priority; empty: no wait
+	waits [NumTargets][]time.Duration // by priority; empty: no wait
 }
 
 // WaitForecast holds an ingress instance's forecasts of how long requests queue at the carriers of
@@ -60,7 +60,7 @@
 		delete(o.forecasts, key)
 		return
 	}
-	f := forecast{at: now, waits: [Works][]time.Duration{PrimaryOnly: decodeWaits(primary), ReplicaAllowed: decodeWaits(replica)}}
+	f := forecast{at: now, waits: [NumTargets][]time.Duration{PrimaryOnly: decodeWaits(primary), ReplicaAllowed: decodeWaits(replica)}}
 	if o.forecasts == nil || len(o.forecasts) >= maxForecasts {
 		o.forecasts = make(map[forecastKey]forecast)
 	}
@@ -93,7 +93,7 @@
 // are 0 without a forecast.
 func (o *WaitForecast) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
 	f, ok := o.forecasts[forecastKey{carrier, q.Group}]
-	if !ok || now < f.at || q.Target < 0 || q.Target >= Works {
+	if !ok || now < f.at || q.Target < 0 || q.Target >= NumTargets {
 		return 0, 0
 	}
 	age = now - f.at
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -48,7 +48,7 @@
 	share    int         // statements outside transactions that this instance may have running there
 	most     int         // that all together may
 	mayRun   int         // of which this instance makes use: its share and the room
-	levels   [admission.Works][lowestPriority + 1]admission.Controller
+	levels   [admission.NumTargets][lowestPriority + 1]admission.Controller
 	probing  bool // a statement is on its way that will show whether the member is there
 }
 
