--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -20,14 +20,14 @@
 	maxPriorities = 16
 )
 
-// Work classifies requests by the members that can run them. Each class queues separately.
-type Work int
+// Target classifies requests by the members that can run them. Each class queues separately.
+type Target int
 
 // The classes.
 const (
-	PrimaryOnly    Work = iota // only the primary can run the request
-	ReplicaAllowed             // a replica may run the request
-	NumTargets                 // number of classes
+	PrimaryOnly    Target = iota // only the primary can run the request
+	ReplicaAllowed               // a replica may run the request
+	NumTargets                   // number of classes
 )
 
 // forecastKey identifies the forecast of a carrier for a group.
@@ -49,7 +49,7 @@
 
 type probeKey struct {
 	group string
-	work  Work
+	work  Target
 }
 
 // Update stores a carrier's forecast for a group, as waits in microseconds by priority. An
@@ -103,7 +103,7 @@
 // Query is a request that is to be forwarded to a carrier.
 type Query struct {
 	Group    string
-	Target   Work
+	Target   Target
 	Priority int
 	Request
 }
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -52,7 +52,7 @@
 func (a *attempt) level() int { return min(max(a.route.Priority, 0), lowestPriority) }
 
 // work returns what the statement needs.
-func (a *attempt) work() admission.Work {
+func (a *attempt) work() admission.Target {
 	if a.needsPrimary() {
 		return admission.PrimaryOnly
 	}
@@ -60,7 +60,7 @@
 }
 
 // decide returns whether the wait for a member is worth it.
-func (up *upstream) decide(now time.Duration, level int, r admission.Request, work admission.Work) admission.Verdict {
+func (up *upstream) decide(now time.Duration, level int, r admission.Request, work admission.Target) admission.Verdict {
 	backlog := up.backlog(level, work)
 	up.mu.Lock()
 	defer up.mu.Unlock()
@@ -79,7 +79,7 @@
 	return b
 }
 
-func (up *upstream) backlog(level int, work admission.Work) admission.Backlog {
+func (up *upstream) backlog(level int, work admission.Target) admission.Backlog {
 	b := up.pool.Backlog(level)
 	if work == admission.ReplicaAllowed {
 		b.Slots = b.Flexible
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -79,7 +79,7 @@
 }
 
 // wait returns how long a statement of a priority would wait for the member.
-func (up *upstream) wait(now time.Duration, level int, work admission.Work) time.Duration {
+func (up *upstream) wait(now time.Duration, level int, work admission.Target) time.Duration {
 	backlog := up.backlog(level, work)
 	up.mu.Lock()
 	defer up.mu.Unlock()
