--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -13,11 +13,11 @@
 
 // Backlog describes the load of one member that a request meets.
 type Backlog struct {
-	Ahead  int           // queued requests that will be granted a slot before it
-	Work   time.Duration // sum of their expected durations at an idle member; 0: unknown
-	Active int           // running requests
-	Slots  int           // requests that may run at once
-	Held   time.Duration // mean duration of a running request; 0: unknown
+	Ahead        int           // queued requests that will be granted a slot before it
+	Work         time.Duration // sum of their expected durations at an idle member; 0: unknown
+	Active       int           // running requests
+	Slots        int           // requests that may run at once
+	MeanDuration time.Duration // mean duration of a running request; 0: unknown
 	// Slowdown is how many times longer than at an idle member a request takes now, because
 	// others run beside it or queue at the member; 0: unknown.
 	Slowdown float64
@@ -90,7 +90,7 @@
 	if b.Ahead <= 0 && b.Active < b.Slots {
 		return paused, true
 	}
-	ahead, slots, held := min(max(b.Ahead, 0), maxAhead), max(b.Slots, 1), bounded(b.Held)
+	ahead, slots, held := min(max(b.Ahead, 0), maxAhead), max(b.Slots, 1), bounded(b.MeanDuration)
 	work := bounded(b.Work)
 	slowdown := b.Slowdown
 	switch {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -38,7 +38,7 @@
 
 func TestDecisions(t *testing.T) {
 	urgent := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: 2 * time.Second}
-	full := Backlog{Active: 6, Slots: 6, Held: 20 * ms, Slowdown: 2}
+	full := Backlog{Active: 6, Slots: 6, MeanDuration: 20 * ms, Slowdown: 2}
 	behind := func(n int) Backlog {
 		b := full
 		b.Ahead, b.Work = n, time.Duration(n)*10*ms
@@ -49,13 +49,13 @@
 		b     Backlog
 		admit bool
 	}{
-		"a free slot":                                       {urgent, Backlog{Active: 3, Slots: 6, Held: 20 * ms}, true},
+		"a free slot":                                       {urgent, Backlog{Active: 3, Slots: 6, MeanDuration: 20 * ms}, true},
 		"no known durations after a start":                  {urgent, Backlog{Ahead: 500, Active: 6, Slots: 6}, true},
 		"a primary with a short queue":                      {urgent, behind(20), true},
 		"an overloaded primary":                             {urgent, behind(100), false},
-		"an overloaded primary, known by the mean duration": {urgent, Backlog{Ahead: 100, Active: 6, Slots: 6, Held: 20 * ms}, false},
-		"a member that stopped answering":                   {urgent, Backlog{Ahead: 10, Work: 100 * ms, Active: 6, Slots: 6, Held: 400 * ms, Slowdown: 40}, false},
-		"a member that stopped answering, with a free slot": {urgent, Backlog{Active: 5, Slots: 6, Held: 400 * ms, Slowdown: 40}, true},
+		"an overloaded primary, known by the mean duration": {urgent, Backlog{Ahead: 100, Active: 6, Slots: 6, MeanDuration: 20 * ms}, false},
+		"a member that stopped answering":                   {urgent, Backlog{Ahead: 10, Work: 100 * ms, Active: 6, Slots: 6, MeanDuration: 400 * ms, Slowdown: 40}, false},
+		"a member that stopped answering, with a free slot": {urgent, Backlog{Active: 5, Slots: 6, MeanDuration: 400 * ms, Slowdown: 40}, true},
 		"objective missed, empty queue":                     {Request{ID: "x", Objective: -ms}, Backlog{Slots: 6}, true},
 		"objective missed, others queued":                   {Request{ID: "x", Objective: -ms}, behind(1), false},
 	} {
@@ -77,7 +77,7 @@
 				l := &Controller{lastProgress: d, queued: n}
 				l.Dequeued(d, true)
 				l.ObserveWait(d, -d)
-				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, Held: d, Slowdown: f})
+				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, MeanDuration: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
 				must.Between(t, 0, v.RetryAfter, 2*maxWait)
 				must.Between(t, minRetryAfter, RetryAfter(r, d, d), 2*maxWait)
@@ -149,7 +149,7 @@
 func TestWaitGrowsWithoutGrants(t *testing.T) {
 	var l Controller
 	r := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
-	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, Held: 20 * ms, Slowdown: 1}
+	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, MeanDuration: 20 * ms, Slowdown: 1}
 	l.Enqueued(time.Second)
 	must.True(t, l.Decide(time.Second+100*ms, r, stuck).Admit)
 	must.False(t, l.Overloaded(time.Second+100*ms))
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -103,7 +103,7 @@
 }
 
 func (m *member) backlog(v *attempt) Backlog {
-	b := Backlog{Active: len(m.running), Slots: m.slots, Slowdown: 1, Held: v.kind.work}
+	b := Backlog{Active: len(m.running), Slots: m.slots, Slowdown: 1, MeanDuration: v.kind.work}
 	for _, w := range m.queue {
 		if w.kind.priority <= v.kind.priority {
 			b.Ahead++
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -86,7 +86,7 @@
 	} else {
 		b.PausedUntil = 0 // a pause holds flexible requests only
 	}
-	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, Held: b.Held, Paused: b.PausedUntil}
+	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, MeanDuration: b.Held, Paused: b.PausedUntil}
 }
 
 // waitForPrimary has the statement wait for the primary if that is worth it. A statement that
