--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -26,10 +26,10 @@
 
 // Request holds the properties of a request that a decision depends on.
 type Request struct {
-	ID        string
-	Usual     time.Duration // typical duration at an idle member; 0: unknown
-	Objective time.Duration // remaining time until its latency objective
-	Deadline  time.Duration // remaining time until its deadline
+	ID              string
+	TypicalDuration time.Duration // typical duration at an idle member; 0: unknown
+	Objective       time.Duration // remaining time until its latency objective
+	Deadline        time.Duration // remaining time until its deadline
 }
 
 // Reason is the reason for a rejection.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 }
 
 func (p predicting) decide(now time.Duration, v *attempt, b Backlog) (bool, time.Duration) {
-	r := Request{ID: v.id, Usual: v.kind.work, Objective: v.kind.objective, Deadline: v.kind.patience / 2}
+	r := Request{ID: v.id, TypicalDuration: v.kind.work, Objective: v.kind.objective, Deadline: v.kind.patience / 2}
 	verdict := p.level(v).Decide(now, r, b)
 	if verdict.Admit {
 		p.level(v).Enqueued(now)
@@ -37,7 +37,7 @@
 func (p predicting) maxQueueTime(v *attempt) time.Duration { return v.kind.patience }
 
 func TestDecisions(t *testing.T) {
-	urgent := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: 2 * time.Second}
+	urgent := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: 2 * time.Second}
 	full := Backlog{Active: 6, Slots: 6, MeanDuration: 20 * ms, Slowdown: 2}
 	behind := func(n int) Backlog {
 		b := full
@@ -73,7 +73,7 @@
 	for _, d := range durations {
 		for _, n := range counts {
 			for _, f := range factors {
-				r := Request{Usual: d, Objective: d, Deadline: d}
+				r := Request{TypicalDuration: d, Objective: d, Deadline: d}
 				l := &Controller{lastProgress: d, queued: n}
 				l.Dequeued(d, true)
 				l.ObserveWait(d, -d)
@@ -148,7 +148,7 @@
 // last grant.
 func TestWaitGrowsWithoutGrants(t *testing.T) {
 	var l Controller
-	r := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
+	r := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
 	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, MeanDuration: 20 * ms, Slowdown: 1}
 	l.Enqueued(time.Second)
 	must.True(t, l.Decide(time.Second+100*ms, r, stuck).Admit)
@@ -185,7 +185,7 @@
 		}
 		must.Eq(t, c.want, o.Left(c.lost, c.change), must.Sprint(name))
 	}
-	r := Request{ID: "x", Usual: 10 * ms, Objective: 200 * ms, Deadline: 10 * time.Second}
+	r := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: 10 * time.Second}
 	must.True(t, DecideOutage(r, 190*ms, Change).Admit)
 	v := DecideOutage(r, 8*time.Second, Change)
 	must.False(t, v.Admit)
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -7,7 +7,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	var l Controller
-	r := Request{ID: "5c0e7a21d94b36f8", Usual: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
+	r := Request{ID: "5c0e7a21d94b36f8", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
 	backlog := Backlog{Ahead: 1000, Work: 10 * time.Second, Active: 6, Slots: 6, MeanDuration: 20 * ms, Slowdown: 2}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -37,7 +37,7 @@
 	if wait == 0 {
 		return v // a rejection would gain nothing
 	}
-	duration := time.Duration(float64(bounded(r.Usual)) * max(1, min(b.Slowdown, maxSlowdown)))
+	duration := time.Duration(float64(bounded(r.TypicalDuration)) * max(1, min(b.Slowdown, maxSlowdown)))
 	if wait+duration <= r.Objective {
 		return v
 	}
--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -71,7 +71,7 @@
 // ends, which is expected to take the remaining time.
 func DecideOutage(r Request, remaining time.Duration, reason Reason) Verdict {
 	v := Verdict{Admit: true, Wait: bounded(remaining)}
-	if v.Wait+bounded(r.Usual) <= r.Objective {
+	if v.Wait+bounded(r.TypicalDuration) <= r.Objective {
 		return v
 	}
 	v.Admit, v.Reason, v.RetryAfter = false, reason, RetryAfterOutage(r, remaining)
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -44,7 +44,7 @@
 func (a *attempt) request() admission.Request {
 	left := max(0, a.deadline-a.now())
 	return admission.Request{
-		ID: a.st.ID, Usual: a.group.usual(kindOf(a.route)), Objective: min(a.route.LatencyObjective, left), Deadline: left,
+		ID: a.st.ID, TypicalDuration: a.group.usual(kindOf(a.route)), Objective: min(a.route.LatencyObjective, left), Deadline: left,
 	}
 }
 
