--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -63,9 +63,11 @@
 // far is known.
 func remainingUnusual(lasted time.Duration) time.Duration { return min(2*lasted, maxWait) }
 
-// Silence predicts for how much longer a member that has not answered for some time will not
+// RemainingUnresponsive predicts for how much longer a member that has not answered for some time will not
 // answer.
-func Silence(lasted time.Duration) time.Duration { return remainingUnusual(bounded(lasted)) }
+func RemainingUnresponsive(lasted time.Duration) time.Duration {
+	return remainingUnusual(bounded(lasted))
+}
 
 // DecideOutage decides whether a request waits until the condition that keeps it from running
 // ends, which is expected to take the remaining time.
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -32,7 +32,7 @@
 func unreachable(up *upstream, now time.Duration) *obstacle {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return &obstacle{reason: admission.Unreachable, left: admission.Silence(up.silent(now))}
+	return &obstacle{reason: admission.Unreachable, left: admission.RemainingUnresponsive(up.silent(now))}
 }
 
 // silent returns for how long the member has not answered although it was asked. The
@@ -65,7 +65,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if silent := up.silent(now); silent > 0 && up.probing {
-		return admission.DecideOutage(r, admission.Silence(silent), admission.Unreachable)
+		return admission.DecideOutage(r, admission.RemainingUnresponsive(silent), admission.Unreachable)
 	}
 	return up.levels[work][level].Decide(now, r, up.slowed(now, backlog))
 }
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -84,7 +84,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if silent := up.silent(now); silent > 0 {
-		return admission.Silence(silent)
+		return admission.RemainingUnresponsive(silent)
 	}
 	_, wait := up.levels[work][level].PredictWait(now, up.slowed(now, backlog))
 	return wait
