--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -86,7 +86,7 @@
 				must.Between(t, minCorrection, c.Factor(), maxCorrection)
 				var o Outages
 				o.Ended(d, n > 0)
-				must.Between(t, 0, o.Left(d, n > 0), maxWait)
+				must.Between(t, 0, o.Remaining(d, n > 0), maxWait)
 				must.Between(t, 0, (&Overload{since: d, last: d, active: n > 0}).Refused(0), time.Hour)
 			}
 		}
@@ -183,7 +183,7 @@
 		if c.seen > 0 {
 			o.Ended(c.seen, c.change)
 		}
-		must.Eq(t, c.want, o.Left(c.lost, c.change), must.Sprint(name))
+		must.Eq(t, c.want, o.Remaining(c.lost, c.change), must.Sprint(name))
 	}
 	r := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: 10 * time.Second}
 	must.True(t, DecideOutage(r, 190*ms, Change).Admit)
--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -44,10 +44,10 @@
 	return defaultLapse
 }
 
-// Left predicts the remaining duration of an outage that has lasted for some time. One that has
+// Remaining predicts the remaining duration of an outage that has lasted for some time. One that has
 // lasted longer than usual has an unusual cause: two thirds of these end within twice the time
 // that they have lasted.
-func (o *Outages) Left(lasted time.Duration, change bool) time.Duration {
+func (o *Outages) Remaining(lasted time.Duration, change bool) time.Duration {
 	usual := o.Lapse()
 	if change {
 		usual = cmp.Or(o.changeDuration, defaultChange)
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -111,10 +111,10 @@
 	gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
 	g.outage(300*time.Millisecond, gate)
 	g.noteAuthority(320 * time.Millisecond)
-	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true))
+	must.Eq(t, 20*time.Millisecond, g.outages.learned.Remaining(0, true))
 	g.outage(400*time.Millisecond, gate)
 	g.noteAuthority(time.Hour)
-	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true), must.Sprint("no statement saw its end"))
+	must.Eq(t, 20*time.Millisecond, g.outages.learned.Remaining(0, true), must.Sprint("no statement saw its end"))
 }
 
 // A carrier tells in its replies how long statements wait there, and nothing while none do.
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -32,7 +32,7 @@
 	}
 	o.since, o.seen = now-lost, now
 	o.change = o.change || record.Change != nil
-	return o.learned.Left(lost, o.change)
+	return o.learned.Remaining(lost, o.change)
 }
 
 // outageLeft returns for how much longer the group, which has no primary, is expected to have none.
@@ -40,7 +40,7 @@
 	record, _ := gate.Record()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.outages.learned.Left(gate.LostFor(), record.Change != nil)
+	return g.outages.learned.Remaining(gate.LostFor(), record.Change != nil)
 }
 
 // noteAuthority notes that the group has a primary.
