--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -39,7 +39,7 @@
 const (
 	None        Reason = iota // the request was admitted
 	Late                      // it would miss its latency objective
-	Change                    // the group is expected to have no primary for longer than the request can wait
+	NoPrimary                 // the group is expected to have no primary for longer than the request can wait
 	Unreachable               // its member is expected to be unreachable for longer than the request can wait
 	AllRefuse                 // every carrier is known to reject it
 )
@@ -49,7 +49,7 @@
 	switch r {
 	case Late:
 		return "late"
-	case Change:
+	case NoPrimary:
 		return "no_primary"
 	case Unreachable:
 		return "unreachable"
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -186,9 +186,9 @@
 		must.Eq(t, c.want, o.Remaining(c.lost, c.change), must.Sprint(name))
 	}
 	r := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: 10 * time.Second}
-	must.True(t, DecideOutage(r, 190*ms, Change).Admit)
-	v := DecideOutage(r, 8*time.Second, Change)
+	must.True(t, DecideOutage(r, 190*ms, NoPrimary).Admit)
+	v := DecideOutage(r, 8*time.Second, NoPrimary)
 	must.False(t, v.Admit)
-	must.Eq(t, Change, v.Reason)
+	must.Eq(t, NoPrimary, v.Reason)
 	must.Between(t, defaultChange, v.RetryAfter, 2*defaultChange)
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -122,14 +122,14 @@
 	pass, err := a.gate.Enter(breaker.trip)
 	if err != nil {
 		a.why = err.Error()
-		a.obstacle = &obstacle{reason: admission.Change, left: a.group.outage(a.now(), a.gate)}
+		a.obstacle = &obstacle{reason: admission.NoPrimary, left: a.group.outage(a.now(), a.gate)}
 		return statement.Answer{}, noRoom
 	}
 	a.group.noteAuthority(a.now())
 	if !a.mayWrite(pass) {
 		pass.Done()
 		a.why = "the grant is not confirmed, and the members do not verify it"
-		a.obstacle = &obstacle{reason: admission.Change, left: a.group.lapse()}
+		a.obstacle = &obstacle{reason: admission.NoPrimary, left: a.group.lapse()}
 		return statement.Answer{}, noRoom
 	}
 	up := a.s.relay.upstreams.get(pass.Primary)
