--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -37,11 +37,11 @@
 
 // The reasons for a rejection.
 const (
-	None        Reason = iota // the request was admitted
-	Late                      // it would miss its latency objective
-	NoPrimary                 // the group is expected to have no primary for longer than the request can wait
-	Unreachable               // its member is expected to be unreachable for longer than the request can wait
-	AllRefuse                 // every carrier is known to reject it
+	None              Reason = iota // the request was admitted
+	Late                            // it would miss its latency objective
+	NoPrimary                       // the group is expected to have no primary for longer than the request can wait
+	Unreachable                     // its member is expected to be unreachable for longer than the request can wait
+	AllCarriersReject               // every carrier is known to reject it
 )
 
 // String returns the name of the reason in logs and metrics.
@@ -53,7 +53,7 @@
 		return "no_primary"
 	case Unreachable:
 		return "unreachable"
-	case AllRefuse:
+	case AllCarriersReject:
 		return "carriers"
 	}
 	return "none"
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -175,7 +175,7 @@
 		}
 	}
 	if c.Open == 0 && shortest >= 0 && !o.probe(now, q) {
-		c.Verdict = Verdict{Wait: waits[shortest], Reason: AllRefuse, RetryAfter: RetryAfter(q.Request, waits[shortest], 0)}
+		c.Verdict = Verdict{Wait: waits[shortest], Reason: AllCarriersReject, RetryAfter: RetryAfter(q.Request, waits[shortest], 0)}
 		c.Age = ages[shortest]
 	}
 	return c
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -72,7 +72,7 @@
 			passed++
 			continue
 		}
-		must.Eq(t, AllRefuse, c.Verdict.Reason)
+		must.Eq(t, AllCarriersReject, c.Verdict.Reason)
 		must.Eq(t, 700*ms-now, c.Verdict.Wait)
 		must.Eq(t, now, c.Age)
 		must.Between(t, c.Verdict.Wait, c.Verdict.RetryAfter, 2*c.Verdict.Wait)
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -189,7 +189,7 @@
 	a := s.carry(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("let through once, to learn"))
 	asked := full.asked.Load()
-	for refusals(b, admission.AllRefuse.String()) == 0 { // one is let through now and then
+	for refusals(b, admission.AllCarriersReject.String()) == 0 { // one is let through now and then
 		asked = full.asked.Load()
 		a = s.carry(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 		must.Eq(t, statement.Busy, a.Err.Code)
