--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -206,9 +206,9 @@
 	return true
 }
 
-// Shorten encodes waits by priority for a reply: in microseconds, without trailing repetitions,
+// EncodeWaits encodes waits by priority for a reply: in microseconds, without trailing repetitions,
 // and nil when nobody waits.
-func Shorten(waits []time.Duration) []uint32 {
+func EncodeWaits(waits []time.Duration) []uint32 {
 	for len(waits) > 1 && waits[len(waits)-1] == waits[len(waits)-2] {
 		waits = waits[:len(waits)-1]
 	}
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -9,7 +9,7 @@
 )
 
 // us encodes waits as carriers report them.
-func us(waits ...time.Duration) []uint32 { return Shorten(waits) }
+func us(waits ...time.Duration) []uint32 { return EncodeWaits(waits) }
 
 func TestChooseUsesForecasts(t *testing.T) {
 	three := []Carrier{{Name: "own"}, {Name: "alike"}, {Name: "far", Rank: 1}}
@@ -83,10 +83,10 @@
 }
 
 func TestWaitEncoding(t *testing.T) {
-	must.SliceEmpty(t, Shorten(nil))
-	must.SliceEmpty(t, Shorten([]time.Duration{0, 0, -1}))
-	must.Eq(t, []uint32{0, 1000}, Shorten([]time.Duration{0, ms, ms, ms}))
-	must.Eq(t, []uint32{10_000_000, 0}, Shorten([]time.Duration{time.Hour, -1}))
+	must.SliceEmpty(t, EncodeWaits(nil))
+	must.SliceEmpty(t, EncodeWaits([]time.Duration{0, 0, -1}))
+	must.Eq(t, []uint32{0, 1000}, EncodeWaits([]time.Duration{0, ms, ms, ms}))
+	must.Eq(t, []uint32{10_000_000, 0}, EncodeWaits([]time.Duration{time.Hour, -1}))
 }
 
 // The memory is bounded for any number of carriers and groups.
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -75,7 +75,7 @@
 			onPrimary[level] = left
 		}
 	}
-	return admission.Shorten(onPrimary[:]), admission.Shorten(onReplica[:])
+	return admission.EncodeWaits(onPrimary[:]), admission.EncodeWaits(onReplica[:])
 }
 
 // wait returns how long a statement of a priority would wait for the member.
