--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -116,8 +116,8 @@
 	return waits[min(max(q.Priority, 0), len(waits)-1)]
 }
 
-// WouldWait reports whether a carrier with these forecast waits would reject the request.
-func (q Query) WouldWait(primary, replica []uint32) bool {
+// WouldBeRejected reports whether a carrier with these forecast waits would reject the request.
+func (q Query) WouldBeRejected(primary, replica []uint32) bool {
 	waits := primary
 	if q.Target == ReplicaAllowed {
 		waits = replica
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -99,7 +99,7 @@
 // too long there.
 func refusedForWait(reply *relaypb.CarryReply, q admission.Query) bool {
 	busy := statement.Code(reply.Code) == statement.Busy && statement.State(reply.State) == statement.Idle
-	return busy && reply.AccountEmptyUs <= 0 && q.WouldWait(reply.PrimaryWaitUs, reply.ReplicaWaitUs)
+	return busy && reply.AccountEmptyUs <= 0 && q.WouldBeRejected(reply.PrimaryWaitUs, reply.ReplicaWaitUs)
 }
 
 // continueCarried runs a further statement of a transaction at a carrier.
