--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -129,7 +129,7 @@
 	for _, peer := range alive {
 		p.addresses[peer.Name] = peer.Address
 		p.candidates = append(p.candidates, ownership.Instance{
-			Name: peer.Name, DataCentre: peer.DataCentre, Weight: peer.Strength.Carrying(),
+			Name: peer.Name, DataCentre: peer.DataCentre, Weight: peer.Strength.StatementsPerSecond(),
 		})
 	}
 	return p
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -22,10 +22,10 @@
 	megabitsPerStatement    = 12e-3 // in each direction
 )
 
-// Carrying returns how many statements per second the instance can run as a carrier, limited by
+// StatementsPerSecond returns how many statements per second the instance can run as a carrier, limited by
 // processor or network link. It serves as a weight relative to other instances. The result
 // is 0 when the instance does not announce both.
-func (s Strength) Carrying() float64 {
+func (s Strength) StatementsPerSecond() float64 {
 	weight := min(s.Cores/coreSecondsPerStatement, s.LinkMbps/megabitsPerStatement)
 	if !(weight > 0 && weight <= maxStatementsPerSecond) {
 		return 0 // implausible: treat another instance's registration as if it announced nothing
--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -21,9 +21,9 @@
 func unlike(strongOnes, weakOnes int, dataCentres ...string) []ownership.Instance {
 	all := fleet(strongOnes+weakOnes, dataCentres...)
 	for n := range all {
-		all[n].Weight = weak.Carrying()
+		all[n].Weight = weak.StatementsPerSecond()
 		if n%(strongOnes+weakOnes) < strongOnes {
-			all[n].Weight = strong.Carrying()
+			all[n].Weight = strong.StatementsPerSecond()
 		}
 	}
 	return all
@@ -41,9 +41,9 @@
 }
 
 func TestCapacityIsLimitedByScarcestResource(t *testing.T) {
-	must.Greater(t, weak.Carrying(), strong.Carrying())
-	must.Eq(t, 0, Strength{Cores: 1}.Carrying(), must.Sprint("the link is not announced"))
-	must.Eq(t, Strength{Cores: 1, LinkMbps: 1}.Carrying(), Strength{Cores: 9, LinkMbps: 1}.Carrying())
+	must.Greater(t, weak.StatementsPerSecond(), strong.StatementsPerSecond())
+	must.Eq(t, 0, Strength{Cores: 1}.StatementsPerSecond(), must.Sprint("the link is not announced"))
+	must.Eq(t, Strength{Cores: 1, LinkMbps: 1}.StatementsPerSecond(), Strength{Cores: 9, LinkMbps: 1}.StatementsPerSecond())
 }
 
 // Each data centre has many weak instances and few strong ones. A strong instance serves most
@@ -93,7 +93,7 @@
 // them, and each group keeps its number of carriers.
 func TestLossOfAllStrongInstances(t *testing.T) {
 	alive := slices.DeleteFunc(unlike(2, 14, "a", "b", "c"), func(i ownership.Instance) bool {
-		return i.DataCentre == "a" && i.Weight == strong.Carrying()
+		return i.DataCentre == "a" && i.Weight == strong.StatementsPerSecond()
 	})
 	for _, c := range Place(groupsOf(40), Fleet{Alive: alive, Registered: 500}) {
 		must.Len(t, 6, c.Names)
@@ -107,7 +107,7 @@
 		plain := drawFleet(t)
 		alike := slices.Clone(plain)
 		for n := range alike {
-			alike[n].Weight = weak.Carrying()
+			alike[n].Weight = weak.StatementsPerSecond()
 		}
 		groups := groupsOf(8)
 		want, got := Place(groups, Fleet{Alive: plain, Registered: 500}), Place(groups, Fleet{Alive: alike, Registered: 500})
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -29,7 +29,7 @@
 }
 
 func candidate(i lead.Instance) ownership.Instance {
-	return ownership.Instance{Name: i.Name, DataCentre: i.DataCentre, Weight: i.Strength.Carrying()}
+	return ownership.Instance{Name: i.Name, DataCentre: i.DataCentre, Weight: i.Strength.StatementsPerSecond()}
 }
 
 // SetCarriers makes a placement known to the traffic.
