--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -82,8 +82,8 @@
 }
 
 // Strength is the capacity as other instances are told of it.
-func (c Capacity) Strength() placement.Strength {
-	return placement.Strength{Cores: c.CPUShare * c.CPUSpeed, LinkMbps: c.LinkMbps, MemoryMB: float64(c.MemoryMB), Descriptors: float64(c.Descriptors)}
+func (c Capacity) Strength() placement.Capacity {
+	return placement.Capacity{Cores: c.CPUShare * c.CPUSpeed, LinkMbps: c.LinkMbps, MemoryMB: float64(c.MemoryMB), Descriptors: float64(c.Descriptors)}
 }
 
 // Fleet are the settings of an instance on a platform that keeps the fleet's
--- a/internal/config/template_test.go
+++ b/internal/config/template_test.go
@@ -85,7 +85,7 @@
 	must.Eq(t, "10.200.1.7:8783", s.Fleet.Store)
 	must.Eq(t, "info", s.Fleet.LogLevel)
 	must.MapEmpty(t, s.Regions)
-	must.Eq(t, placement.Strength{}, s.Capacity.Strength())
+	must.Eq(t, placement.Capacity{}, s.Capacity.Strength())
 }
 
 func TestTemplateWithRegions(t *testing.T) {
@@ -104,7 +104,7 @@
 	})
 	s, err := Parse("instance.ini", []byte(template(t, values)))
 	must.NoError(t, err)
-	must.Eq(t, placement.Strength{Cores: 0.8, LinkMbps: 1000, MemoryMB: 284, Descriptors: 4200}, s.Capacity.Strength())
+	must.Eq(t, placement.Capacity{Cores: 0.8, LinkMbps: 1000, MemoryMB: 284, Descriptors: 4200}, s.Capacity.Strength())
 }
 
 // A gap for which the platform has no value stands empty; each is a finding. A section for
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -45,11 +45,11 @@
 }
 
 // strengthOf returns what an instance can bear: one in twenty is strong.
-func strengthOf(n int) placement.Strength {
+func strengthOf(n int) placement.Capacity {
 	if n%20 == 0 {
-		return placement.Strength{Cores: 1.6, LinkMbps: 1000}
+		return placement.Capacity{Cores: 1.6, LinkMbps: 1000}
 	}
-	return placement.Strength{Cores: 0.2, LinkMbps: 20}
+	return placement.Capacity{Cores: 0.2, LinkMbps: 20}
 }
 
 // learn takes in changes, and looks at what is due.
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -65,7 +65,7 @@
 	Name          string
 	DataCentre    string
 	Places        locality.Map // of the data centres
-	Strength      placement.Strength
+	Strength      placement.Capacity
 	CallerListen  string
 	PeerListen    string
 	PeerAddress   string // under which others reach the instance; empty: as bound
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -57,7 +57,7 @@
 	Address     string `json:"address"`     // for calls of other instances
 	DataCentre  string `json:"data_centre"`
 
-	Strength placement.Strength `json:"strength,omitzero"` // what the instance can bear
+	Strength placement.Capacity `json:"strength,omitzero"` // what the instance can bear
 
 	// Settled says that the instance has been registered for long enough to hold shares of
 	// the client accounts' limits, also after a restart.
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Strength is the hardware capacity that an instance has according to its settings and
+// Capacity is the hardware capacity that an instance has according to its settings and
 // announces in its registration. The zero value means that it announces none.
-type Strength struct {
+type Capacity struct {
 	Cores       float64 `json:"cores,omitempty"` // processor cores that it may use
 	LinkMbps    float64 `json:"link_mbps,omitempty"`
 	MemoryMB    float64 `json:"memory_mb,omitempty"`
@@ -25,7 +25,7 @@
 // StatementsPerSecond returns how many statements per second the instance can run as a carrier, limited by
 // processor or network link. It serves as a weight relative to other instances. The result
 // is 0 when the instance does not announce both.
-func (s Strength) StatementsPerSecond() float64 {
+func (s Capacity) StatementsPerSecond() float64 {
 	weight := min(s.Cores/coreSecondsPerStatement, s.LinkMbps/megabitsPerStatement)
 	if !(weight > 0 && weight <= maxStatementsPerSecond) {
 		return 0 // implausible: treat another instance's registration as if it announced nothing
--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -13,8 +13,8 @@
 
 // Two capacities that differ as much as any in a fleet. Each data centre has instances of both.
 var (
-	strong = Strength{Cores: 0.8, LinkMbps: 200}
-	weak   = Strength{Cores: 0.2, LinkMbps: 10}
+	strong = Capacity{Cores: 0.8, LinkMbps: 200}
+	weak   = Capacity{Cores: 0.2, LinkMbps: 10}
 )
 
 // unlike returns a fleet with some strong and some weak instances in each data centre.
@@ -42,8 +42,8 @@
 
 func TestCapacityIsLimitedByScarcestResource(t *testing.T) {
 	must.Greater(t, weak.StatementsPerSecond(), strong.StatementsPerSecond())
-	must.Eq(t, 0, Strength{Cores: 1}.StatementsPerSecond(), must.Sprint("the link is not announced"))
-	must.Eq(t, Strength{Cores: 1, LinkMbps: 1}.StatementsPerSecond(), Strength{Cores: 9, LinkMbps: 1}.StatementsPerSecond())
+	must.Eq(t, 0, Capacity{Cores: 1}.StatementsPerSecond(), must.Sprint("the link is not announced"))
+	must.Eq(t, Capacity{Cores: 1, LinkMbps: 1}.StatementsPerSecond(), Capacity{Cores: 9, LinkMbps: 1}.StatementsPerSecond())
 }
 
 // Each data centre has many weak instances and few strong ones. A strong instance serves most
