--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -375,7 +375,7 @@
 
 func (s surroundings) Users(group string) []lead.Instance {
 	carriers := s.i.relay.CarriersOf(group)
-	if carriers.Everybody || len(carriers.Others) == 0 {
+	if carriers.AllInstances || len(carriers.Others) == 0 {
 		return s.i.view.Load().Registered(s.i.now())
 	}
 	return carriers.Others
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -67,8 +67,8 @@
 
 // Carriers are the instances that hold connections to a group's members.
 type Carriers struct {
-	Everybody         bool           // every instance is a carrier, so no statement is forwarded
-	Names             []string       // in order of preference for leading the group; empty with Everybody
+	AllInstances      bool           // every instance is a carrier, so no statement is forwarded
+	Names             []string       // in order of preference for leading the group; empty with AllInstances
 	localCount        map[string]int // number of carriers by data centre of a member
 	usableConnections int            // connections to each member, for all carriers together
 	count             int            // number of carriers that share the connections
@@ -100,7 +100,7 @@
 }
 
 // Includes reports whether an instance is one of the carriers.
-func (c Carriers) Includes(name string) bool { return c.Everybody || slices.Contains(c.Names, name) }
+func (c Carriers) Includes(name string) bool { return c.AllInstances || slices.Contains(c.Names, name) }
 
 // Rank returns the rank of an instance in the order of preference for leading the group, and
 // false when it is not a carrier. A leader that is a carrier gets an answer from the primary
@@ -118,7 +118,7 @@
 func (c Carriers) Connections(member, self string) int {
 	near := c.localCount[member]
 	remote := c.count - near
-	if c.Everybody || near == 0 || c.usableConnections < minRemotePoolSize*remote+minCarrierPoolSize*near {
+	if c.AllInstances || near == 0 || c.usableConnections < minRemotePoolSize*remote+minCarrierPoolSize*near {
 		return max(1, c.usableConnections/c.count)
 	}
 	remoteShare := max(minRemotePoolSize, c.usableConnections/c.count/remoteShareDivisor)
@@ -134,7 +134,7 @@
 // share among all carriers, for use when the members near it are in a worse state.
 func (c Carriers) Active(slots int, member, self string) int {
 	sharers := c.count
-	if !c.Everybody && member == self && c.localCount[member] > 0 {
+	if !c.AllInstances && member == self && c.localCount[member] > 0 {
 		sharers = c.localCount[member]
 	}
 	return max(1, (statementsPerSlot*slots+sharers-1)/sharers)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -54,7 +54,7 @@
 				g.Homes = append(g.Homes, fmt.Sprint(i))
 			}
 			got := place(g, fleet(c.registered/5+1, "0", "1", "2", "3", "4"), c.registered)
-			must.Eq(t, c.everybody, got.Everybody)
+			must.Eq(t, c.everybody, got.AllInstances)
 			must.Eq(t, c.share, got.Connections("none", "0"))
 			must.Eq(t, c.count, got.count)
 			if !c.everybody {
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -21,7 +21,7 @@
 	usable := g.MaxConnections - Reserved
 	if t.servedByAll(g) {
 		count := max(1, t.registered) // no instance is registered yet during startup
-		return Carriers{Everybody: true, usableConnections: usable, count: count}
+		return Carriers{AllInstances: true, usableConnections: usable, count: count}
 	}
 	limit := g.maxCarriers()
 	c.chosen = c.chosen[:0]
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -123,7 +123,7 @@
 
 // hasCarriers reports whether the group already has exactly these carriers.
 func (r *row) hasCarriers(chosen []candidate, usable, limit int) bool {
-	return r.placed && !r.carriers.Everybody && r.carriers.usableConnections == usable && r.carriers.count == limit &&
+	return r.placed && !r.carriers.AllInstances && r.carriers.usableConnections == usable && r.carriers.count == limit &&
 		slices.EqualFunc(r.carriers.Names, chosen, func(name string, c candidate) bool { return name == c.Name }) &&
 		!slices.ContainsFunc(r.dataCentres, func(h memberDataCentre) bool {
 			return r.carriers.localCount[h.dataCentre] != countIn(chosen, h.dataCentre)
@@ -167,7 +167,7 @@
 
 // equal reports whether two placements are the same.
 func (c Carriers) equal(other Carriers) bool {
-	return c.Everybody == other.Everybody && c.usableConnections == other.usableConnections && c.count == other.count && slices.Equal(c.Names, other.Names) &&
+	return c.AllInstances == other.AllInstances && c.usableConnections == other.usableConnections && c.count == other.count && slices.Equal(c.Names, other.Names) &&
 		maps.Equal(c.localCount, other.localCount)
 }
 
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -80,7 +80,7 @@
 				want, got := wanted[name], reported[name]
 				must.Eq(t, want.Names, got.Names)
 				must.Eq(t, want.localCount, got.localCount)
-				must.Eq(t, []any{want.Everybody, want.usableConnections, want.count}, []any{got.Everybody, got.usableConnections, got.count})
+				must.Eq(t, []any{want.AllInstances, want.usableConnections, want.count}, []any{got.AllInstances, got.usableConnections, got.count})
 			}
 		}
 	})
@@ -178,7 +178,7 @@
 		}
 		must.Between(t, 1, carried, len(groups)-1)
 	}
-	must.True(t, Place(groups[:maxGroupsOnAllInstances], Fleet{Alive: unlike(1, 4, "a"), Registered: 5})[groups[0].Name].Everybody)
+	must.True(t, Place(groups[:maxGroupsOnAllInstances], Fleet{Alive: unlike(1, 4, "a"), Registered: 5})[groups[0].Name].AllInstances)
 }
 
 // groupsOf returns groups with members in three data centres.
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -65,7 +65,7 @@
 		at, _ := slices.BinarySearch(p.carried, group)
 		p.carried = slices.Insert(slices.Clone(p.carried), at, group)
 	}
-	if c.Everybody {
+	if c.AllInstances {
 		p.shared++
 	}
 	return before
@@ -81,7 +81,7 @@
 	if at, carried := slices.BinarySearch(p.carried, group); carried {
 		p.carried = slices.Delete(slices.Clone(p.carried), at, at+1)
 	}
-	if before.Everybody {
+	if before.AllInstances {
 		p.shared--
 	}
 	return before
