--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -140,9 +140,9 @@
 	return max(1, (statementsPerSlot*slots+sharers-1)/sharers)
 }
 
-// MostActive returns how many statements outside transactions all carriers together may run
+// TotalActiveLimit returns how many statements outside transactions all carriers together may run
 // or queue at a member with some slots.
-func MostActive(slots int) int { return statementsPerSlot * slots }
+func TotalActiveLimit(slots int) int { return statementsPerSlot * slots }
 
 // Caller is the origin of a statement that an ingress instance forwards.
 type Caller struct {
