--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -110,12 +110,12 @@
 	return rank, rank >= 0
 }
 
-// Connections returns how many connections a carrier in data centre self may hold to a member
+// ConnectionLimit returns how many connections a carrier in data centre self may hold to a member
 // in data centre member. Carriers near the member get most of them because most of its
 // statements come through them. A remote carrier only sends what members near it have no
 // capacity for, so it gets a few; this leaves the near carriers connections for more client
 // accounts.
-func (c Carriers) Connections(member, self string) int {
+func (c Carriers) ConnectionLimit(member, self string) int {
 	near := c.localCount[member]
 	remote := c.count - near
 	if c.AllInstances || near == 0 || c.usableConnections < minRemotePoolSize*remote+minCarrierPoolSize*near {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -55,7 +55,7 @@
 			}
 			got := place(g, fleet(c.registered/5+1, "0", "1", "2", "3", "4"), c.registered)
 			must.Eq(t, c.everybody, got.AllInstances)
-			must.Eq(t, c.share, got.Connections("none", "0"))
+			must.Eq(t, c.share, got.ConnectionLimit("none", "0"))
 			must.Eq(t, c.count, got.count)
 			if !c.everybody {
 				must.Len(t, c.count, got.Names)
@@ -63,7 +63,7 @@
 			for member := range 3 {
 				all := 0
 				for self := range 5 {
-					all += got.Connections(fmt.Sprint(member), fmt.Sprint(self)) * carriersIn(got, fmt.Sprint(self))
+					all += got.ConnectionLimit(fmt.Sprint(member), fmt.Sprint(self)) * carriersIn(got, fmt.Sprint(self))
 				}
 				must.LessEq(t, max(c.connections-Reserved, 1), all)
 			}
@@ -85,15 +85,15 @@
 // Carriers near a member get most of its connections.
 func TestNearCarriersHaveMoreConnections(t *testing.T) {
 	c := place(Group{Name: "g", MaxConnections: 29, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 71)
-	must.Eq(t, 9, c.Connections("a", "a"))
-	must.Eq(t, 2, c.Connections("a", "b"))
+	must.Eq(t, 9, c.ConnectionLimit("a", "a"))
+	must.Eq(t, 2, c.ConnectionLimit("a", "b"))
 	must.LessEq(t, 29-Reserved, 2*9+4*2)
 	many := place(Group{Name: "g", MaxConnections: 66, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 83)
-	must.Eq(t, 22, many.Connections("a", "a"))
-	must.Eq(t, 5, many.Connections("a", "b"), must.Sprint("half of the equal share: reads that arrive there need the primary while replicas lag"))
+	must.Eq(t, 22, many.ConnectionLimit("a", "a"))
+	must.Eq(t, 5, many.ConnectionLimit("a", "b"), must.Sprint("half of the equal share: reads that arrive there need the primary while replicas lag"))
 	must.LessEq(t, 66-Reserved, 2*22+4*5)
 	everybody := place(Group{Name: "g", MaxConnections: 23, Homes: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
-	must.Eq(t, 2, everybody.Connections("a", "a"))
+	must.Eq(t, 2, everybody.ConnectionLimit("a", "a"))
 }
 
 // Each member has two carriers in its data centre, including members that share one. Carriers
@@ -271,7 +271,7 @@
 			for _, home := range g.Homes {
 				used := 0
 				for _, name := range placed[g.Name].Names {
-					used += placed[g.Name].Connections(home, centres[name])
+					used += placed[g.Name].ConnectionLimit(home, centres[name])
 				}
 				if used > g.MaxConnections-Reserved {
 					t.Fatalf("group %+v: %v use %d connections to the member in %s", g, placed[g.Name].Names, used, home)
