--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -128,11 +128,11 @@
 	return (c.usableConnections - remoteShare*remote) / near
 }
 
-// Active returns how many statements outside transactions a carrier in data centre self may
+// ActiveLimit returns how many statements outside transactions a carrier in data centre self may
 // run concurrently at a member with some slots in data centre member. Carriers in the
 // member's data centre divide the member among themselves. A remote carrier gets an equal
 // share among all carriers, for use when the members near it are in a worse state.
-func (c Carriers) Active(slots int, member, self string) int {
+func (c Carriers) ActiveLimit(slots int, member, self string) int {
 	sharers := c.count
 	if !c.AllInstances && member == self && c.localCount[member] > 0 {
 		sharers = c.localCount[member]
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -137,14 +137,14 @@
 
 func TestActiveLimitPerCarrier(t *testing.T) {
 	everybody := place(Group{Name: "g", MaxConnections: 23}, nil, 9)
-	must.Eq(t, 1, everybody.Active(3, "a", "a"))
-	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).Active(3, "a", "a"))
-	must.Eq(t, 6, place(Group{Name: "g", MaxConnections: 23}, nil, 1).Active(3, "a", "a"))
-	must.Eq(t, 1, place(Group{Name: "g", MaxConnections: 23}, nil, 5).Active(0, "a", "a"))
+	must.Eq(t, 1, everybody.ActiveLimit(3, "a", "a"))
+	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).ActiveLimit(3, "a", "a"))
+	must.Eq(t, 6, place(Group{Name: "g", MaxConnections: 23}, nil, 1).ActiveLimit(3, "a", "a"))
+	must.Eq(t, 1, place(Group{Name: "g", MaxConnections: 23}, nil, 5).ActiveLimit(0, "a", "a"))
 	few := place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, fleet(50, "a", "b", "c", "d"), 200)
-	must.Eq(t, 3, few.Active(3, "a", "a"), must.Sprint("two near carriers share the member"))
-	must.Eq(t, 1, few.Active(3, "a", "b"))
-	must.Eq(t, 1, few.Active(3, "d", "d"), must.Sprint("there is no carrier near the member"))
+	must.Eq(t, 3, few.ActiveLimit(3, "a", "a"), must.Sprint("two near carriers share the member"))
+	must.Eq(t, 1, few.ActiveLimit(3, "a", "b"))
+	must.Eq(t, 1, few.ActiveLimit(3, "d", "d"), must.Sprint("there is no carrier near the member"))
 }
 
 // A statement is forwarded between data centres at most once: one that needs the primary goes to
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -114,7 +114,7 @@
 	shares, here, known := u.placed.shares(m.Group)
 	if known {
 		up.pool.SetCapacity(shares.ConnectionLimit(m.DataCentre, u.dataCentre))
-		up.setShare(shares.Active(m.Slots, m.DataCentre, u.dataCentre), placement.TotalActiveLimit(m.Slots))
+		up.setShare(shares.ActiveLimit(m.Slots, m.DataCentre, u.dataCentre), placement.TotalActiveLimit(m.Slots))
 	}
 	up.mu.Lock()
 	defer up.mu.Unlock()
