--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -146,7 +146,7 @@
 
 // Caller is the origin of a statement that an ingress instance forwards.
 type Caller struct {
-	Name       string // hash key that spreads origins over equally distant carriers
+	HashKey    string // hash key that spreads origins over equally distant carriers
 	DataCentre string
 }
 
@@ -163,7 +163,7 @@
 		return cmp.Or(
 			cmp.Compare(regions.Distance(ia.DataCentre, preferred), regions.Distance(ib.DataCentre, preferred)),
 			cmp.Compare(regions.Distance(ia.DataCentre, origin.DataCentre), regions.Distance(ib.DataCentre, origin.DataCentre)),
-			cmp.Compare(ownership.Score(origin.Name, ia.Name), ownership.Score(origin.Name, ib.Name)),
+			cmp.Compare(ownership.Score(origin.HashKey, ia.Name), ownership.Score(origin.HashKey, ib.Name)),
 		)
 	})
 	return sorted
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -76,7 +76,7 @@
 		}
 		wanted := slices.Clone(alive)
 		slices.SortStableFunc(wanted, func(a, b ownership.Instance) int {
-			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(caller.Name, a.Name), ownership.Score(caller.Name, b.Name)))
+			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(caller.HashKey, a.Name), ownership.Score(caller.HashKey, b.Name)))
 		})
 		for _, places := range []locality.Map{{}, one} {
 			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: places})[g.Name]
