--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -126,7 +126,7 @@
 	first := 0
 	const entries = 2000
 	for n := range entries {
-		if Order(carriers, same, Caller{fmt.Sprint(n), "a"}, "a", twoRegions)[0].Name == "a-0" {
+		if Order(carriers, same, Origin{fmt.Sprint(n), "a"}, "a", twoRegions)[0].Name == "a-0" {
 			first++
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -144,8 +144,8 @@
 // or queue at a member with some slots.
 func TotalActiveLimit(slots int) int { return statementsPerSlot * slots }
 
-// Caller is the origin of a statement that an ingress instance forwards.
-type Caller struct {
+// Origin is the origin of a statement that an ingress instance forwards.
+type Origin struct {
 	HashKey    string // hash key that spreads origins over equally distant carriers
 	DataCentre string
 }
@@ -156,7 +156,7 @@
 // spreads evenly. It spreads evenly even if one carrier has more capacity: a carrier's
 // concurrent statements at a member are limited, so a carrier with most of the statements
 // would reach that limit while the member has free slots.
-func Order[C any](carriers []C, instanceOf func(C) ownership.Instance, origin Caller, preferred string, regions locality.Map) []C {
+func Order[C any](carriers []C, instanceOf func(C) ownership.Instance, origin Origin, preferred string, regions locality.Map) []C {
 	sorted := slices.Clone(carriers)
 	slices.SortStableFunc(sorted, func(a, b C) int {
 		ia, ib := instanceOf(a), instanceOf(b)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -152,19 +152,19 @@
 func TestOrderPrefersNearCarriers(t *testing.T) {
 	carriers := fleet(2, "a", "b", "c")
 	same := func(i ownership.Instance) ownership.Instance { return i }
-	near := func(caller Caller, preferred string) []string {
+	near := func(caller Origin, preferred string) []string {
 		var dcs []string
 		for _, i := range Order(carriers, same, caller, preferred, locality.Map{})[:2] {
 			dcs = append(dcs, i.DataCentre)
 		}
 		return dcs
 	}
-	must.Eq(t, []string{"b", "b"}, near(Caller{"x", "a"}, "b"))
-	must.Eq(t, []string{"a", "a"}, near(Caller{"x", "a"}, "a"))
-	must.Eq(t, []string{"a", "a"}, near(Caller{"x", "a"}, "d"))
+	must.Eq(t, []string{"b", "b"}, near(Origin{"x", "a"}, "b"))
+	must.Eq(t, []string{"a", "a"}, near(Origin{"x", "a"}, "a"))
+	must.Eq(t, []string{"a", "a"}, near(Origin{"x", "a"}, "d"))
 	first := make(map[string]int)
 	for i := range 300 {
-		first[Order(carriers, same, Caller{fmt.Sprint(i), "d"}, "d", locality.Map{})[0].Name]++
+		first[Order(carriers, same, Origin{fmt.Sprint(i), "d"}, "d", locality.Map{})[0].Name]++
 	}
 	for _, i := range carriers {
 		must.Greater(t, 25, first[i.Name], must.Sprint("origins in a data centre without members use all carriers"))
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -64,7 +64,7 @@
 		alive := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
 		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, Homes: rapid.SliceOfN(dcs, 1, 3).Draw(t, "homes")}
-		preferred, caller := dcs.Draw(t, "preferred"), Caller{rapid.StringN(1, 8, -1).Draw(t, "caller"), dcs.Draw(t, "its data centre")}
+		preferred, caller := dcs.Draw(t, "preferred"), Origin{rapid.StringN(1, 8, -1).Draw(t, "caller"), dcs.Draw(t, "its data centre")}
 		near := func(i ownership.Instance) int {
 			switch i.DataCentre {
 			case preferred:
@@ -95,7 +95,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		carriers := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		preferred, caller := dcs.Draw(t, "preferred"), Caller{"x", dcs.Draw(t, "caller")}
+		preferred, caller := dcs.Draw(t, "preferred"), Origin{"x", dcs.Draw(t, "caller")}
 		order := Order(carriers, same, caller, preferred, twoRegions)
 		must.Len(t, len(carriers), order)
 		for i := 1; i < len(order); i++ {
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -68,7 +68,7 @@
 		primary, _ := r.snapshot().Member(authority.Primary)
 		preferred = primary.DataCentre
 	}
-	return placement.Order(c.Others, candidate, placement.Caller{HashKey: cmp.Or(account, r.self), DataCentre: r.near}, preferred, r.places)
+	return placement.Order(c.Others, candidate, placement.Origin{HashKey: cmp.Or(account, r.self), DataCentre: r.near}, preferred, r.places)
 }
 
 // StartCarrying lets this instance run statements for others. Before that it has not
