--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -112,7 +112,7 @@
 		groups := groupsOf(8)
 		want, got := Place(groups, Fleet{Alive: plain, Registered: 500}), Place(groups, Fleet{Alive: alike, Registered: 500})
 		for name := range want {
-			must.SliceEqOp(t, withoutRegions(Group{Name: name, Homes: groups[0].Homes}, plain, 6), want[name].Names)
+			must.SliceEqOp(t, withoutRegions(Group{Name: name, MemberDataCentres: groups[0].MemberDataCentres}, plain, 6), want[name].Names)
 			must.SliceEqOp(t, want[name].Names, got[name].Names)
 		}
 	})
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -53,9 +53,9 @@
 
 // Group holds the properties of a database group that placement depends on.
 type Group struct {
-	Name           string
-	MaxConnections int      // that each member accepts from all instances together
-	Homes          []string // data centre of each member
+	Name              string
+	MaxConnections    int      // that each member accepts from all instances together
+	MemberDataCentres []string // data centre of each member
 }
 
 // Fleet holds the instances and regions that placement depends on.
@@ -84,7 +84,7 @@
 func (g Group) maxCarriers() int {
 	limit := max(1, (g.MaxConnections-Reserved)/minCarrierPoolSize)
 	// Without a known member there is nothing to connect to, but an instance must lead the group.
-	return min(limit, PerMember*max(1, len(g.Homes)))
+	return min(limit, PerMember*max(1, len(g.MemberDataCentres)))
 }
 
 // Place returns the carriers of each group, by group name. It places groups in order of their
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := Group{Name: "g", MaxConnections: c.connections}
 			for i := range c.homes {
-				g.Homes = append(g.Homes, fmt.Sprint(i))
+				g.MemberDataCentres = append(g.MemberDataCentres, fmt.Sprint(i))
 			}
 			got := place(g, fleet(c.registered/5+1, "0", "1", "2", "3", "4"), c.registered)
 			must.Eq(t, c.everybody, got.AllInstances)
@@ -84,15 +84,15 @@
 
 // Carriers near a member get most of its connections.
 func TestNearCarriersHaveMoreConnections(t *testing.T) {
-	c := place(Group{Name: "g", MaxConnections: 29, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 71)
+	c := place(Group{Name: "g", MaxConnections: 29, MemberDataCentres: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 71)
 	must.Eq(t, 9, c.ConnectionLimit("a", "a"))
 	must.Eq(t, 2, c.ConnectionLimit("a", "b"))
 	must.LessEq(t, 29-Reserved, 2*9+4*2)
-	many := place(Group{Name: "g", MaxConnections: 66, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 83)
+	many := place(Group{Name: "g", MaxConnections: 66, MemberDataCentres: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 83)
 	must.Eq(t, 22, many.ConnectionLimit("a", "a"))
 	must.Eq(t, 5, many.ConnectionLimit("a", "b"), must.Sprint("half of the equal share: reads that arrive there need the primary while replicas lag"))
 	must.LessEq(t, 66-Reserved, 2*22+4*5)
-	everybody := place(Group{Name: "g", MaxConnections: 23, Homes: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
+	everybody := place(Group{Name: "g", MaxConnections: 23, MemberDataCentres: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
 	must.Eq(t, 2, everybody.ConnectionLimit("a", "a"))
 }
 
@@ -107,10 +107,10 @@
 		return in
 	}
 	all := fleet(50, "a", "b", "c", "d", "e")
-	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2}, count(place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, all, 250)))
-	must.Eq(t, map[string]int{"a": 4, "b": 2}, count(place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "a", "b"}}, all, 250)))
+	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2}, count(place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, all, 250)))
+	must.Eq(t, map[string]int{"a": 4, "b": 2}, count(place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "a", "b"}}, all, 250)))
 	gone := slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.DataCentre == "a" })
-	c := place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, gone, 250)
+	c := place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, gone, 250)
 	must.Len(t, 6, c.Names)
 	must.Greater(t, 1, count(c)["b"])
 }
@@ -118,7 +118,7 @@
 // Losing one instance only replaces that instance.
 func TestLosingAnInstanceReplacesOnlyIt(t *testing.T) {
 	all := fleet(50, "a", "b", "c", "d", "e")
-	g := Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}
+	g := Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}
 	before := place(g, all, 250).Names
 	without := place(g, slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.Name == before[0] }), 249).Names
 	kept := 0
@@ -141,7 +141,7 @@
 	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).ActiveLimit(3, "a", "a"))
 	must.Eq(t, 6, place(Group{Name: "g", MaxConnections: 23}, nil, 1).ActiveLimit(3, "a", "a"))
 	must.Eq(t, 1, place(Group{Name: "g", MaxConnections: 23}, nil, 5).ActiveLimit(0, "a", "a"))
-	few := place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, fleet(50, "a", "b", "c", "d"), 200)
+	few := place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, fleet(50, "a", "b", "c", "d"), 200)
 	must.Eq(t, 3, few.ActiveLimit(3, "a", "a"), must.Sprint("two near carriers share the member"))
 	must.Eq(t, 1, few.ActiveLimit(3, "a", "b"))
 	must.Eq(t, 1, few.ActiveLimit(3, "d", "d"), must.Sprint("there is no carrier near the member"))
@@ -264,11 +264,11 @@
 		var groups []Group
 		for n := range rapid.IntRange(1, 12).Draw(t, "groups") {
 			homes := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3).Draw(t, "homes")
-			groups = append(groups, Group{Name: fmt.Sprint("g", n), MaxConnections: rapid.IntRange(8, 140).Draw(t, "connections"), Homes: homes})
+			groups = append(groups, Group{Name: fmt.Sprint("g", n), MaxConnections: rapid.IntRange(8, 140).Draw(t, "connections"), MemberDataCentres: homes})
 		}
 		placed := Place(groups, Fleet{Alive: alive, Registered: 1000})
 		for _, g := range groups {
-			for _, home := range g.Homes {
+			for _, home := range g.MemberDataCentres {
 				used := 0
 				for _, name := range placed[g.Name].Names {
 					used += placed[g.Name].ConnectionLimit(home, centres[name])
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -40,7 +40,7 @@
 // member, then others in rank order for the missing ones.
 func withoutRegions(g Group, alive []ownership.Instance, most int) []string {
 	left := make(map[string]int)
-	for _, home := range g.Homes {
+	for _, home := range g.MemberDataCentres {
 		left[home] += PerMember
 	}
 	var names, others []string
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, Homes: rapid.SliceOfN(dcs, 1, 3).Draw(t, "homes")}
+		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: rapid.SliceOfN(dcs, 1, 3).Draw(t, "homes")}
 		preferred, caller := dcs.Draw(t, "preferred"), Origin{rapid.StringN(1, 8, -1).Draw(t, "caller"), dcs.Draw(t, "its data centre")}
 		near := func(i ownership.Instance) int {
 			switch i.DataCentre {
@@ -80,7 +80,7 @@
 		})
 		for _, places := range []locality.Map{{}, one} {
 			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: places})[g.Name]
-			must.SliceEqOp(t, withoutRegions(g, alive, PerMember*len(g.Homes)), c.Names)
+			must.SliceEqOp(t, withoutRegions(g, alive, PerMember*len(g.MemberDataCentres)), c.Names)
 			must.SliceEqOp(t, wanted, Order(alive, same, caller, preferred, places))
 		}
 	})
@@ -114,7 +114,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
 		homes := []string{"a", "b", "d"}
-		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, Homes: homes}
+		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: homes}
 		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: twoRegions})[g.Name]
 		for region, wanted := range map[string]int{"x": 2 * PerMember, "y": PerMember} {
 			carriers, instances := 0, 0
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -96,14 +96,14 @@
 // newRow returns the row of a group. It takes over the rankings of the group's previous row.
 func newRow(g Group, previous *row) *row {
 	r := &row{group: g, allInstances: previous.allInstances}
-	for _, dataCentre := range slices.Compact(slices.Sorted(slices.Values(g.Homes))) {
+	for _, dataCentre := range slices.Compact(slices.Sorted(slices.Values(g.MemberDataCentres))) {
 		h := memberDataCentre{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
 		if known := previous.findDataCentre(dataCentre); known != nil {
 			h.ranking = known.ranking
 		}
 		r.dataCentres = append(r.dataCentres, h)
 	}
-	for _, dataCentre := range g.Homes {
+	for _, dataCentre := range g.MemberDataCentres {
 		r.findDataCentre(dataCentre).slots += PerMember
 	}
 	return r
@@ -143,7 +143,7 @@
 
 // Equal reports whether two groups have the same properties.
 func (g Group) Equal(other Group) bool {
-	return g.Name == other.Name && g.MaxConnections == other.MaxConnections && slices.Equal(g.Homes, other.Homes)
+	return g.Name == other.Name && g.MaxConnections == other.MaxConnections && slices.Equal(g.MemberDataCentres, other.MemberDataCentres)
 }
 
 // Update recomputes the placement for a number of registered instances. It calls placed for
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -66,7 +66,7 @@
 				} else {
 					groups[name] = Group{
 						Name: name, MaxConnections: rapid.IntRange(3, 60).Draw(t, "connections"),
-						Homes: rapid.SliceOfN(dataCentre, 0, 4).Draw(t, "homes"),
+						MemberDataCentres: rapid.SliceOfN(dataCentre, 0, 4).Draw(t, "homes"),
 					}
 				}
 			}
@@ -94,7 +94,7 @@
 	for _, instances := range []int{30, 100, 300} {
 		var groups []Group
 		for g := range 10 * instances / 3 {
-			groups = append(groups, Group{Name: fmt.Sprint("g", g), MaxConnections: 23, Homes: []string{"a", "b", "c"}})
+			groups = append(groups, Group{Name: fmt.Sprint("g", g), MaxConnections: 23, MemberDataCentres: []string{"a", "b", "c"}})
 		}
 		table, reported, placed := NewTable(), make(map[string]Carriers), 0
 		all := fleet(instances/3, "a", "b", "c")
@@ -151,7 +151,7 @@
 	for known := range homes + 1 {
 		partly := slices.Clone(groups)
 		for n := range partly {
-			partly[n].MaxConnections, partly[n].Homes = 428, partly[n].Homes[:known]
+			partly[n].MaxConnections, partly[n].MemberDataCentres = 428, partly[n].MemberDataCentres[:known]
 		}
 		applyFleet(table, reported, partly, Fleet{Alive: all, Registered: size})
 		for _, c := range reported {
@@ -185,7 +185,7 @@
 func groupsOf(n int) []Group {
 	groups := make([]Group, n)
 	for i := range groups {
-		groups[i] = Group{Name: fmt.Sprintf("g%04d", i), MaxConnections: 58, Homes: []string{"a", "b", "c"}}
+		groups[i] = Group{Name: fmt.Sprintf("g%04d", i), MaxConnections: 58, MemberDataCentres: []string{"a", "b", "c"}}
 	}
 	return groups
 }
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -23,7 +23,7 @@
 	declared, ok := snap.Groups[name]
 	g := placement.Group{Name: name, MaxConnections: declared.MaxConnections}
 	for _, m := range snap.MembersOf(name) {
-		g.Homes = append(g.Homes, m.DataCentre)
+		g.MemberDataCentres = append(g.MemberDataCentres, m.DataCentre)
 	}
 	return g, ok
 }
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -53,7 +53,7 @@
 // carriedElsewhere returns carriers of a group among which "here" is not.
 func carriedElsewhere(t *testing.T) placement.Carriers {
 	t.Helper()
-	c := placement.Place([]placement.Group{{Name: "g", MaxConnections: 10, Homes: []string{"a"}}}, placement.Fleet{Registered: 100})["g"]
+	c := placement.Place([]placement.Group{{Name: "g", MaxConnections: 10, MemberDataCentres: []string{"a"}}}, placement.Fleet{Registered: 100})["g"]
 	c.Names = []string{"elsewhere"}
 	return c
 }
