--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -142,7 +142,7 @@
 		} {
 			b.Run(fmt.Sprintf("%d instances/%s", size, kind), func(b *testing.B) {
 				groups := groupsOf(610)
-				f := Fleet{Alive: alive, Registered: 10 * size, Places: twoRegions}
+				f := Fleet{Alive: alive, Registered: 10 * size, Regions: twoRegions}
 				for b.Loop() {
 					Place(groups, f)
 				}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -62,7 +62,7 @@
 type Fleet struct {
 	Alive      []ownership.Instance
 	Registered int          // number of instances that may hold connections, including any that may have died
-	Places     locality.Map // of the data centres
+	Regions    locality.Map // of the data centres
 }
 
 // Carriers are the instances that hold connections to a group's members.
@@ -95,7 +95,7 @@
 		table.Set(g)
 	}
 	table.SetInstances(f.Alive)
-	table.Update(f.Registered, f.Places, func(group string, carriers Carriers) { placed[group] = carriers })
+	table.Update(f.Registered, f.Regions, func(group string, carriers Carriers) { placed[group] = carriers })
 	return placed
 }
 
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -79,7 +79,7 @@
 			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(caller.HashKey, a.Name), ownership.Score(caller.HashKey, b.Name)))
 		})
 		for _, places := range []locality.Map{{}, one} {
-			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: places})[g.Name]
+			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: places})[g.Name]
 			must.SliceEqOp(t, withoutRegions(g, alive, PerMember*len(g.MemberDataCentres)), c.Names)
 			must.SliceEqOp(t, wanted, Order(alive, same, caller, preferred, places))
 		}
@@ -115,7 +115,7 @@
 		alive := drawFleet(t)
 		homes := []string{"a", "b", "d"}
 		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: homes}
-		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: twoRegions})[g.Name]
+		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: twoRegions})[g.Name]
 		for region, wanted := range map[string]int{"x": 2 * PerMember, "y": PerMember} {
 			carriers, instances := 0, 0
 			for _, i := range alive {
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	t.SetInstances(f.Alive)
-	t.Update(f.Registered, f.Places, func(name string, c Carriers) {
+	t.Update(f.Registered, f.Regions, func(name string, c Carriers) {
 		reported[name] = c
 		count++
 	})
@@ -72,7 +72,7 @@
 			}
 			living, registered := slices.Collect(maps.Values(alive)), len(alive)+rapid.IntRange(0, 5).Draw(t, "dead")
 			all := slices.Collect(maps.Values(groups))
-			f := Fleet{Alive: living, Registered: registered, Places: twoRegions}
+			f := Fleet{Alive: living, Registered: registered, Regions: twoRegions}
 			applyFleet(table, reported, all, f)
 			must.Eq(t, len(groups), len(reported))
 			wanted := Place(all, f)
