--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -166,7 +166,7 @@
 		Usable:   up.health.Usable(now),
 		Refused:  now < up.lagUntil,
 		Position: up.position,
-		Behind:   up.behind,
+		Lag:      up.behind,
 		Growing:  up.growing,
 		Seen:     now - up.behindAt,
 		Failing:  up.failing.Part(),
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -18,7 +18,7 @@
 	Usable   bool              // it answered the last request
 	Refused  bool              // it rejected a read moments ago because its log did not hold the required position
 	Position group.Position    // end of its log, as last reported
-	Behind   time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
+	Lag      time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
 	Growing  bool              // the lag increased between the last two reports
 	Seen     time.Duration     // age of the report that the lag comes from
 	Load     int               // requests of this instance that run at the member or wait for it
@@ -93,7 +93,7 @@
 		return 2
 	case c.Deferred:
 		return 1
-	case c.Primary || !c.Position.Less(required) || c.Behind < 0 || age >= c.Behind || c.Seen >= retryLaggingAfter:
+	case c.Primary || !c.Position.Less(required) || c.Lag < 0 || age >= c.Lag || c.Seen >= retryLaggingAfter:
 		return 0
 	}
 	return 1
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -28,15 +28,15 @@
 		"near replicas first": {
 			[]Candidate{{ID: "a", Distance: locality.SameRegion, Usable: true, Position: at(5)}, {ID: "b", Usable: true, Position: at(5)}}, []string{"b", "a"}},
 		"a lagging replica after the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: age + 1}, {ID: "p", Primary: true, Usable: true, Load: 3}}, []string{"p", "a"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: age + 1}, {ID: "p", Primary: true, Usable: true, Load: 3}}, []string{"p", "a"}},
 		"a replica that should have caught up before the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: age}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: age}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"a replica with an old lag report before the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: retryLaggingAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: time.Hour, Seen: retryLaggingAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"a lagging replica with a recent report after the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: time.Hour, Seen: retryLaggingAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: time.Hour, Seen: retryLaggingAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
 		"a replica with unknown lag before the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Behind: -1}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: -1}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"no replica that rejected a read for its lag": {
 			[]Candidate{{ID: "a", Usable: true, Refused: true, Position: at(4)}, {ID: "b", Usable: true, Refused: true, Position: at(5)}}, []string{"b"}},
 		"a deprioritized replica after a busy primary": {
@@ -73,8 +73,8 @@
 		"an overloaded primary of this region":    {[]Candidate{there, primary(9)}, "there"},
 		"a replica of this region, and a primary": {[]Candidate{primary(0), there, here(0)}, "here"},
 		"the near replica does not answer":        {[]Candidate{{ID: "here", Position: at(5)}, there}, "there"},
-		"the near replica lags":                   {[]Candidate{{ID: "here", Usable: true, Position: at(4), Behind: 2 * age}, there}, "there"},
-		"the near replica should have caught up":  {[]Candidate{{ID: "here", Usable: true, Position: at(4), Behind: age}, there}, "here"},
+		"the near replica lags":                   {[]Candidate{{ID: "here", Usable: true, Position: at(4), Lag: 2 * age}, there}, "there"},
+		"the near replica should have caught up":  {[]Candidate{{ID: "here", Usable: true, Position: at(4), Lag: age}, there}, "here"},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.want, Order(c.candidates, at(5), age)[0].ID) })
 	}
@@ -100,7 +100,7 @@
 		"busy replica":        {Candidate{ID: "here", Usable: true, Position: at(5), Load: 3}, []string{"here"}},
 		"primary":             {Candidate{ID: "here", Usable: true, Primary: true}, []string{"here", "there"}},
 		"overloaded replica":  {Candidate{ID: "here", Usable: true, Position: at(5), Load: 20}, []string{"there", "here"}},
-		"lagging replica":     {Candidate{ID: "here", Usable: true, Position: at(4), Behind: 2 * age}, []string{"there", "here"}},
+		"lagging replica":     {Candidate{ID: "here", Usable: true, Position: at(4), Lag: 2 * age}, []string{"there", "here"}},
 		"unreachable replica": {Candidate{ID: "here", Position: at(5)}, []string{"there", "here"}},
 		"failing replica":     {Candidate{ID: "here", Usable: true, Position: at(5), Deferred: true}, []string{"there", "here"}},
 	} {
@@ -134,7 +134,7 @@
 	replica := Candidate{ID: "r", Usable: true}
 	primary := Candidate{ID: "p", Primary: true, Usable: true}
 	told, tried, served := time.Duration(0), 0, 0
-	replica.Behind = lagging
+	replica.Lag = lagging
 	for now := time.Duration(0); now < 2*lagging; now += interval {
 		replica.Seen = now - told
 		if Order([]Candidate{replica, primary}, at(5), age)[0].ID != "r" {
@@ -146,7 +146,7 @@
 			continue
 		}
 		served++
-		replica.Position, replica.Behind = at(5), 0
+		replica.Position, replica.Lag = at(5), 0
 	}
 	must.LessEq(t, int(lagging/retryLaggingAfter), tried)
 	must.Greater(t, int(lagging/interval)/2, served)
--- a/internal/routing/wait.go
+++ b/internal/routing/wait.go
@@ -17,10 +17,10 @@
 		return false
 	}
 	for _, c := range order {
-		if c.Primary || !c.Usable || c.Behind < 0 || c.Growing || !c.Position.Less(required) || cost(c) > cost(order[0]) {
+		if c.Primary || !c.Usable || c.Lag < 0 || c.Growing || !c.Position.Less(required) || cost(c) > cost(order[0]) {
 			continue
 		}
-		if c.Behind-age <= maxWait {
+		if c.Lag-age <= maxWait {
 			return true
 		}
 	}
--- a/internal/routing/wait_test.go
+++ b/internal/routing/wait_test.go
@@ -14,7 +14,7 @@
 func TestShouldWaitForReplica(t *testing.T) {
 	const age, left = 100 * time.Millisecond, 50 * time.Millisecond
 	primary := Candidate{ID: "p", Primary: true, Usable: true, Load: 1}
-	near := Candidate{ID: "a", Usable: true, Position: at(4), Behind: age + left}
+	near := Candidate{ID: "a", Usable: true, Position: at(4), Lag: age + left}
 	with := func(change func(*Candidate)) Candidate {
 		c := near
 		change(&c)
@@ -25,14 +25,14 @@
 		want     bool
 	}{
 		"just in time":                       {[]Candidate{near}, true},
-		"one of two":                         {[]Candidate{with(func(c *Candidate) { c.Behind += time.Second }), near}, true},
-		"just too late":                      {[]Candidate{with(func(c *Candidate) { c.Behind++ })}, false},
+		"one of two":                         {[]Candidate{with(func(c *Candidate) { c.Lag += time.Second }), near}, true},
+		"just too late":                      {[]Candidate{with(func(c *Candidate) { c.Lag++ })}, false},
 		"lag is growing":                     {[]Candidate{with(func(c *Candidate) { c.Growing = true })}, false},
 		"does not answer":                    {[]Candidate{with(func(c *Candidate) { c.Usable = false })}, false},
-		"lag unknown":                        {[]Candidate{with(func(c *Candidate) { c.Behind = -1 })}, false},
+		"lag unknown":                        {[]Candidate{with(func(c *Candidate) { c.Lag = -1 })}, false},
 		"rejected for its lag":               {[]Candidate{with(func(c *Candidate) { c.Refused = true })}, false},
 		"in another region":                  {[]Candidate{with(func(c *Candidate) { c.Distance = locality.OtherRegion })}, false},
-		"nearly caught up in another region": {[]Candidate{with(func(c *Candidate) { c.Distance, c.Behind = locality.OtherRegion, age }), near}, true},
+		"nearly caught up in another region": {[]Candidate{with(func(c *Candidate) { c.Distance, c.Lag = locality.OtherRegion, age }), near}, true},
 		"more loaded than the primary":       {[]Candidate{with(func(c *Candidate) { c.Load = 2 })}, false},
 		"no replica":                         {nil, false},
 	} {
