--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -178,7 +178,7 @@
 			Leaving:  m.leaving,
 			Position: m.position,
 			Capacity: g.spec.Connections,
-			Behind:   m.behind,
+			Lag:      m.behind,
 		}
 		if pool := v.pools[m.name]; pool != nil {
 			member.InFlight = pool.InUse() + pool.Waiting()
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -22,7 +22,7 @@
 	Position group.Position
 	InFlight int           // number of running statements
 	Capacity int           // number of connections that may be used at once
-	Behind   time.Duration // replica lag: how long ago Position was the highest acknowledged position
+	Lag      time.Duration // replica lag: how long ago Position was the highest acknowledged position
 }
 
 // View is a snapshot of a group.
@@ -119,7 +119,7 @@
 		if m.Primary || !m.Healthy || m.Leaving {
 			continue
 		}
-		if remaining := max(0, m.Behind-age); !found || remaining < delay {
+		if remaining := max(0, m.Lag-age); !found || remaining < delay {
 			delay, found = remaining, true
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -36,7 +36,7 @@
 			Position: at(rapid.Uint64Range(0, 10).Draw(t, "position")),
 			InFlight: rapid.IntRange(0, 10).Draw(t, "inFlight"),
 			Capacity: rapid.IntRange(0, 10).Draw(t, "capacity"),
-			Behind:   time.Duration(rapid.IntRange(0, 200).Draw(t, "behind")) * time.Millisecond,
+			Lag:      time.Duration(rapid.IntRange(0, 200).Draw(t, "behind")) * time.Millisecond,
 		})
 	}
 	return v
@@ -90,8 +90,8 @@
 	base := func() *View {
 		return &View{MaxWait: 50 * time.Millisecond, Fallback: 2, Members: []Member{
 			{Name: "p", Primary: true, Healthy: true, Position: at(10)},
-			{Name: "r1", Healthy: true, Position: at(9), Behind: 10 * time.Millisecond, Capacity: 8},
-			{Name: "r2", Healthy: true, Position: at(5), Behind: 5 * time.Second, Capacity: 8},
+			{Name: "r1", Healthy: true, Position: at(9), Lag: 10 * time.Millisecond, Capacity: 8},
+			{Name: "r2", Healthy: true, Position: at(5), Lag: 5 * time.Second, Capacity: 8},
 		}}
 	}
 	cases := []struct {
@@ -103,10 +103,10 @@
 		{"caught up", func(*View) {}, Request{Required: at(9), Left: time.Second}, Decision{Choice: Use, Member: "r1"}},
 		{"about to catch up", func(*View) {}, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
 		{"waited for the longest allowed time", func(*View) {}, Request{Required: at(10), Waited: 45 * time.Millisecond, Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
-		{"far behind", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
-		{"fallback limit reached", func(v *View) { v.Members[1].Behind, v.OnPrim = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
-		{"position older than the lag", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Age: 2 * time.Second, Left: time.Second}, Decision{Choice: Wait}},
-		{"about to catch up with an old position", func(v *View) { v.Members[1].Behind = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, Left: time.Second}, Decision{Choice: Wait}},
+		{"far behind", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
+		{"fallback limit reached", func(v *View) { v.Members[1].Lag, v.OnPrim = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
+		{"position older than the lag", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 2 * time.Second, Left: time.Second}, Decision{Choice: Wait}},
+		{"about to catch up with an old position", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, Left: time.Second}, Decision{Choice: Wait}},
 		{"less loaded replica", func(v *View) { v.Members[1].InFlight = 3 }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Use, Member: "r2"}},
 		{"no members", func(v *View) { v.Members = nil }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Refuse}},
 	}
