--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -423,7 +423,7 @@
 func (g *Group) noteLag(r failover.Reply) {
 	g.acks.Lock()
 	defer g.acks.Unlock()
-	g.lagging[r.Member] = g.fine.Behind(r.Sent, r.Status.Position)
+	g.lagging[r.Member] = g.fine.Lag(r.Sent, r.Status.Position)
 }
 
 // publishProgress replaces the snapshot of the members' positions.
--- a/internal/relay/samples.go
+++ b/internal/relay/samples.go
@@ -63,7 +63,7 @@
 	if _, ok := g.samples.Newest(); !ok || p.Term != g.term {
 		return -1
 	}
-	return g.samples.Behind(now, p)
+	return g.samples.Lag(now, p)
 }
 
 // sampleAge returns how old the newest sample is, negative without one.
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// RequiredAt returns a position that covers everything acknowledged up to the time, and Behind
+// RequiredAt returns a position that covers everything acknowledged up to the time, and Lag
 // never reports a lag that is too small.
 func TestSamplesAreConservative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -147,7 +147,7 @@
 			}
 		}
 		held := rapid.Uint64Range(0, index).Draw(t, "held")
-		if held < index && s.Behind(now+1, at(held)) <= 0 {
+		if held < index && s.Lag(now+1, at(held)) <= 0 {
 			t.Fatalf("log ends at %d of %d, but the lag is 0", held, index)
 		}
 	})
--- a/internal/routing/samples.go
+++ b/internal/routing/samples.go
@@ -74,9 +74,9 @@
 	return 0, true
 }
 
-// Behind returns the lag of a log that ends at p: how long ago p was the highest acknowledged
+// Lag returns the lag of a log that ends at p: how long ago p was the highest acknowledged
 // position. It may be more than the actual lag, never less.
-func (s *Samples) Behind(now time.Duration, p group.Position) time.Duration {
+func (s *Samples) Lag(now time.Duration, p group.Position) time.Duration {
 	for i := s.count - 1; i >= 0; i-- {
 		entry := s.ring[(s.start+i)%len(s.ring)]
 		if p.AtLeast(entry.position) {
