--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -160,16 +160,16 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	return routing.Candidate{
-		ID:       up.id,
-		Distance: up.distance,
-		Draining: up.draining,
-		Usable:   up.health.Usable(now),
-		Refused:  now < up.lagUntil,
-		Position: up.position,
-		Lag:      up.behind,
-		Growing:  up.growing,
-		Seen:     now - up.behindAt,
-		Failing:  up.failing.Part(),
-		Load:     up.pool.Load(),
+		ID:          up.id,
+		Distance:    up.distance,
+		Draining:    up.draining,
+		Usable:      up.health.Usable(now),
+		LagRejected: now < up.lagUntil,
+		Position:    up.position,
+		Lag:         up.behind,
+		Growing:     up.growing,
+		Seen:        now - up.behindAt,
+		Failing:     up.failing.Part(),
+		Load:        up.pool.Load(),
 	}
 }
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -38,7 +38,7 @@
 		"a replica with unknown lag before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: -1}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"no replica that rejected a read for its lag": {
-			[]Candidate{{ID: "a", Usable: true, Refused: true, Position: at(4)}, {ID: "b", Usable: true, Refused: true, Position: at(5)}}, []string{"b"}},
+			[]Candidate{{ID: "a", Usable: true, LagRejected: true, Position: at(4)}, {ID: "b", Usable: true, LagRejected: true, Position: at(5)}}, []string{"b"}},
 		"a deprioritized replica after a busy primary": {
 			[]Candidate{{ID: "a", Usable: true, Deferred: true, Position: at(5)}, {ID: "p", Primary: true, Usable: true, Load: 9}, {ID: "u", Position: at(5)}},
 			[]string{"p", "a", "u"}},
--- a/internal/routing/wait_test.go
+++ b/internal/routing/wait_test.go
@@ -30,7 +30,7 @@
 		"lag is growing":                     {[]Candidate{with(func(c *Candidate) { c.Growing = true })}, false},
 		"does not answer":                    {[]Candidate{with(func(c *Candidate) { c.Usable = false })}, false},
 		"lag unknown":                        {[]Candidate{with(func(c *Candidate) { c.Lag = -1 })}, false},
-		"rejected for its lag":               {[]Candidate{with(func(c *Candidate) { c.Refused = true })}, false},
+		"rejected for its lag":               {[]Candidate{with(func(c *Candidate) { c.LagRejected = true })}, false},
 		"in another region":                  {[]Candidate{with(func(c *Candidate) { c.Distance = locality.OtherRegion })}, false},
 		"nearly caught up in another region": {[]Candidate{with(func(c *Candidate) { c.Distance, c.Lag = locality.OtherRegion, age }), near}, true},
 		"more loaded than the primary":       {[]Candidate{with(func(c *Candidate) { c.Load = 2 })}, false},
