--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -11,21 +11,21 @@
 // Candidate is a member that may serve a read, as seen by one of the instances that use it.
 // It describes the member's state at its last answer.
 type Candidate struct {
-	ID          string
-	Primary     bool
-	Distance    locality.Distance // from the instance
-	Draining    bool              // gets no new work
-	Usable      bool              // it answered the last request
-	LagRejected bool              // it rejected a read moments ago because its log did not hold the required position
-	Position    group.Position    // end of its log, as last reported
-	Lag         time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
-	Growing     bool              // the lag increased between the last two reports
-	Seen        time.Duration     // age of the report that the lag comes from
-	Load        int               // requests of this instance that run at the member or wait for it
-	Slots       int               // of the member's slots, how many this instance may count on
-	Work        time.Duration     // typical duration of such a read; 0: unknown
-	Failing     float64           // fraction of recent requests to it that failed
-	Deferred    bool              // ranked lower for this read, because it fails more than others
+	ID              string
+	Primary         bool
+	Distance        locality.Distance // from the instance
+	Draining        bool              // gets no new work
+	Usable          bool              // it answered the last request
+	LagRejected     bool              // it rejected a read moments ago because its log did not hold the required position
+	Position        group.Position    // end of its log, as last reported
+	Lag             time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
+	Growing         bool              // the lag increased between the last two reports
+	Seen            time.Duration     // age of the report that the lag comes from
+	Load            int               // requests of this instance that run at the member or wait for it
+	Slots           int               // of the member's slots, how many this instance may count on
+	TypicalDuration time.Duration     // typical duration of such a read; 0: unknown
+	Failing         float64           // fraction of recent requests to it that failed
+	Deferred        bool              // ranked lower for this read, because it fails more than others
 }
 
 // Weights of the cost function, in halves of a queued request.
@@ -126,8 +126,8 @@
 func crossRegionCost(c Candidate) int {
 	slots := max(1, c.Slots)
 	queued := slots
-	if c.Work > 0 {
-		queued = int((time.Duration(slots)*crossRegionRTT + c.Work - 1) / c.Work)
+	if c.TypicalDuration > 0 {
+		queued = int((time.Duration(slots)*crossRegionRTT + c.TypicalDuration - 1) / c.TypicalDuration)
 	}
 	return (slots + queued) * requestCost
 }
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -57,7 +57,7 @@
 	here := func(load int) Candidate {
 		return Candidate{ID: "here", Usable: true, Position: at(5), Load: load, Slots: 3}
 	}
-	there := Candidate{ID: "there", Distance: locality.OtherRegion, Usable: true, Position: at(5), Slots: 3, Work: crossRegionRTT}
+	there := Candidate{ID: "there", Distance: locality.OtherRegion, Usable: true, Position: at(5), Slots: 3, TypicalDuration: crossRegionRTT}
 	primary := func(load int) Candidate {
 		return Candidate{ID: "primary", Primary: true, Distance: locality.SameRegion, Usable: true, Load: load, Slots: 3}
 	}
@@ -116,8 +116,8 @@
 
 // The shorter the reads are relative to the round trip, the more of them queue in the region.
 func TestCrossRegionCostFollowsRoundTrip(t *testing.T) {
-	short := crossRegionCost(Candidate{Slots: 3, Work: crossRegionRTT / 5})
-	long := crossRegionCost(Candidate{Slots: 3, Work: 5 * crossRegionRTT})
+	short := crossRegionCost(Candidate{Slots: 3, TypicalDuration: crossRegionRTT / 5})
+	long := crossRegionCost(Candidate{Slots: 3, TypicalDuration: 5 * crossRegionRTT})
 	must.Greater(t, long, short)
 	must.Greater(t, 3*requestCost, long, must.Sprint("at least the cost of all slots in use"))
 	must.Greater(t, 0, crossRegionCost(Candidate{}), must.Sprint("with unknown slots and durations"))
