--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -90,7 +90,7 @@
 func (r *Relay) deferOutliers(candidates []routing.Candidate) {
 	failing := make([]float64, len(candidates))
 	for n, c := range candidates {
-		failing[n] = c.Failing
+		failing[n] = c.FailureRate
 	}
 	for n, share := range outlier.Shares(failing) {
 		if up := r.upstreams.get(candidates[n].ID); up != nil {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -169,7 +169,7 @@
 		Lag:         up.behind,
 		Growing:     up.growing,
 		Seen:        now - up.behindAt,
-		Failing:     up.failing.Part(),
+		FailureRate: up.failing.Part(),
 		Load:        up.pool.Load(),
 	}
 }
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -24,7 +24,7 @@
 	Load            int               // requests of this instance that run at the member or wait for it
 	Slots           int               // of the member's slots, how many this instance may count on
 	TypicalDuration time.Duration     // typical duration of such a read; 0: unknown
-	Failing         float64           // fraction of recent requests to it that failed
+	FailureRate     float64           // fraction of recent requests to it that failed
 	Deferred        bool              // ranked lower for this read, because it fails more than others
 }
 
