--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -94,7 +94,7 @@
 	}
 	for n, share := range outlier.Shares(failing) {
 		if up := r.upstreams.get(candidates[n].ID); up != nil {
-			candidates[n].Deferred = !up.takesPart(share)
+			candidates[n].Deprioritized = !up.takesPart(share)
 		}
 	}
 }
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -60,7 +60,7 @@
 	deferred := make(map[string]int)
 	for range choices {
 		for _, c := range a.candidates() {
-			if c.Deferred {
+			if c.Deprioritized {
 				deferred[c.ID]++
 			}
 		}
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -25,7 +25,7 @@
 	Slots           int               // of the member's slots, how many this instance may count on
 	TypicalDuration time.Duration     // typical duration of such a read; 0: unknown
 	FailureRate     float64           // fraction of recent requests to it that failed
-	Deferred        bool              // ranked lower for this read, because it fails more than others
+	Deprioritized   bool              // ranked lower for this read, because it fails more than others
 }
 
 // Weights of the cost function, in halves of a queued request.
@@ -91,7 +91,7 @@
 	switch {
 	case !c.Usable:
 		return 2
-	case c.Deferred:
+	case c.Deprioritized:
 		return 1
 	case c.Primary || !c.Position.Less(required) || c.Lag < 0 || age >= c.Lag || c.Seen >= retryLaggingAfter:
 		return 0
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -40,7 +40,7 @@
 		"no replica that rejected a read for its lag": {
 			[]Candidate{{ID: "a", Usable: true, LagRejected: true, Position: at(4)}, {ID: "b", Usable: true, LagRejected: true, Position: at(5)}}, []string{"b"}},
 		"a deprioritized replica after a busy primary": {
-			[]Candidate{{ID: "a", Usable: true, Deferred: true, Position: at(5)}, {ID: "p", Primary: true, Usable: true, Load: 9}, {ID: "u", Position: at(5)}},
+			[]Candidate{{ID: "a", Usable: true, Deprioritized: true, Position: at(5)}, {ID: "p", Primary: true, Usable: true, Load: 9}, {ID: "u", Position: at(5)}},
 			[]string{"p", "a", "u"}},
 		"unreachable members last, no draining replicas": {
 			[]Candidate{{ID: "d", Draining: true, Usable: true}, {ID: "u", Position: at(9)}, {ID: "p", Primary: true, Draining: true, Usable: true},
@@ -102,7 +102,7 @@
 		"overloaded replica":  {Candidate{ID: "here", Usable: true, Position: at(5), Load: 20}, []string{"there", "here"}},
 		"lagging replica":     {Candidate{ID: "here", Usable: true, Position: at(4), Lag: 2 * age}, []string{"there", "here"}},
 		"unreachable replica": {Candidate{ID: "here", Position: at(5)}, []string{"there", "here"}},
-		"failing replica":     {Candidate{ID: "here", Usable: true, Position: at(5), Deferred: true}, []string{"there", "here"}},
+		"failing replica":     {Candidate{ID: "here", Usable: true, Position: at(5), Deprioritized: true}, []string{"there", "here"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			order := Order([]Candidate{there, c.here}, at(5), age)
