--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		v := up.decide(now, a.level(), request, a.work())
-		if at := v.Wait + c.Trip(); i == 0 || at < soonest {
+		if at := v.Wait + c.ExtraRoundTrip(); i == 0 || at < soonest {
 			best, verdict, soonest = c, v, at
 		}
 	}
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -67,8 +67,8 @@
 	return order
 }
 
-// Trip returns the extra round trip time of a read at the member compared with a near member.
-func (c Candidate) Trip() time.Duration {
+// ExtraRoundTrip returns the extra round trip time of a read at the member compared with a near member.
+func (c Candidate) ExtraRoundTrip() time.Duration {
 	if c.Distance == locality.OtherRegion {
 		return crossRegionRTT
 	}
