--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -130,7 +130,7 @@
 	best, verdict, soonest := order[0], admission.Verdict{Admit: true}, time.Duration(0)
 	for i, c := range order {
 		up := a.s.relay.upstreams.get(c.ID)
-		if up == nil || i > 0 && !c.Fit(required, age) {
+		if up == nil || i > 0 && !c.Eligible(required, age) {
 			continue
 		}
 		v := up.decide(now, a.level(), request, a.work())
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -79,7 +79,7 @@
 // slot. Where a replica of this region should serve the read, members of other regions are left
 // out: the read briefly waits for a slot in its region before it goes to another one.
 func AtOnce(order []Candidate, required group.Position, age time.Duration) []Candidate {
-	if len(order) == 0 || order[0].Primary || order[0].Distance == locality.OtherRegion || !order[0].Fit(required, age) {
+	if len(order) == 0 || order[0].Primary || order[0].Distance == locality.OtherRegion || !order[0].Eligible(required, age) {
 		return order
 	}
 	return slices.DeleteFunc(slices.Clone(order), func(c Candidate) bool { return c.Distance == locality.OtherRegion })
@@ -99,8 +99,8 @@
 	return 1
 }
 
-// Fit reports whether a candidate is expected to be able to serve a read now.
-func (c Candidate) Fit(required group.Position, age time.Duration) bool {
+// Eligible reports whether a candidate is expected to be able to serve a read now.
+func (c Candidate) Eligible(required group.Position, age time.Duration) bool {
 	return rank(c, required, age) == 0
 }
 
