--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -39,7 +39,7 @@
 		return a.waitAtBest(order, required, age)
 	}
 	last := noRoom
-	order = routing.AtOnce(order, required, age)
+	order = routing.ImmediateCandidates(order, required, age)
 	for i, c := range order {
 		answer, out := a.tryOne(c, required, a.now(), len(order)-i > 1) // where a connection is free now
 		if out == served || out == unknown {
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -75,10 +75,10 @@
 	return 0
 }
 
-// AtOnce returns the members of order at which a read should run immediately if they have a free
+// ImmediateCandidates returns the members of order at which a read should run immediately if they have a free
 // slot. Where a replica of this region should serve the read, members of other regions are left
 // out: the read briefly waits for a slot in its region before it goes to another one.
-func AtOnce(order []Candidate, required group.Position, age time.Duration) []Candidate {
+func ImmediateCandidates(order []Candidate, required group.Position, age time.Duration) []Candidate {
 	if len(order) == 0 || order[0].Primary || order[0].Distance == locality.OtherRegion || !order[0].Eligible(required, age) {
 		return order
 	}
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -106,12 +106,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			order := Order([]Candidate{there, c.here}, at(5), age)
-			must.Eq(t, c.want, ids(AtOnce(order, at(5), age)))
+			must.Eq(t, c.want, ids(ImmediateCandidates(order, at(5), age)))
 			must.Len(t, 2, order, must.Sprint("order still has the other members, for reads that wait"))
 		})
 	}
-	must.Len(t, 1, AtOnce([]Candidate{there}, at(5), age))
-	must.SliceEmpty(t, AtOnce(nil, at(5), age))
+	must.Len(t, 1, ImmediateCandidates([]Candidate{there}, at(5), age))
+	must.SliceEmpty(t, ImmediateCandidates(nil, at(5), age))
 }
 
 // The shorter the reads are relative to the round trip, the more of them queue in the region.
