--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -30,7 +30,7 @@
 	}
 	age := a.group.age(a.now(), required)
 	order := routing.Order(a.candidates(), required, age)
-	if routing.Await(order, required, age, a.arrived+a.route.LatencyObjective-a.now()-retryPause) {
+	if routing.ShouldWaitForReplica(order, required, age, a.arrived+a.route.LatencyObjective-a.now()-retryPause) {
 		a.why = "a replica is about to hold what the read must see"
 		return statement.Answer{}, noRoom
 	}
--- a/internal/routing/wait_test.go
+++ b/internal/routing/wait_test.go
@@ -38,12 +38,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			order := Order(append([]Candidate{primary}, c.replicas...), at(5), age)
-			must.Eq(t, c.want, Await(order, at(5), age, left))
+			must.Eq(t, c.want, ShouldWaitForReplica(order, at(5), age, left))
 		})
 	}
 	idle := primary
 	idle.Load = 0
-	must.False(t, Await(Order([]Candidate{idle, near}, at(5), age), at(5), age, left), must.Sprint("the primary is idle"))
+	must.False(t, ShouldWaitForReplica(Order([]Candidate{idle, near}, at(5), age), at(5), age, left), must.Sprint("the primary is idle"))
 	fresh := Candidate{ID: "b", Usable: true, Position: at(5)}
-	must.False(t, Await(Order([]Candidate{primary, fresh}, at(5), age), at(5), age, left), must.Sprint("a replica can serve now"))
+	must.False(t, ShouldWaitForReplica(Order([]Candidate{primary, fresh}, at(5), age), at(5), age, left), must.Sprint("a replica can serve now"))
 }
