--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -262,13 +262,13 @@
 	}
 	if e.Deleted {
 		log().WithField("member", id).Info("control: a member's entry has vanished")
-		state.DropMember(i.now(), id)
+		state.MarkMissing(i.now(), id)
 		return false
 	}
 	m, err := decoder.Member(id, e.Value)
 	if err != nil {
 		log().WithError(err).Warn("control: an entry is no member's and names none to use")
-		state.DropMember(i.now(), id)
+		state.MarkMissing(i.now(), id)
 		return false
 	}
 	m.Revision = e.Revision
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -256,8 +256,8 @@
 
 func byID(a, b Member) int { return strings.Compare(a.ID, b.ID) }
 
-// DropMember records that the entry of a member has vanished.
-func (s *State) DropMember(now time.Duration, id string) {
+// MarkMissing records that the entry of a member has vanished.
+func (s *State) MarkMissing(now time.Duration, id string) {
 	if _, known := s.current.members.Get(id); !known {
 		return
 	}
@@ -271,7 +271,7 @@
 func (s *State) KeepMembers(now time.Duration, present map[string]bool) {
 	for all := s.current.members.Iterator(); !all.Done(); {
 		if id, _, _ := all.Next(); !present[id] {
-			s.DropMember(now, id)
+			s.MarkMissing(now, id)
 		}
 	}
 }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -25,8 +25,8 @@
 	s := New(time.Second, 3*time.Second)
 	must.True(t, s.SetMember(0, Member{ID: "a", Group: "g"}, false))
 	must.False(t, s.SetMember(0, Member{ID: "a", Group: "g"}, false))
-	s.DropMember(time.Second, "a")
-	s.DropMember(1500*time.Millisecond, "a") // reported again: the first time counts
+	s.MarkMissing(time.Second, "a")
+	s.MarkMissing(1500*time.Millisecond, "a") // reported again: the first time counts
 	must.False(t, s.Expire(2*time.Second-1))
 	must.Len(t, 1, s.Snapshot().MembersOf("g"))
 	must.True(t, s.Expire(2*time.Second))
@@ -56,7 +56,7 @@
 	entry.Revision = 3
 	s.SetMember(4, entry, true)
 	must.Eq(t, 4, since(), must.Sprint("changes between listings are not reported"))
-	s.DropMember(5, "a")
+	s.MarkMissing(5, "a")
 	s.SetMember(6, entry, false)
 	must.Eq(t, 6, since(), must.Sprint("the entry had vanished"))
 }
