--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -209,7 +209,7 @@
 		}
 	}
 	if c.Whole {
-		state.KeepMembers(i.now(), present)
+		state.MarkMissingExcept(i.now(), present)
 	}
 	i.logMembers()
 	return changed
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -266,9 +266,9 @@
 	}
 }
 
-// KeepMembers records after a full listing of the store that the entries of all members but
+// MarkMissingExcept records after a full listing of the store that the entries of all members but
 // those present have vanished.
-func (s *State) KeepMembers(now time.Duration, present map[string]bool) {
+func (s *State) MarkMissingExcept(now time.Duration, present map[string]bool) {
 	for all := s.current.members.Iterator(); !all.Done(); {
 		if id, _, _ := all.Next(); !present[id] {
 			s.MarkMissing(now, id)
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -37,7 +37,7 @@
 	must.SliceEmpty(t, s.Snapshot().DepartedFrom("g"))
 
 	s.SetMember(3*time.Second, Member{ID: "b", Group: "g"}, false)
-	s.KeepMembers(3*time.Second, map[string]bool{})
+	s.MarkMissingExcept(3*time.Second, map[string]bool{})
 	must.True(t, s.SetMember(3*time.Second, Member{ID: "b", Group: "g"}, false), must.Sprint("its entry is back"))
 	must.False(t, s.Expire(time.Hour))
 }
