--- a/internal/feed/sources.go
+++ b/internal/feed/sources.go
@@ -131,7 +131,7 @@
 	for n, i := range instances {
 		ranked[n] = candidate{
 			Instance: i, class: int(math.Floor(math.Log(weights.Of(i)) / math.Log(classRatio))),
-			draw: weights.Draw(ownership.Score(watchKey, i.Name), i),
+			draw: weights.Apply(ownership.Score(watchKey, i.Name), i),
 		}
 	}
 	slices.SortFunc(ranked, func(a, b candidate) int {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -40,7 +40,7 @@
 		ranking = append(ranking, ranked{
 			name: i.Name,
 			near: g.DataCentre != "" && i.DataCentre == g.DataCentre,
-			draw: weights.Draw(Score(g.Name, i.Name), i),
+			draw: weights.Apply(Score(g.Name, i.Name), i),
 		})
 	}
 	slices.SortFunc(ranking, func(a, b ranked) int {
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -55,8 +55,8 @@
 	score    uint64
 }
 
-// Draw returns the weighted score of an instance with a given hash score.
-func (w Weights) Draw(score uint64, i Instance) Draw {
+// Apply returns the weighted score of an instance with a given hash score.
+func (w Weights) Apply(score uint64, i Instance) Draw {
 	if w.equal {
 		return Draw{score: score}
 	}
--- a/internal/ownership/weight_test.go
+++ b/internal/ownership/weight_test.go
@@ -65,7 +65,7 @@
 func TestWeightedScoreIsFinite(t *testing.T) {
 	w := Weigh(weighted(8))
 	for _, score := range []uint64{0, 1, math.MaxUint64, math.MaxUint64 - 1} {
-		d := w.Draw(score, Instance{Weight: 0.8})
+		d := w.Apply(score, Instance{Weight: 0.8})
 		must.False(t, math.IsInf(d.weighted, 0) || math.IsNaN(d.weighted))
 		must.Greater(t, 0, d.weighted)
 	}
@@ -77,14 +77,14 @@
 	for _, instances := range [][]Instance{fleetOf(40), weighted(40)} {
 		weights := Weigh(instances)
 		for n, other := range instances {
-			d := weights.Draw(Score("g", other.Name), other)
+			d := weights.Apply(Score("g", other.Name), other)
 			for _, i := range instances {
 				threshold := weights.Threshold(d, i)
 				if threshold > 0 {
-					must.Positive(t, weights.Draw(threshold-1, i).Compare(d), must.Sprint(n, i))
+					must.Positive(t, weights.Apply(threshold-1, i).Compare(d), must.Sprint(n, i))
 				}
 				if above := threshold + threshold>>20; above > threshold {
-					must.Negative(t, weights.Draw(above, i).Compare(d), must.Sprint(n, i))
+					must.Negative(t, weights.Apply(above, i).Compare(d), must.Sprint(n, i))
 				}
 			}
 		}
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -258,7 +258,7 @@
 
 // newCandidate returns the candidate for an instance with a given hash score.
 func (t *Table) newCandidate(score uint64, i *instance) candidate {
-	return candidate{instance: i, score: t.weights.Draw(score, i.Instance)}
+	return candidate{instance: i, score: t.weights.Apply(score, i.Instance)}
 }
 
 // resetLoads sets the group limit of each instance and its load to zero.
