--- a/internal/feed/sources.go
+++ b/internal/feed/sources.go
@@ -122,7 +122,7 @@
 type candidate struct {
 	ownership.Instance
 	class int // of its strength
-	draw  ownership.Draw
+	draw  ownership.WeightedScore
 }
 
 // rankWatchers returns instances in the order in which they are to watch the store.
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -32,7 +32,7 @@
 	type ranked struct {
 		name string
 		near bool
-		draw Draw
+		draw WeightedScore
 	}
 	weights := Weigh(instances)
 	ranking := make([]ranked, 0, len(instances))
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -49,23 +49,23 @@
 	return w.Least()
 }
 
-// Draw is the weighted score of an instance for a key. The greatest ranks first.
-type Draw struct {
+// WeightedScore is the weighted score of an instance for a key. The greatest ranks first.
+type WeightedScore struct {
 	weighted float64 // 0 where all weights are equal
 	score    uint64
 }
 
 // Apply returns the weighted score of an instance with a given hash score.
-func (w Weights) Apply(score uint64, i Instance) Draw {
+func (w Weights) Apply(score uint64, i Instance) WeightedScore {
 	if w.equal {
-		return Draw{score: score}
+		return WeightedScore{score: score}
 	}
-	return Draw{weighted: -w.Of(i) / math.Log(fraction(score)), score: score}
+	return WeightedScore{weighted: -w.Of(i) / math.Log(fraction(score)), score: score}
 }
 
 // Threshold returns a lower bound for the hash scores with which an instance can rank before d.
 // The caller need not compute the weighted score for a lower hash score.
-func (w Weights) Threshold(d Draw, i Instance) uint64 {
+func (w Weights) Threshold(d WeightedScore, i Instance) uint64 {
 	if w.equal {
 		return d.score
 	}
@@ -85,6 +85,6 @@
 }
 
 // Compare returns a negative number if d ranks before other.
-func (d Draw) Compare(other Draw) int {
+func (d WeightedScore) Compare(other WeightedScore) int {
 	return cmp.Or(cmp.Compare(other.weighted, d.weighted), cmp.Compare(other.score, d.score))
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -152,7 +152,7 @@
 // candidate is an instance with its weighted hash score for a group.
 type candidate struct {
 	*instance
-	score ownership.Draw
+	score ownership.WeightedScore
 }
 
 func byRank(a, b candidate) int {
