--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -167,7 +167,7 @@
 		LagRejected: now < up.lagUntil,
 		Position:    up.position,
 		Lag:         up.behind,
-		Growing:     up.growing,
+		LagGrowing:  up.growing,
 		Seen:        now - up.behindAt,
 		FailureRate: up.failing.Part(),
 		Load:        up.pool.Load(),
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -19,7 +19,7 @@
 	LagRejected     bool              // it rejected a read moments ago because its log did not hold the required position
 	Position        group.Position    // end of its log, as last reported
 	Lag             time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
-	Growing         bool              // the lag increased between the last two reports
+	LagGrowing      bool              // the lag increased between the last two reports
 	Seen            time.Duration     // age of the report that the lag comes from
 	Load            int               // requests of this instance that run at the member or wait for it
 	Slots           int               // of the member's slots, how many this instance may count on
--- a/internal/routing/wait.go
+++ b/internal/routing/wait.go
@@ -17,7 +17,7 @@
 		return false
 	}
 	for _, c := range order {
-		if c.Primary || !c.Usable || c.Lag < 0 || c.Growing || !c.Position.Less(required) || cost(c) > cost(order[0]) {
+		if c.Primary || !c.Usable || c.Lag < 0 || c.LagGrowing || !c.Position.Less(required) || cost(c) > cost(order[0]) {
 			continue
 		}
 		if c.Lag-age <= maxWait {
--- a/internal/routing/wait_test.go
+++ b/internal/routing/wait_test.go
@@ -27,7 +27,7 @@
 		"just in time":                       {[]Candidate{near}, true},
 		"one of two":                         {[]Candidate{with(func(c *Candidate) { c.Lag += time.Second }), near}, true},
 		"just too late":                      {[]Candidate{with(func(c *Candidate) { c.Lag++ })}, false},
-		"lag is growing":                     {[]Candidate{with(func(c *Candidate) { c.Growing = true })}, false},
+		"lag is growing":                     {[]Candidate{with(func(c *Candidate) { c.LagGrowing = true })}, false},
 		"does not answer":                    {[]Candidate{with(func(c *Candidate) { c.Usable = false })}, false},
 		"lag unknown":                        {[]Candidate{with(func(c *Candidate) { c.Lag = -1 })}, false},
 		"rejected for its lag":               {[]Candidate{with(func(c *Candidate) { c.LagRejected = true })}, false},
