--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -168,7 +168,7 @@
 		Position:    up.position,
 		Lag:         up.behind,
 		LagGrowing:  up.growing,
-		Seen:        now - up.behindAt,
+		LagAge:      now - up.behindAt,
 		FailureRate: up.failing.Part(),
 		Load:        up.pool.Load(),
 	}
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -20,7 +20,7 @@
 	Position        group.Position    // end of its log, as last reported
 	Lag             time.Duration     // replica lag: how long ago the primary's log ended at Position; negative: unknown
 	LagGrowing      bool              // the lag increased between the last two reports
-	Seen            time.Duration     // age of the report that the lag comes from
+	LagAge          time.Duration     // age of the report that the lag comes from
 	Load            int               // requests of this instance that run at the member or wait for it
 	Slots           int               // of the member's slots, how many this instance may count on
 	TypicalDuration time.Duration     // typical duration of such a read; 0: unknown
@@ -93,7 +93,7 @@
 		return 2
 	case c.Deprioritized:
 		return 1
-	case c.Primary || !c.Position.Less(required) || c.Lag < 0 || age >= c.Lag || c.Seen >= retryLaggingAfter:
+	case c.Primary || !c.Position.Less(required) || c.Lag < 0 || age >= c.Lag || c.LagAge >= retryLaggingAfter:
 		return 0
 	}
 	return 1
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -32,9 +32,9 @@
 		"a replica that should have caught up before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: age}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"a replica with an old lag report before the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: time.Hour, Seen: retryLaggingAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: time.Hour, LagAge: retryLaggingAfter}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"a lagging replica with a recent report after the primary": {
-			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: time.Hour, Seen: retryLaggingAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
+			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: time.Hour, LagAge: retryLaggingAfter - 1}, {ID: "p", Primary: true, Usable: true}}, []string{"p", "a"}},
 		"a replica with unknown lag before the primary": {
 			[]Candidate{{ID: "a", Usable: true, Position: at(4), Lag: -1}, {ID: "p", Primary: true, Usable: true}}, []string{"a", "p"}},
 		"no replica that rejected a read for its lag": {
@@ -136,7 +136,7 @@
 	told, tried, served := time.Duration(0), 0, 0
 	replica.Lag = lagging
 	for now := time.Duration(0); now < 2*lagging; now += interval {
-		replica.Seen = now - told
+		replica.LagAge = now - told
 		if Order([]Candidate{replica, primary}, at(5), age)[0].ID != "r" {
 			continue
 		}
