--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -165,10 +165,10 @@
 func (g *Group) route(v *view, p *progress, required group.Position, started, deadline time.Duration) routing.Decision {
 	now := g.opts.Now()
 	snapshot := &routing.View{
-		Members:  make([]routing.Member, 0, len(p.members)),
-		MaxWait:  g.opts.MaxWait,
-		Fallback: g.opts.Fallback,
-		OnPrim:   int(g.fallback.Load()),
+		Members:       make([]routing.Member, 0, len(p.members)),
+		MaxWait:       g.opts.MaxWait,
+		Fallback:      g.opts.Fallback,
+		FallbackReads: int(g.fallback.Load()),
 	}
 	for _, m := range p.members {
 		member := routing.Member{
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -27,10 +27,10 @@
 
 // View is a snapshot of a group.
 type View struct {
-	Members  []Member
-	MaxWait  time.Duration // longest wait for a replica to catch up
-	Fallback int           // how many reads may run on the primary at once because no replica can serve them
-	OnPrim   int           // how many reads run on the primary now for that reason
+	Members       []Member
+	MaxWait       time.Duration // longest wait for a replica to catch up
+	Fallback      int           // how many reads may run on the primary at once because no replica can serve them
+	FallbackReads int           // how many reads run on the primary now for that reason
 }
 
 // Choice is the action to take for a read.
@@ -47,7 +47,7 @@
 type Decision struct {
 	Choice   Choice
 	Member   string
-	Fallback bool // the primary serves because no replica can; the caller counts it in View.OnPrim
+	Fallback bool // the primary serves because no replica can; the caller counts it in View.FallbackReads
 	Reason   string
 }
 
@@ -73,7 +73,7 @@
 		return Decision{Choice: Wait, Reason: "a replica is about to catch up"}
 	}
 	primary := findPrimary(v)
-	if primary != nil && v.OnPrim < v.Fallback {
+	if primary != nil && v.FallbackReads < v.Fallback {
 		return Decision{Choice: Use, Member: primary.Name, Fallback: true, Reason: fallbackReason(catchingUp)}
 	}
 	if r.Left <= 0 || primary == nil && !catchingUp {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,9 +23,9 @@
 
 func drawView(t *rapid.T) *View {
 	v := &View{
-		MaxWait:  time.Duration(rapid.IntRange(0, 100).Draw(t, "maxWait")) * time.Millisecond,
-		Fallback: rapid.IntRange(0, 3).Draw(t, "fallback"),
-		OnPrim:   rapid.IntRange(0, 4).Draw(t, "onPrimary"),
+		MaxWait:       time.Duration(rapid.IntRange(0, 100).Draw(t, "maxWait")) * time.Millisecond,
+		Fallback:      rapid.IntRange(0, 3).Draw(t, "fallback"),
+		FallbackReads: rapid.IntRange(0, 4).Draw(t, "onPrimary"),
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "members") {
 		v.Members = append(v.Members, Member{
@@ -62,7 +62,7 @@
 			t.Fatalf("replica ready: %t, decision %+v", ready, d)
 		}
 		if d.Choice != Use {
-			if d.Choice == Wait && r.Left <= 0 && v.OnPrim >= v.Fallback {
+			if d.Choice == Wait && r.Left <= 0 && v.FallbackReads >= v.Fallback {
 				t.Fatalf("read waits beyond its deadline: %+v", d)
 			}
 			return
@@ -71,7 +71,7 @@
 		if !m.Healthy || !m.Primary && (m.Leaving || m.Position.Less(r.Required)) {
 			t.Fatalf("member %+v may not serve %+v", m, r)
 		}
-		if d.Fallback != m.Primary || d.Fallback && v.OnPrim >= v.Fallback {
+		if d.Fallback != m.Primary || d.Fallback && v.FallbackReads >= v.Fallback {
 			t.Fatalf("fallback beyond the limit or wrongly marked: %+v", d)
 		}
 	})
@@ -104,7 +104,7 @@
 		{"about to catch up", func(*View) {}, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
 		{"waited for the longest allowed time", func(*View) {}, Request{Required: at(10), Waited: 45 * time.Millisecond, Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
 		{"far behind", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
-		{"fallback limit reached", func(v *View) { v.Members[1].Lag, v.OnPrim = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
+		{"fallback limit reached", func(v *View) { v.Members[1].Lag, v.FallbackReads = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
 		{"position older than the lag", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 2 * time.Second, Left: time.Second}, Decision{Choice: Wait}},
 		{"about to catch up with an old position", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, Left: time.Second}, Decision{Choice: Wait}},
 		{"less loaded replica", func(v *View) { v.Members[1].InFlight = 3 }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Use, Member: "r2"}},
