--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -97,7 +97,7 @@
 	})
 	for _, c := range Place(groupsOf(40), Fleet{Alive: alive, Registered: 500}) {
 		must.Len(t, 6, c.Names)
-		must.Eq(t, PerMember, c.localCount["a"])
+		must.Eq(t, CarriersPerMember, c.localCount["a"])
 	}
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -43,9 +43,9 @@
 	// serve all of them. With more groups an instance would hold connections, and the
 	// resources they need, for more groups than its clients use.
 	maxGroupsOnAllInstances = 64
-	// PerMember is the number of carriers in the data centre of each member: if one fails,
+	// CarriersPerMember is the number of carriers in the data centre of each member: if one fails,
 	// the other serves.
-	PerMember = 2
+	CarriersPerMember = 2
 	// statementsPerSlot is how many statements may be at a member for each of its slots: one
 	// that runs, and one in transit or queued.
 	statementsPerSlot = 2
@@ -84,7 +84,7 @@
 func (g Group) maxCarriers() int {
 	limit := max(1, (g.MaxConnections-Reserved)/minCarrierPoolSize)
 	// Without a known member there is nothing to connect to, but an instance must lead the group.
-	return min(limit, PerMember*max(1, len(g.MemberDataCentres)))
+	return min(limit, CarriersPerMember*max(1, len(g.MemberDataCentres)))
 }
 
 // Place returns the carriers of each group, by group name. It places groups in order of their
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -41,7 +41,7 @@
 func withoutRegions(g Group, alive []ownership.Instance, most int) []string {
 	left := make(map[string]int)
 	for _, home := range g.MemberDataCentres {
-		left[home] += PerMember
+		left[home] += CarriersPerMember
 	}
 	var names, others []string
 	for _, name := range ownership.Rank(ownership.Group{Name: g.Name}, alive) {
@@ -80,7 +80,7 @@
 		})
 		for _, places := range []locality.Map{{}, one} {
 			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: places})[g.Name]
-			must.SliceEqOp(t, withoutRegions(g, alive, PerMember*len(g.MemberDataCentres)), c.Names)
+			must.SliceEqOp(t, withoutRegions(g, alive, CarriersPerMember*len(g.MemberDataCentres)), c.Names)
 			must.SliceEqOp(t, wanted, Order(alive, same, caller, preferred, places))
 		}
 	})
@@ -116,7 +116,7 @@
 		homes := []string{"a", "b", "d"}
 		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: homes}
 		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: twoRegions})[g.Name]
-		for region, wanted := range map[string]int{"x": 2 * PerMember, "y": PerMember} {
+		for region, wanted := range map[string]int{"x": 2 * CarriersPerMember, "y": CarriersPerMember} {
 			carriers, instances := 0, 0
 			for _, i := range alive {
 				if twoRegions.Region(i.DataCentre) == region {
@@ -128,7 +128,7 @@
 			}
 			must.GreaterEq(t, min(wanted, instances), carriers)
 		}
-		must.Len(t, min(len(alive), PerMember*len(homes)), c.Names)
+		must.Len(t, min(len(alive), CarriersPerMember*len(homes)), c.Names)
 		must.Len(t, len(c.Names), slices.Compact(slices.Sorted(slices.Values(c.Names))))
 	})
 }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -104,7 +104,7 @@
 		r.dataCentres = append(r.dataCentres, h)
 	}
 	for _, dataCentre := range g.MemberDataCentres {
-		r.findDataCentre(dataCentre).slots += PerMember
+		r.findDataCentre(dataCentre).slots += CarriersPerMember
 	}
 	return r
 }
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -155,7 +155,7 @@
 		}
 		applyFleet(table, reported, partly, Fleet{Alive: all, Registered: size})
 		for _, c := range reported {
-			must.LessEq(t, PerMember*max(1, known), len(c.Names))
+			must.LessEq(t, CarriersPerMember*max(1, known), len(c.Names))
 		}
 	}
 	lost := slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.DataCentre == "a" })
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		c := up.view(a.now())
-		c.Slots, c.TypicalDuration = m.Slots/placement.PerMember, usual
+		c.Slots, c.TypicalDuration = m.Slots/placement.CarriersPerMember, usual
 		if err == nil && m.ID == authority.Primary {
 			c.Primary = true
 		}
