--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -49,8 +49,8 @@
 	return m
 }
 
-// Several reports whether there is more than one region.
-func (m Map) Several() bool { return m.multiRegion }
+// MultiRegion reports whether there is more than one region.
+func (m Map) MultiRegion() bool { return m.multiRegion }
 
 // Region returns the region of a data centre, empty when unknown.
 func (m Map) Region(dataCentre string) string { return m.regions[dataCentre] }
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -30,7 +30,7 @@
 			must.Eq(t, c.want, c.places.Distance(c.to, c.from))
 		})
 	}
-	must.True(t, two.Several())
-	must.False(t, one.Several())
-	must.False(t, Map{}.Several())
+	must.True(t, two.MultiRegion())
+	must.False(t, one.MultiRegion())
+	must.False(t, Map{}.MultiRegion())
 }
