--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -64,14 +64,14 @@
 	return shares
 }
 
-// Turns decides for which reads a member is a candidate, so that these are evenly spaced. The
+// Sampler decides for which reads a member is a candidate, so that these are evenly spaced. The
 // zero value starts with a read for which it is one, unless its share is 0. It is not safe for
 // concurrent use.
-type Turns struct{ skipped float64 }
+type Sampler struct{ skipped float64 }
 
 // Next reports whether the member is a candidate for the next read, given the share of reads for
 // which it should be one.
-func (t *Turns) Next(share float64) bool {
+func (t *Sampler) Next(share float64) bool {
 	t.skipped += 1 - share
 	if t.skipped >= 1 {
 		t.skipped--
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestTurnsMatchShare(t *testing.T) {
-	var turns Turns
+	var turns Sampler
 	taken := 0
 	for range 1000 {
 		if turns.Next(0.3) {
@@ -63,7 +63,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	const choices, recoversAt = 3000, 2000
 	var members [3]Failing
-	var turns [3]Turns
+	var turns [3]Sampler
 	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
 	recovered := math.MaxInt
 	for n := range choices {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -34,14 +34,14 @@
 	carried  bool              // this instance is a carrier of the group, or none is known
 	health   member.Health
 	failing  outlier.Failing
-	turns    outlier.Turns  // of the choices in which the member takes part
-	position group.Position // end of its log, as its answers told
-	behind   time.Duration  // how long ago the primary was there; negative: not known
-	growing  bool           // that has become more since the answer before
-	behindAt time.Duration  // when that was told
-	lagUntil time.Duration  // before which a read that it could not serve is not tried again
-	lagged   int            // reads in a row that it could not serve
-	lagSince time.Duration  // when the first of them was
+	turns    outlier.Sampler // of the choices in which the member takes part
+	position group.Position  // end of its log, as its answers told
+	behind   time.Duration   // how long ago the primary was there; negative: not known
+	growing  bool            // that has become more since the answer before
+	behindAt time.Duration   // when that was told
+	lagUntil time.Duration   // before which a read that it could not serve is not tried again
+	lagged   int             // reads in a row that it could not serve
+	lagSince time.Duration   // when the first of them was
 	recent   tally
 	window   pacing.Window
 	room     pacing.Room // beyond share
