--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -33,11 +33,11 @@
 // Part returns the fraction that failed.
 func (f *Failing) Part() float64 { return f.rate }
 
-// Shares returns for each member the share of reads that it may be chosen for, from the failure
+// ReadShares returns for each member the share of reads that it may be chosen for, from the failure
 // rates of all members. The member with the lowest failure rate has share 1. At most half of
 // the members get less than 1, because failures that all members have in common are not their
 // fault: they come from a lossy network, or from statements that cannot succeed.
-func Shares(failureRates []float64) []float64 {
+func ReadShares(failureRates []float64) []float64 {
 	shares := make([]float64, len(failureRates))
 	order := make([]int, len(failureRates))
 	for n := range failureRates {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -23,7 +23,7 @@
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		failing := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 6).Draw(t, "failing")
-		shares := Shares(failing)
+		shares := ReadShares(failing)
 		less := 0
 		for n, share := range shares {
 			must.True(t, share >= minShare && share <= 1, must.Sprint(share))
@@ -36,14 +36,14 @@
 		}
 		must.LessEq(t, len(failing)/2, less)
 	})
-	must.SliceEmpty(t, Shares(nil))
+	must.SliceEmpty(t, ReadShares(nil))
 }
 
 // Failures that all members have in common do not reduce a share.
 func TestSharesOfEqualFailureRates(t *testing.T) {
-	must.Eq(t, []float64{1, 1, 1}, Shares([]float64{0, 0, 0}))
-	must.Eq(t, []float64{1, 1, 1}, Shares([]float64{0.4, 0.4, 0.4}))
-	must.Eq(t, []float64{1, 1}, Shares([]float64{1, 1}))
+	must.Eq(t, []float64{1, 1, 1}, ReadShares([]float64{0, 0, 0}))
+	must.Eq(t, []float64{1, 1, 1}, ReadShares([]float64{0.4, 0.4, 0.4}))
+	must.Eq(t, []float64{1, 1}, ReadShares([]float64{1, 1}))
 }
 
 func TestTurnsMatchShare(t *testing.T) {
@@ -67,7 +67,7 @@
 	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
 	recovered := math.MaxInt
 	for n := range choices {
-		shares := Shares([]float64{members[0].Part(), members[1].Part(), members[2].Part()})
+		shares := ReadShares([]float64{members[0].Part(), members[1].Part(), members[2].Part()})
 		for m := range members {
 			if !turns[m].Next(shares[m]) {
 				continue
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -92,7 +92,7 @@
 	for n, c := range candidates {
 		failing[n] = c.FailureRate
 	}
-	for n, share := range outlier.Shares(failing) {
+	for n, share := range outlier.ReadShares(failing) {
 		if up := r.upstreams.get(candidates[n].ID); up != nil {
 			candidates[n].Deprioritized = !up.takesPart(share)
 		}
