--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -24,8 +24,8 @@
 // value is a member without failures. It is not safe for concurrent use.
 type Failing struct{ rate float64 }
 
-// Answered records a request that the member answered.
-func (f *Failing) Answered() { f.rate -= f.rate / averageWindow }
+// RecordSuccess records a request that the member answered.
+func (f *Failing) RecordSuccess() { f.rate -= f.rate / averageWindow }
 
 // Failed records a request that the member did not answer or that failed because of the member.
 func (f *Failing) Failed() { f.rate += (1 - f.rate) / averageWindow }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -78,7 +78,7 @@
 			if m == 0 && n < recoversAt && random.IntN(100) < 45 {
 				members[m].Failed()
 			} else {
-				members[m].Answered()
+				members[m].RecordSuccess()
 			}
 		}
 		if n >= recoversAt && shares[0] > 0.9 {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -77,7 +77,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	up.health.Answered(now)
-	up.failing.Answered()
+	up.failing.RecordSuccess()
 	up.answered++
 	up.recent.answered++
 	up.recent.took += now - asked
