--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -27,8 +27,8 @@
 // RecordSuccess records a request that the member answered.
 func (f *Failing) RecordSuccess() { f.rate -= f.rate / averageWindow }
 
-// Failed records a request that the member did not answer or that failed because of the member.
-func (f *Failing) Failed() { f.rate += (1 - f.rate) / averageWindow }
+// RecordFailure records a request that the member did not answer or that failed because of the member.
+func (f *Failing) RecordFailure() { f.rate += (1 - f.rate) / averageWindow }
 
 // Part returns the fraction that failed.
 func (f *Failing) Part() float64 { return f.rate }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -76,7 +76,7 @@
 				sent[n >= recoversAt]++
 			}
 			if m == 0 && n < recoversAt && random.IntN(100) < 45 {
-				members[m].Failed()
+				members[m].RecordFailure()
 			} else {
 				members[m].RecordSuccess()
 			}
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -91,7 +91,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	up.health.Missed(now)
-	up.failing.Failed()
+	up.failing.RecordFailure()
 	up.recent.unheard++
 }
 
