--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -30,8 +30,8 @@
 // RecordFailure records a request that the member did not answer or that failed because of the member.
 func (f *Failing) RecordFailure() { f.rate += (1 - f.rate) / averageWindow }
 
-// Part returns the fraction that failed.
-func (f *Failing) Part() float64 { return f.rate }
+// Value returns the fraction that failed.
+func (f *Failing) Value() float64 { return f.rate }
 
 // ReadShares returns for each member the share of reads that it may be chosen for, from the failure
 // rates of all members. The member with the lowest failure rate has share 1. At most half of
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -67,7 +67,7 @@
 	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
 	recovered := math.MaxInt
 	for n := range choices {
-		shares := ReadShares([]float64{members[0].Part(), members[1].Part(), members[2].Part()})
+		shares := ReadShares([]float64{members[0].Value(), members[1].Value(), members[2].Value()})
 		for m := range members {
 			if !turns[m].Next(shares[m]) {
 				continue
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -169,7 +169,7 @@
 		Lag:         up.behind,
 		LagGrowing:  up.growing,
 		LagAge:      now - up.behindAt,
-		FailureRate: up.failing.Part(),
+		FailureRate: up.failing.Value(),
 		Load:        up.pool.Load(),
 	}
 }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -256,7 +256,7 @@
 	defer u.mu.Unlock()
 	for id, up := range u.members {
 		up.mu.Lock()
-		recent, behind, share, distance, failing, mayRun := up.recent, up.behind, up.window.Share(), up.distance, up.failing.Part(), up.mayRun
+		recent, behind, share, distance, failing, mayRun := up.recent, up.behind, up.window.Share(), up.distance, up.failing.Value(), up.mayRun
 		up.recent = tally{}
 		up.mu.Unlock()
 		if recent == (tally{}) {
