--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -20,18 +20,18 @@
 	minShare = 0.1
 )
 
-// Failing is a moving average of the fraction of requests to a member that failed. The zero
+// FailureRate is a moving average of the fraction of requests to a member that failed. The zero
 // value is a member without failures. It is not safe for concurrent use.
-type Failing struct{ rate float64 }
+type FailureRate struct{ rate float64 }
 
 // RecordSuccess records a request that the member answered.
-func (f *Failing) RecordSuccess() { f.rate -= f.rate / averageWindow }
+func (f *FailureRate) RecordSuccess() { f.rate -= f.rate / averageWindow }
 
 // RecordFailure records a request that the member did not answer or that failed because of the member.
-func (f *Failing) RecordFailure() { f.rate += (1 - f.rate) / averageWindow }
+func (f *FailureRate) RecordFailure() { f.rate += (1 - f.rate) / averageWindow }
 
 // Value returns the fraction that failed.
-func (f *Failing) Value() float64 { return f.rate }
+func (f *FailureRate) Value() float64 { return f.rate }
 
 // ReadShares returns for each member the share of reads that it may be chosen for, from the failure
 // rates of all members. The member with the lowest failure rate has share 1. At most half of
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -62,7 +62,7 @@
 func TestPartlyFailingMemberIsAvoidedAndRecovers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const choices, recoversAt = 3000, 2000
-	var members [3]Failing
+	var members [3]FailureRate
 	var turns [3]Sampler
 	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
 	recovered := math.MaxInt
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -33,7 +33,7 @@
 	answered uint64            // in all
 	carried  bool              // this instance is a carrier of the group, or none is known
 	health   member.Health
-	failing  outlier.Failing
+	failing  outlier.FailureRate
 	turns    outlier.Sampler // of the choices in which the member takes part
 	position group.Position  // end of its log, as its answers told
 	behind   time.Duration   // how long ago the primary was there; negative: not known
