--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -90,20 +90,20 @@
 	if b.Ahead <= 0 && b.Active < b.Slots {
 		return paused, true
 	}
-	ahead, slots, held := min(max(b.Ahead, 0), maxAhead), max(b.Slots, 1), bounded(b.MeanDuration)
+	ahead, slots, meanDuration := min(max(b.Ahead, 0), maxAhead), max(b.Slots, 1), bounded(b.MeanDuration)
 	work := bounded(b.Work)
 	slowdown := b.Slowdown
 	switch {
 	case slowdown > 0 && (work > 0 || ahead == 0):
 		slowdown = min(max(slowdown, 1), maxSlowdown)
-	case held > 0:
-		work, slowdown = time.Duration(ahead)*held, 1
+	case meanDuration > 0:
+		work, slowdown = time.Duration(ahead)*meanDuration, 1
 	default:
 		return 0, false
 	}
 	wait := time.Duration(float64(work) * slowdown / float64(slots))
 	if b.Active >= b.Slots {
-		wait += held / time.Duration(slots) // time until the next running request ends
+		wait += meanDuration / time.Duration(slots) // time until the next running request ends
 	}
 	return min(wait+paused, maxWait), true
 }
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -48,23 +48,23 @@
 }
 
 type probeKey struct {
-	group string
-	work  Target
+	group  string
+	target Target
 }
 
 // Update stores a carrier's forecast for a group, as waits in microseconds by priority. An
 // implausible forecast counts as no wait.
-func (o *WaitForecast) Update(now time.Duration, carrier, group string, primary, replica []uint32) {
+func (w *WaitForecast) Update(now time.Duration, carrier, group string, primary, replica []uint32) {
 	key := forecastKey{carrier, group}
 	if len(primary) == 0 && len(replica) == 0 || len(primary) > maxPriorities || len(replica) > maxPriorities {
-		delete(o.forecasts, key)
+		delete(w.forecasts, key)
 		return
 	}
 	f := forecast{at: now, waits: [NumTargets][]time.Duration{PrimaryOnly: decodeWaits(primary), ReplicaAllowed: decodeWaits(replica)}}
-	if o.forecasts == nil || len(o.forecasts) >= maxForecasts {
-		o.forecasts = make(map[forecastKey]forecast)
+	if w.forecasts == nil || len(w.forecasts) >= maxForecasts {
+		w.forecasts = make(map[forecastKey]forecast)
 	}
-	o.forecasts[key] = f
+	w.forecasts[key] = f
 }
 
 // decodeWaits converts waits from microseconds. It returns nil if one is implausibly long.
@@ -81,18 +81,18 @@
 }
 
 // Forget deletes the forecasts of a carrier that did not answer.
-func (o *WaitForecast) Forget(carrier string) {
-	for key := range o.forecasts {
+func (w *WaitForecast) Forget(carrier string) {
+	for key := range w.forecasts {
 		if key.carrier == carrier {
-			delete(o.forecasts, key)
+			delete(w.forecasts, key)
 		}
 	}
 }
 
 // wait returns how long a request would wait at a carrier now, and the age of the forecast. Both
 // are 0 without a forecast.
-func (o *WaitForecast) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
-	f, ok := o.forecasts[forecastKey{carrier, q.Group}]
+func (w *WaitForecast) wait(now time.Duration, carrier string, q Query) (wait, age time.Duration) {
+	f, ok := w.forecasts[forecastKey{carrier, q.Group}]
 	if !ok || now < f.at || q.Target < 0 || q.Target >= NumTargets {
 		return 0, 0
 	}
@@ -151,18 +151,18 @@
 
 // Choose returns the order in which to try the carriers, given in the order from placement. Without
 // forecasts it keeps that order.
-func (o *WaitForecast) Choose(now time.Duration, q Query, carriers []Carrier) Choice {
+func (w *WaitForecast) Choose(now time.Duration, q Query, carriers []Carrier) Choice {
 	carriers = carriers[:min(len(carriers), maxChoice)]
 	c := Choice{Len: len(carriers), Verdict: Verdict{Admit: true}}
 	var waits, ages [maxChoice]time.Duration
 	for i, carrier := range carriers {
-		waits[i], ages[i] = o.wait(now, carrier.Name, q)
+		waits[i], ages[i] = w.wait(now, carrier.Name, q)
 		if waits[i] <= max(0, q.Objective) {
 			c.order[c.Open] = i
 			c.Open++
 		}
 	}
-	o.preferShorter(carriers, waits[:], c.order[:c.Open])
+	w.preferShorter(carriers, waits[:], c.order[:c.Open])
 	shortest, next := -1, c.Open
 	for i := range carriers {
 		if waits[i] <= max(0, q.Objective) {
@@ -174,7 +174,7 @@
 			shortest = i
 		}
 	}
-	if c.Open == 0 && shortest >= 0 && !o.probe(now, q) {
+	if c.Open == 0 && shortest >= 0 && !w.probe(now, q) {
 		c.Verdict = Verdict{Wait: waits[shortest], Reason: AllCarriersReject, RetryAfter: RetryAfter(q.Request, waits[shortest], 0)}
 		c.Age = ages[shortest]
 	}
@@ -183,7 +183,7 @@
 
 // preferShorter swaps the first two carriers if placement prefers them equally and the second
 // one's wait is clearly shorter.
-func (o *WaitForecast) preferShorter(carriers []Carrier, waits []time.Duration, order []int) {
+func (w *WaitForecast) preferShorter(carriers []Carrier, waits []time.Duration, order []int) {
 	if len(order) < 2 || carriers[order[0]].Rank != carriers[order[1]].Rank {
 		return
 	}
@@ -194,15 +194,15 @@
 
 // probe reports whether a request is forwarded as a probe although all carriers are known to reject
 // it.
-func (o *WaitForecast) probe(now time.Duration, q Query) bool {
+func (w *WaitForecast) probe(now time.Duration, q Query) bool {
 	key := probeKey{q.Group, q.Target}
-	if last, ok := o.lastProbes[key]; ok && now >= last && now-last < probeInterval {
+	if last, ok := w.lastProbes[key]; ok && now >= last && now-last < probeInterval {
 		return false
 	}
-	if o.lastProbes == nil || len(o.lastProbes) >= maxForecasts {
-		o.lastProbes = make(map[probeKey]time.Duration)
+	if w.lastProbes == nil || len(w.lastProbes) >= maxForecasts {
+		w.lastProbes = make(map[probeKey]time.Duration)
 	}
-	o.lastProbes[key] = now
+	w.lastProbes[key] = now
 	return true
 }
 
--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -63,8 +63,8 @@
 // far is known.
 func remainingUnusual(lasted time.Duration) time.Duration { return min(2*lasted, maxWait) }
 
-// RemainingUnresponsive predicts for how much longer a member that has not answered for some time will not
-// answer.
+// RemainingUnresponsive predicts for how much longer a member that has not answered for some
+// time will not answer.
 func RemainingUnresponsive(lasted time.Duration) time.Duration {
 	return remainingUnusual(bounded(lasted))
 }
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -15,9 +15,9 @@
 func (fixedTimeout) onGrant(time.Duration, *attempt, time.Duration)                {}
 func (fixedTimeout) maxQueueTime(v *attempt) time.Duration                         { return v.kind.objective / 4 }
 
-// standingQueue is a policy that rejects requests while all requests of a priority have waited longer
-// than a part of their objective over an interval, like CoDel but on arrival. It can be combined
-// with another policy.
+// standingQueue is a policy that rejects requests while all requests of a priority have waited
+// longer than a part of their objective over an interval, like CoDel but on arrival. It can be
+// combined with another policy.
 type standingQueue struct {
 	also   policy
 	states map[int]*standingState
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -25,13 +25,14 @@
 type FailureRate struct{ rate float64 }
 
 // RecordSuccess records a request that the member answered.
-func (f *FailureRate) RecordSuccess() { f.rate -= f.rate / averageWindow }
+func (r *FailureRate) RecordSuccess() { r.rate -= r.rate / averageWindow }
 
-// RecordFailure records a request that the member did not answer or that failed because of the member.
-func (f *FailureRate) RecordFailure() { f.rate += (1 - f.rate) / averageWindow }
+// RecordFailure records a request that the member did not answer or that failed because of the
+// member.
+func (r *FailureRate) RecordFailure() { r.rate += (1 - r.rate) / averageWindow }
 
 // Value returns the fraction that failed.
-func (f *FailureRate) Value() float64 { return f.rate }
+func (r *FailureRate) Value() float64 { return r.rate }
 
 // ReadShares returns for each member the share of reads that it may be chosen for, from the failure
 // rates of all members. The member with the lowest failure rate has share 1. At most half of
@@ -71,10 +72,10 @@
 
 // Next reports whether the member is a candidate for the next read, given the share of reads for
 // which it should be one.
-func (t *Sampler) Next(share float64) bool {
-	t.skipped += 1 - share
-	if t.skipped >= 1 {
-		t.skipped--
+func (s *Sampler) Next(share float64) bool {
+	s.skipped += 1 - share
+	if s.skipped >= 1 {
+		s.skipped--
 		return false
 	}
 	return true
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -30,17 +30,17 @@
 // Rank returns the names of the instances in order of preference for owning the group.
 func Rank(g Group, instances []Instance) []string {
 	type ranked struct {
-		name string
-		near bool
-		draw WeightedScore
+		name  string
+		near  bool
+		score WeightedScore
 	}
 	weights := Weigh(instances)
 	ranking := make([]ranked, 0, len(instances))
 	for _, i := range instances {
 		ranking = append(ranking, ranked{
-			name: i.Name,
-			near: g.DataCentre != "" && i.DataCentre == g.DataCentre,
-			draw: weights.Apply(Score(g.Name, i.Name), i),
+			name:  i.Name,
+			near:  g.DataCentre != "" && i.DataCentre == g.DataCentre,
+			score: weights.Apply(Score(g.Name, i.Name), i),
 		})
 	}
 	slices.SortFunc(ranking, func(a, b ranked) int {
@@ -50,7 +50,7 @@
 		case a.near != b.near:
 			return 1
 		}
-		return cmp.Or(a.draw.Compare(b.draw), strings.Compare(a.name, b.name))
+		return cmp.Or(a.score.Compare(b.score), strings.Compare(a.name, b.name))
 	})
 	names := make([]string, len(ranking))
 	for i, r := range ranking {
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -85,6 +85,6 @@
 }
 
 // Compare returns a negative number if d ranks before other.
-func (d WeightedScore) Compare(other WeightedScore) int {
-	return cmp.Or(cmp.Compare(other.weighted, d.weighted), cmp.Compare(other.score, d.score))
+func (s WeightedScore) Compare(other WeightedScore) int {
+	return cmp.Or(cmp.Compare(other.weighted, s.weighted), cmp.Compare(other.score, s.score))
 }
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -22,11 +22,11 @@
 	megabitsPerStatement    = 12e-3 // in each direction
 )
 
-// StatementsPerSecond returns how many statements per second the instance can run as a carrier, limited by
-// processor or network link. It serves as a weight relative to other instances. The result
-// is 0 when the instance does not announce both.
-func (s Capacity) StatementsPerSecond() float64 {
-	weight := min(s.Cores/coreSecondsPerStatement, s.LinkMbps/megabitsPerStatement)
+// StatementsPerSecond returns how many statements per second the instance can run as a carrier,
+// limited by processor or network link. It serves as a weight relative to other instances. The
+// result is 0 when the instance does not announce both.
+func (c Capacity) StatementsPerSecond() float64 {
+	weight := min(c.Cores/coreSecondsPerStatement, c.LinkMbps/megabitsPerStatement)
 	if !(weight > 0 && weight <= maxStatementsPerSecond) {
 		return 0 // implausible: treat another instance's registration as if it announced nothing
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,16 +27,16 @@
 	return all
 }
 
-// place places a group in a fleet with a single region.
+// place regions a group in a fleet with a single region.
 func place(g Group, alive []ownership.Instance, registered int) Carriers {
 	return Place([]Group{g}, Fleet{Alive: alive, Registered: registered})[g.Name]
 }
 
 func TestCarrierCountAndConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		connections, registered, homes int
-		count, share                   int
-		everybody                      bool
+		connections, registered, memberDataCentres int
+		count, share                               int
+		allInstances                               bool
 	}{
 		"two connections per instance":                    {23, 9, 3, 9, 2, true},
 		"four connections per instance":                   {38, 8, 3, 8, 4, true},
@@ -50,14 +50,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := Group{Name: "g", MaxConnections: c.connections}
-			for i := range c.homes {
+			for i := range c.memberDataCentres {
 				g.MemberDataCentres = append(g.MemberDataCentres, fmt.Sprint(i))
 			}
 			got := place(g, fleet(c.registered/5+1, "0", "1", "2", "3", "4"), c.registered)
-			must.Eq(t, c.everybody, got.AllInstances)
+			must.Eq(t, c.allInstances, got.AllInstances)
 			must.Eq(t, c.share, got.ConnectionLimit("none", "0"))
 			must.Eq(t, c.count, got.count)
-			if !c.everybody {
+			if !c.allInstances {
 				must.Len(t, c.count, got.Names)
 			}
 			for member := range 3 {
@@ -92,8 +92,8 @@
 	must.Eq(t, 22, many.ConnectionLimit("a", "a"))
 	must.Eq(t, 5, many.ConnectionLimit("a", "b"), must.Sprint("half of the equal share: reads that arrive there need the primary while replicas lag"))
 	must.LessEq(t, 66-Reserved, 2*22+4*5)
-	everybody := place(Group{Name: "g", MaxConnections: 23, MemberDataCentres: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
-	must.Eq(t, 2, everybody.ConnectionLimit("a", "a"))
+	allInstances := place(Group{Name: "g", MaxConnections: 23, MemberDataCentres: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
+	must.Eq(t, 2, allInstances.ConnectionLimit("a", "a"))
 }
 
 // Each member has two carriers in its data centre, including members that share one. Carriers
@@ -136,8 +136,8 @@
 }
 
 func TestActiveLimitPerCarrier(t *testing.T) {
-	everybody := place(Group{Name: "g", MaxConnections: 23}, nil, 9)
-	must.Eq(t, 1, everybody.ActiveLimit(3, "a", "a"))
+	allInstances := place(Group{Name: "g", MaxConnections: 23}, nil, 9)
+	must.Eq(t, 1, allInstances.ActiveLimit(3, "a", "a"))
 	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).ActiveLimit(3, "a", "a"))
 	must.Eq(t, 6, place(Group{Name: "g", MaxConnections: 23}, nil, 1).ActiveLimit(3, "a", "a"))
 	must.Eq(t, 1, place(Group{Name: "g", MaxConnections: 23}, nil, 5).ActiveLimit(0, "a", "a"))
@@ -152,9 +152,9 @@
 func TestOrderPrefersNearCarriers(t *testing.T) {
 	carriers := fleet(2, "a", "b", "c")
 	same := func(i ownership.Instance) ownership.Instance { return i }
-	near := func(caller Origin, preferred string) []string {
+	near := func(origin Origin, preferred string) []string {
 		var dcs []string
-		for _, i := range Order(carriers, same, caller, preferred, locality.Map{})[:2] {
+		for _, i := range Order(carriers, same, origin, preferred, locality.Map{})[:2] {
 			dcs = append(dcs, i.DataCentre)
 		}
 		return dcs
@@ -263,8 +263,8 @@
 		}
 		var groups []Group
 		for n := range rapid.IntRange(1, 12).Draw(t, "groups") {
-			homes := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3).Draw(t, "homes")
-			groups = append(groups, Group{Name: fmt.Sprint("g", n), MaxConnections: rapid.IntRange(8, 140).Draw(t, "connections"), MemberDataCentres: homes})
+			memberDataCentres := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3).Draw(t, "memberDataCentres")
+			groups = append(groups, Group{Name: fmt.Sprint("g", n), MaxConnections: rapid.IntRange(8, 140).Draw(t, "connections"), MemberDataCentres: memberDataCentres})
 		}
 		placed := Place(groups, Fleet{Alive: alive, Registered: 1000})
 		for _, g := range groups {
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -16,31 +16,31 @@
 }
 
 // place returns the carriers of a group.
-func (c *placer) place(r *row) Carriers {
-	t, g := c.table, r.group
+func (p *placer) place(r *row) Carriers {
+	t, g := p.table, r.group
 	usable := g.MaxConnections - Reserved
 	if t.servedByAll(g) {
 		count := max(1, t.registered) // no instance is registered yet during startup
 		return Carriers{AllInstances: true, usableConnections: usable, count: count}
 	}
 	limit := g.maxCarriers()
-	c.chosen = c.chosen[:0]
+	p.chosen = p.chosen[:0]
 	for n := range r.dataCentres {
-		c.addLocal(r, &r.dataCentres[n])
+		p.addLocal(r, &r.dataCentres[n])
 	}
-	slices.SortFunc(c.chosen, byRank)
-	c.chosen = c.chosen[:min(limit, len(c.chosen))]
-	if len(c.chosen) < limit {
-		c.chosen = append(c.chosen, c.replacements(r, limit-len(c.chosen))...)
+	slices.SortFunc(p.chosen, byRank)
+	p.chosen = p.chosen[:min(limit, len(p.chosen))]
+	if len(p.chosen) < limit {
+		p.chosen = append(p.chosen, p.replacements(r, limit-len(p.chosen))...)
 	}
-	for _, i := range c.chosen {
+	for _, i := range p.chosen {
 		i.load++
 	}
-	if r.hasCarriers(c.chosen, usable, limit) {
+	if r.hasCarriers(p.chosen, usable, limit) {
 		return r.carriers
 	}
-	names, localCount := make([]string, len(c.chosen)), make(map[string]int, len(r.dataCentres))
-	for n, i := range c.chosen {
+	names, localCount := make([]string, len(p.chosen)), make(map[string]int, len(r.dataCentres))
+	for n, i := range p.chosen {
 		names[n] = i.Name
 		if r.hasMemberIn(i.DataCentre) {
 			localCount[i.DataCentre]++ // a replacement for a missing carrier may also be in a member's data centre
@@ -51,15 +51,15 @@
 
 // addLocal adds the highest-ranked instances of a member's data centre that are below their
 // group limit.
-func (c *placer) addLocal(r *row, h *memberDataCentre) {
+func (p *placer) addLocal(r *row, h *memberDataCentre) {
 	found := 0
 	for n := 0; found < h.slots; n++ {
-		i, ok := h.ranking.at(c.table, r.group.Name, n)
+		i, ok := h.ranking.at(p.table, r.group.Name, n)
 		if !ok {
 			return
 		}
 		if i.belowLimit() {
-			c.chosen = append(c.chosen, i)
+			p.chosen = append(p.chosen, i)
 			found++
 		}
 	}
@@ -68,15 +68,15 @@
 // replacements returns instances for the carrier slots that instances in the members' data
 // centres do not fill. Instances below their group limit come first, in particular those in
 // a region with unfilled slots; each class is in rank order.
-func (c *placer) replacements(r *row, missing int) []candidate {
-	open, openCount := c.unfilled(r)
-	used := make(map[string]bool, len(c.chosen))
-	for _, i := range c.chosen {
+func (p *placer) replacements(r *row, missing int) []candidate {
+	open, openCount := p.unfilled(r)
+	used := make(map[string]bool, len(p.chosen))
+	for _, i := range p.chosen {
 		used[i.Name] = true
 	}
 	var fillers, others, full []candidate
 	for n := 0; len(fillers) < missing && (openCount > 0 || len(fillers)+len(others) < missing); n++ {
-		i, ok := r.allInstances.at(c.table, r.group.Name, n)
+		i, ok := r.allInstances.at(p.table, r.group.Name, n)
 		if !ok {
 			break
 		}
@@ -84,7 +84,7 @@
 		case used[i.Name]:
 		case !i.belowLimit():
 			full = append(full, i)
-		case c.fillSlot(open, i):
+		case p.fillSlot(open, i):
 			fillers = append(fillers, i)
 			openCount--
 		default:
@@ -95,7 +95,7 @@
 	if len(found) < missing {
 		var rest []candidate
 		for _, i := range full {
-			if c.fillSlot(open, i) {
+			if p.fillSlot(open, i) {
 				found = append(found, i)
 			} else {
 				rest = append(rest, i)
@@ -114,12 +114,12 @@
 
 // unfilled returns the unfilled carrier slots and their total. It leaves out data centres whose
 // region has no instance.
-func (c *placer) unfilled(r *row) ([]unfilledSlots, int) {
+func (p *placer) unfilled(r *row) ([]unfilledSlots, int) {
 	var open []unfilledSlots
 	total := 0
 	for _, h := range r.dataCentres {
-		count := h.slots - countIn(c.chosen, h.dataCentre)
-		if count > 0 && c.table.regionHasInstance(h.dataCentre) {
+		count := h.slots - countIn(p.chosen, h.dataCentre)
+		if count > 0 && p.table.regionHasInstance(h.dataCentre) {
 			open = append(open, unfilledSlots{h.dataCentre, count})
 			total += count
 		}
@@ -129,9 +129,9 @@
 
 // fillSlot assigns an instance to an unfilled slot of its region, and reports whether there was
 // one.
-func (c *placer) fillSlot(open []unfilledSlots, i candidate) bool {
+func (p *placer) fillSlot(open []unfilledSlots, i candidate) bool {
 	for n := range open {
-		if open[n].count > 0 && c.table.regions.Distance(i.DataCentre, open[n].dataCentre) != locality.OtherRegion {
+		if open[n].count > 0 && p.table.regions.Distance(i.DataCentre, open[n].dataCentre) != locality.OtherRegion {
 			open[n].count--
 			return true
 		}
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -40,13 +40,13 @@
 // member, then others in rank order for the missing ones.
 func withoutRegions(g Group, alive []ownership.Instance, most int) []string {
 	left := make(map[string]int)
-	for _, home := range g.MemberDataCentres {
-		left[home] += CarriersPerMember
+	for _, dataCentre := range g.MemberDataCentres {
+		left[dataCentre] += CarriersPerMember
 	}
 	var names, others []string
 	for _, name := range ownership.Rank(ownership.Group{Name: g.Name}, alive) {
-		if home := name[:1]; left[home] > 0 && len(names) < most {
-			left[home]--
+		if dataCentre := name[:1]; left[dataCentre] > 0 && len(names) < most {
+			left[dataCentre]--
 			names = append(names, name)
 			continue
 		}
@@ -63,25 +63,25 @@
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: rapid.SliceOfN(dcs, 1, 3).Draw(t, "homes")}
-		preferred, caller := dcs.Draw(t, "preferred"), Origin{rapid.StringN(1, 8, -1).Draw(t, "caller"), dcs.Draw(t, "its data centre")}
+		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: rapid.SliceOfN(dcs, 1, 3).Draw(t, "memberDataCentres")}
+		preferred, origin := dcs.Draw(t, "preferred"), Origin{rapid.StringN(1, 8, -1).Draw(t, "origin"), dcs.Draw(t, "its data centre")}
 		near := func(i ownership.Instance) int {
 			switch i.DataCentre {
 			case preferred:
 				return 0
-			case caller.DataCentre:
+			case origin.DataCentre:
 				return 1
 			}
 			return 2
 		}
 		wanted := slices.Clone(alive)
 		slices.SortStableFunc(wanted, func(a, b ownership.Instance) int {
-			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(caller.HashKey, a.Name), ownership.Score(caller.HashKey, b.Name)))
+			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(origin.HashKey, a.Name), ownership.Score(origin.HashKey, b.Name)))
 		})
-		for _, places := range []locality.Map{{}, one} {
-			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: places})[g.Name]
+		for _, regions := range []locality.Map{{}, one} {
+			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: regions})[g.Name]
 			must.SliceEqOp(t, withoutRegions(g, alive, CarriersPerMember*len(g.MemberDataCentres)), c.Names)
-			must.SliceEqOp(t, wanted, Order(alive, same, caller, preferred, places))
+			must.SliceEqOp(t, wanted, Order(alive, same, origin, preferred, regions))
 		}
 	})
 }
@@ -95,14 +95,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		carriers := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		preferred, caller := dcs.Draw(t, "preferred"), Origin{"x", dcs.Draw(t, "caller")}
-		order := Order(carriers, same, caller, preferred, twoRegions)
+		preferred, origin := dcs.Draw(t, "preferred"), Origin{"x", dcs.Draw(t, "origin")}
+		order := Order(carriers, same, origin, preferred, twoRegions)
 		must.Len(t, len(carriers), order)
 		for i := 1; i < len(order); i++ {
 			before, after := order[i-1].DataCentre, order[i].DataCentre
 			must.LessEq(t, twoRegions.Distance(after, preferred), twoRegions.Distance(before, preferred))
 			if twoRegions.Distance(before, preferred) == twoRegions.Distance(after, preferred) {
-				must.LessEq(t, twoRegions.Distance(after, caller.DataCentre), twoRegions.Distance(before, caller.DataCentre))
+				must.LessEq(t, twoRegions.Distance(after, origin.DataCentre), twoRegions.Distance(before, origin.DataCentre))
 			}
 		}
 	})
@@ -113,8 +113,8 @@
 func TestRegionReplacesLostCarriers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
-		homes := []string{"a", "b", "d"}
-		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: homes}
+		memberDataCentres := []string{"a", "b", "d"}
+		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: memberDataCentres}
 		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: twoRegions})[g.Name]
 		for region, wanted := range map[string]int{"x": 2 * CarriersPerMember, "y": CarriersPerMember} {
 			carriers, instances := 0, 0
@@ -128,7 +128,7 @@
 			}
 			must.GreaterEq(t, min(wanted, instances), carriers)
 		}
-		must.Len(t, min(len(alive), CarriersPerMember*len(homes)), c.Names)
+		must.Len(t, min(len(alive), CarriersPerMember*len(memberDataCentres)), c.Names)
 		must.Len(t, len(c.Names), slices.Compact(slices.Sorted(slices.Values(c.Names))))
 	})
 }
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -172,11 +172,11 @@
 	}
 	for _, registered := range []int{20, 200, 1000} {
 		alive := unlike(1, registered/5-1, "a", "b", "c", "d", "e")
-		carried := 0
+		maxServed := 0
 		for _, n := range loads(Place(groups, Fleet{Alive: alive, Registered: registered})) {
-			carried = max(carried, n)
+			maxServed = max(maxServed, n)
 		}
-		must.Between(t, 1, carried, len(groups)-1)
+		must.Between(t, 1, maxServed, len(groups)-1)
 	}
 	must.True(t, Place(groups[:maxGroupsOnAllInstances], Fleet{Alive: unlike(1, 4, "a"), Registered: 5})[groups[0].Name].AllInstances)
 }
--- a/internal/routing/candidates.go
+++ b/internal/routing/candidates.go
@@ -67,7 +67,8 @@
 	return order
 }
 
-// ExtraRoundTrip returns the extra round trip time of a read at the member compared with a near member.
+// ExtraRoundTrip returns the extra round trip time of a read at the member compared with a near
+// member.
 func (c Candidate) ExtraRoundTrip() time.Duration {
 	if c.Distance == locality.OtherRegion {
 		return crossRegionRTT
@@ -75,9 +76,10 @@
 	return 0
 }
 
-// ImmediateCandidates returns the members of order at which a read should run immediately if they have a free
-// slot. Where a replica of this region should serve the read, members of other regions are left
-// out: the read briefly waits for a slot in its region before it goes to another one.
+// ImmediateCandidates returns the members of order at which a read should run immediately if
+// they have a free slot. Where a replica of this region should serve the read, members of other
+// regions are left out: the read briefly waits for a slot in its region before it goes to
+// another one.
 func ImmediateCandidates(order []Candidate, required group.Position, age time.Duration) []Candidate {
 	if len(order) == 0 || order[0].Primary || order[0].Distance == locality.OtherRegion || !order[0].Eligible(required, age) {
 		return order
