--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -7,10 +7,10 @@
 
 // Limits and intervals for the use of forecasts.
 const (
-	// clearlyLonger is by how much the wait at a carrier must exceed the wait at another for the
+	// minWaitAdvantage is by how much the wait at a carrier must exceed the wait at another for the
 	// order from placement to change. Connections belong to accounts, and opening one at another
 	// carrier costs the member about as much as a short statement.
-	clearlyLonger = 20 * time.Millisecond
+	minWaitAdvantage = 20 * time.Millisecond
 	// probeInterval is the time between requests that are forwarded although all carriers are known
 	// to reject them, to notice when this has changed.
 	probeInterval = 100 * time.Millisecond
@@ -187,7 +187,7 @@
 	if len(order) < 2 || carriers[order[0]].Rank != carriers[order[1]].Rank {
 		return
 	}
-	if waits[order[0]] > waits[order[1]]+clearlyLonger {
+	if waits[order[0]] > waits[order[1]]+minWaitAdvantage {
 		order[0], order[1] = order[1], order[0]
 	}
 }
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -21,7 +21,7 @@
 		open  int
 	}{
 		"no forecast": {func(*WaitForecast) {}, 0, []int{0, 1, 2}, 3},
-		"the first carrier while its wait is not clearly longer": {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, clearlyLonger), nil) }, 0, []int{0, 1, 2}, 3},
+		"the first carrier while its wait is not clearly longer": {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, minWaitAdvantage), nil) }, 0, []int{0, 1, 2}, 3},
 		"the shorter wait of two with equal rank":                {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
 		"no far carrier while a near one would admit": {func(o *WaitForecast) {
 			o.Update(0, "own", "g", us(0, 100*ms), nil)
