--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -124,7 +124,7 @@
 type candidate struct {
 	ownership.Instance
 	class int // of its capacity
-	score ownership.Draw
+	score ownership.WeightedScore
 }
 
 // rankWatchers returns instances in the order in which they become watchers.
@@ -133,7 +133,7 @@
 	for n, i := range instances {
 		ranked[n] = candidate{
 			Instance: i, class: int(math.Floor(math.Log(weights.Of(i)) / math.Log(capacityClassRatio))),
-			score: weights.Draw(ownership.Score(watchKey, i.Name), i),
+			score: weights.Apply(ownership.Score(watchKey, i.Name), i),
 		}
 	}
 	slices.SortFunc(ranked, func(a, b candidate) int {
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -209,7 +209,7 @@
 		}
 	}
 	if c.Snapshot {
-		state.KeepMembers(i.now(), present)
+		state.MarkMissingExcept(i.now(), present)
 	}
 	i.logMembers()
 	return changed
@@ -262,13 +262,13 @@
 	}
 	if e.Deleted {
 		log().WithField("member", id).Info("control: a member's entry was removed")
-		state.DropMember(i.now(), id)
+		state.MarkMissing(i.now(), id)
 		return false
 	}
 	m, err := decoder.Member(id, e.Value)
 	if err != nil {
 		log().WithError(err).Warn("control: ignoring an entry that is not a valid member entry")
-		state.DropMember(i.now(), id)
+		state.MarkMissing(i.now(), id)
 		return false
 	}
 	m.Revision = e.Revision
@@ -375,7 +375,7 @@
 
 func (s environment) InstancesServing(group string) []lead.Instance {
 	carriers := s.i.relay.CarriersOf(group)
-	if carriers.Everybody || len(carriers.Others) == 0 {
+	if carriers.AllInstances || len(carriers.Others) == 0 {
 		return s.i.view.Load().Registered(s.i.now())
 	}
 	return carriers.Others
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -72,7 +72,7 @@
 	Name          string
 	DataCentre    string
 	Localities    locality.Map // regions of the data centres
-	Capacity      placement.Strength
+	Capacity      placement.Capacity
 	ClientListen  string
 	PeerListen    string
 	PeerAddress   string // at which others reach the instance; empty: the address of the listener
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -45,11 +45,11 @@
 }
 
 // capacityOf returns the capacity of an instance; one in twenty is strong.
-func capacityOf(n int) placement.Strength {
+func capacityOf(n int) placement.Capacity {
 	if n%20 == 0 {
-		return placement.Strength{Cores: 1.6, LinkMbps: 1000}
+		return placement.Capacity{Cores: 1.6, LinkMbps: 1000}
 	}
-	return placement.Strength{Cores: 0.2, LinkMbps: 20}
+	return placement.Capacity{Cores: 0.2, LinkMbps: 20}
 }
 
 // apply applies updates and runs a tick of the controller.
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -18,15 +18,15 @@
 	}
 }
 
-// Whatever fails: the best member has all its share, at most half have less, each is tried,
-// and one that fails more gets no more.
+// For any failure rates: the best member has share 1, at most half of the members have less, every
+// member has at least the minimum, and a member that fails more never has a greater share.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		failing := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 6).Draw(t, "failing")
-		shares := Shares(failing)
+		shares := ReadShares(failing)
 		less := 0
 		for n, share := range shares {
-			must.True(t, share >= leastShare && share <= 1, must.Sprint(share))
+			must.True(t, share >= minShare && share <= 1, must.Sprint(share))
 			if share < 1 {
 				less++
 			}
@@ -36,18 +36,18 @@
 		}
 		must.LessEq(t, len(failing)/2, less)
 	})
-	must.SliceEmpty(t, Shares(nil))
+	must.SliceEmpty(t, ReadShares(nil))
 }
 
-// What all have in common changes nothing.
-func TestSharesOfEquals(t *testing.T) {
-	must.Eq(t, []float64{1, 1, 1}, Shares([]float64{0, 0, 0}))
-	must.Eq(t, []float64{1, 1, 1}, Shares([]float64{0.4, 0.4, 0.4}))
-	must.Eq(t, []float64{1, 1}, Shares([]float64{1, 1}))
+// Failures that all members have in common do not reduce a share.
+func TestSharesOfEqualFailureRates(t *testing.T) {
+	must.Eq(t, []float64{1, 1, 1}, ReadShares([]float64{0, 0, 0}))
+	must.Eq(t, []float64{1, 1, 1}, ReadShares([]float64{0.4, 0.4, 0.4}))
+	must.Eq(t, []float64{1, 1}, ReadShares([]float64{1, 1}))
 }
 
-func TestTurnsAreEven(t *testing.T) {
-	var turns Turns
+func TestTurnsMatchShare(t *testing.T) {
+	var turns Sampler
 	taken := 0
 	for range 1000 {
 		if turns.Next(0.3) {
@@ -57,36 +57,35 @@
 	must.InDelta(t, 300, float64(taken), 1)
 }
 
-// The failure: one of three members resets nearly half of what it is sent, between answers
-// that are well, and is well again later. Reads go to it less at once, and as before within
-// some dozens of trials.
-func TestMemberThatFailsPartOfItsWork(t *testing.T) {
+// One of three members resets nearly half of its requests, between successful replies, and recovers
+// later. Reads soon avoid it, and its share is restored within some dozens of requests to it.
+func TestPartlyFailingMemberIsAvoidedAndRecovers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	const choices, well = 3000, 2000
-	var members [3]Failing
-	var turns [3]Turns
-	sent := make(map[bool]int) // to the bad one, by whether it is well
-	back := math.MaxInt
+	const choices, recoversAt = 3000, 2000
+	var members [3]FailureRate
+	var turns [3]Sampler
+	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
+	recovered := math.MaxInt
 	for n := range choices {
-		shares := Shares([]float64{members[0].Part(), members[1].Part(), members[2].Part()})
+		shares := ReadShares([]float64{members[0].Value(), members[1].Value(), members[2].Value()})
 		for m := range members {
 			if !turns[m].Next(shares[m]) {
 				continue
 			}
 			if m == 0 {
-				sent[n >= well]++
+				sent[n >= recoversAt]++
 			}
-			if m == 0 && n < well && random.IntN(100) < 45 {
-				members[m].Failed()
+			if m == 0 && n < recoversAt && random.IntN(100) < 45 {
+				members[m].RecordFailure()
 			} else {
-				members[m].Answered()
+				members[m].RecordSuccess()
 			}
 		}
-		if n >= well && shares[0] > 0.9 {
-			back = min(back, n-well)
+		if n >= recoversAt && shares[0] > 0.9 {
+			recovered = min(recovered, n-recoversAt)
 		}
 	}
-	must.Less(t, well/4, sent[false])
-	must.Less(t, 400, back)
-	must.Greater(t, (choices-well)/2, sent[true])
+	must.Less(t, recoversAt/4, sent[false])
+	must.Less(t, 400, recovered)
+	must.Greater(t, (choices-recoversAt)/2, sent[true])
 }
--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -165,10 +165,10 @@
 func (g *Group) route(v *view, p *progress, required group.Position, started, deadline time.Duration) routing.Decision {
 	now := g.opts.Now()
 	snapshot := &routing.View{
-		Members:  make([]routing.Member, 0, len(p.members)),
-		MaxWait:  g.opts.MaxWait,
-		Fallback: g.opts.Fallback,
-		OnPrim:   int(g.fallback.Load()),
+		Members:       make([]routing.Member, 0, len(p.members)),
+		MaxWait:       g.opts.MaxWait,
+		Fallback:      g.opts.Fallback,
+		FallbackReads: int(g.fallback.Load()),
 	}
 	for _, m := range p.members {
 		member := routing.Member{
@@ -178,7 +178,7 @@
 			Leaving:  m.leaving,
 			Position: m.position,
 			Capacity: g.spec.Connections,
-			Behind:   m.behind,
+			Lag:      m.behind,
 		}
 		if pool := v.pools[m.name]; pool != nil {
 			member.InFlight = pool.InUse() + pool.Waiting()
--- a/internal/ownership/weight_test.go
+++ b/internal/ownership/weight_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// weighted returns instances of which one in four has four times the weight of the others.
+// weighted returns instances; every fourth has four times the weight of the others.
 func weighted(n int) []Instance {
 	instances := fleetOf(n)
 	for i := range instances {
@@ -21,7 +21,7 @@
 	return instances
 }
 
-// Instances come first as often as their weights say.
+// Instances rank first in proportion to their weights.
 func TestRankFollowsWeights(t *testing.T) {
 	instances := weighted(40)
 	const groups = 7000
@@ -32,17 +32,17 @@
 			strong++
 		}
 	}
-	must.InDelta(t, 4.0/7, float64(strong)/groups, 0.02) // 10 of 4 parts, 30 of one
+	must.InDelta(t, 4.0/7, float64(strong)/groups, 0.02) // 10 instances of weight 4, 30 of weight 1
 }
 
-// Weights that are alike, whatever they are, rank as none do.
-func TestWeightsThatAreAlikeChangeNothing(t *testing.T) {
+// Equal weights of any value give the same ranking as no weights.
+func TestEqualWeightsMatchNone(t *testing.T) {
 	plain, alike := fleetOf(50), fleetOf(50)
 	for i := range alike {
 		alike[i].Weight = 0.3
 	}
 	partly := slices.Clone(alike)
-	partly[7].Weight = 0 // one that does not tell counts as the others
+	partly[7].Weight = 0 // an unknown weight counts as the others' weight
 	for g := range 200 {
 		group := Group{Name: fmt.Sprint(g), DataCentre: "dc1"}
 		must.SliceEqOp(t, Rank(group, plain), Rank(group, alike))
@@ -50,8 +50,8 @@
 	}
 }
 
-// One that gets weaker loses some of its groups, and nobody else moves.
-func TestChangeOfWeightMovesOwnPartOnly(t *testing.T) {
+// An instance whose weight decreases loses some of its groups, and no other group moves.
+func TestWeightChangeMovesOnlyOwnGroups(t *testing.T) {
 	before := weighted(40)
 	after := slices.Clone(before)
 	after[8].Weight /= 4
@@ -62,28 +62,29 @@
 	}
 }
 
-func TestDrawIsFinite(t *testing.T) {
+func TestWeightedScoreIsFinite(t *testing.T) {
 	w := Weigh(weighted(8))
 	for _, score := range []uint64{0, 1, math.MaxUint64, math.MaxUint64 - 1} {
-		d := w.Draw(score, Instance{Weight: 0.8})
+		d := w.Apply(score, Instance{Weight: 0.8})
 		must.False(t, math.IsInf(d.weighted, 0) || math.IsNaN(d.weighted))
 		must.Greater(t, 0, d.weighted)
 	}
 }
 
-// Whoever scores below the threshold of a draw ranks after it, and not far above all rank before.
+// An instance with a hash score below the threshold ranks after d, and one slightly above it
+// ranks before d.
 func TestThreshold(t *testing.T) {
 	for _, instances := range [][]Instance{fleetOf(40), weighted(40)} {
 		weights := Weigh(instances)
 		for n, other := range instances {
-			d := weights.Draw(Score("g", other.Name), other)
+			d := weights.Apply(Score("g", other.Name), other)
 			for _, i := range instances {
 				threshold := weights.Threshold(d, i)
 				if threshold > 0 {
-					must.Positive(t, weights.Draw(threshold-1, i).Compare(d), must.Sprint(n, i))
+					must.Positive(t, weights.Apply(threshold-1, i).Compare(d), must.Sprint(n, i))
 				}
 				if above := threshold + threshold>>20; above > threshold {
-					must.Negative(t, weights.Draw(above, i).Compare(d), must.Sprint(n, i))
+					must.Negative(t, weights.Apply(above, i).Compare(d), must.Sprint(n, i))
 				}
 			}
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,43 +27,43 @@
 	return all
 }
 
-// place places a group in a fleet of one region.
+// place regions a group in a fleet with a single region.
 func place(g Group, alive []ownership.Instance, registered int) Carriers {
 	return Place([]Group{g}, Fleet{Alive: alive, Registered: registered})[g.Name]
 }
 
-func TestHowManyCarry(t *testing.T) {
+func TestCarrierCountAndConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		connections, registered, homes int
-		count, share                   int
-		everybody                      bool
+		connections, registered, memberDataCentres int
+		count, share                               int
+		allInstances                               bool
 	}{
-		"each can have two":                            {23, 9, 3, 9, 2, true},
-		"each can have four":                           {38, 8, 3, 8, 4, true},
-		"72 before 283":                                {283, 72, 3, 72, 3, true},
-		"none is known at the start":                   {23, 0, 3, 1, 21, true},
-		"two for each member":                          {53, 71, 3, 6, 8, false},
-		"295 before 131":                               {131, 295, 3, 6, 21, false},
-		"members are not known yet":                    {53, 71, 0, 2, 25, false},
-		"fewer than two each, for want of connections": {25, 550, 3, 5, 4, false},
-		"hardly any connections":                       {2, 550, 3, 1, 1, false},
+		"two connections per instance":                    {23, 9, 3, 9, 2, true},
+		"four connections per instance":                   {38, 8, 3, 8, 4, true},
+		"72 instances, 283 connections":                   {283, 72, 3, 72, 3, true},
+		"no instance registered yet":                      {23, 0, 3, 1, 21, true},
+		"two carriers per member":                         {53, 71, 3, 6, 8, false},
+		"295 instances, 131 connections":                  {131, 295, 3, 6, 21, false},
+		"no known members":                                {53, 71, 0, 2, 25, false},
+		"too few connections for two carriers per member": {25, 550, 3, 5, 4, false},
+		"hardly any connections":                          {2, 550, 3, 1, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := Group{Name: "g", MaxConnections: c.connections}
-			for i := range c.homes {
-				g.Homes = append(g.Homes, fmt.Sprint(i))
+			for i := range c.memberDataCentres {
+				g.MemberDataCentres = append(g.MemberDataCentres, fmt.Sprint(i))
 			}
 			got := place(g, fleet(c.registered/5+1, "0", "1", "2", "3", "4"), c.registered)
-			must.Eq(t, c.everybody, got.Everybody)
-			must.Eq(t, c.share, got.Connections("none", "0"))
+			must.Eq(t, c.allInstances, got.AllInstances)
+			must.Eq(t, c.share, got.ConnectionLimit("none", "0"))
 			must.Eq(t, c.count, got.count)
-			if !c.everybody {
+			if !c.allInstances {
 				must.Len(t, c.count, got.Names)
 			}
 			for member := range 3 {
 				all := 0
 				for self := range 5 {
-					all += got.Connections(fmt.Sprint(member), fmt.Sprint(self)) * carriersIn(got, fmt.Sprint(self))
+					all += got.ConnectionLimit(fmt.Sprint(member), fmt.Sprint(self)) * carriersIn(got, fmt.Sprint(self))
 				}
 				must.LessEq(t, max(c.connections-Reserved, 1), all)
 			}
@@ -82,23 +82,23 @@
 	return n
 }
 
-// The carriers near a member have most of its connections.
+// Carriers near a member get most of its connections.
 func TestNearCarriersHaveMoreConnections(t *testing.T) {
-	c := place(Group{Name: "g", MaxConnections: 29, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 71)
-	must.Eq(t, 9, c.Connections("a", "a"))
-	must.Eq(t, 2, c.Connections("a", "b"))
+	c := place(Group{Name: "g", MaxConnections: 29, MemberDataCentres: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 71)
+	must.Eq(t, 9, c.ConnectionLimit("a", "a"))
+	must.Eq(t, 2, c.ConnectionLimit("a", "b"))
 	must.LessEq(t, 29-Reserved, 2*9+4*2)
-	many := place(Group{Name: "g", MaxConnections: 66, Homes: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 83)
-	must.Eq(t, 22, many.Connections("a", "a"))
-	must.Eq(t, 5, many.Connections("a", "b"), must.Sprint("half of an equal share: its callers' reads need the primary while replicas lag"))
+	many := place(Group{Name: "g", MaxConnections: 66, MemberDataCentres: []string{"a", "b", "c"}}, fleet(24, "a", "b", "c"), 83)
+	must.Eq(t, 22, many.ConnectionLimit("a", "a"))
+	must.Eq(t, 5, many.ConnectionLimit("a", "b"), must.Sprint("half of the equal share: reads that arrive there need the primary while replicas lag"))
 	must.LessEq(t, 66-Reserved, 2*22+4*5)
-	everybody := place(Group{Name: "g", MaxConnections: 23, Homes: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
-	must.Eq(t, 2, everybody.Connections("a", "a"))
+	allInstances := place(Group{Name: "g", MaxConnections: 23, MemberDataCentres: []string{"a", "b", "c"}}, fleet(3, "a", "b", "c"), 9)
+	must.Eq(t, 2, allInstances.ConnectionLimit("a", "a"))
 }
 
-// Carriers stand two by two in the data centres of the members, also where two members
-// share one; a data centre without instances is made up for by others.
-func TestCarriersAreNearTheMembers(t *testing.T) {
+// Each member has two carriers in its data centre, including members that share one. Carriers
+// elsewhere replace those of a data centre without instances.
+func TestCarriersAreInMemberDataCentres(t *testing.T) {
 	count := func(c Carriers) map[string]int {
 		in := make(map[string]int)
 		for _, name := range c.Names {
@@ -107,18 +107,18 @@
 		return in
 	}
 	all := fleet(50, "a", "b", "c", "d", "e")
-	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2}, count(place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, all, 250)))
-	must.Eq(t, map[string]int{"a": 4, "b": 2}, count(place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "a", "b"}}, all, 250)))
+	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2}, count(place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, all, 250)))
+	must.Eq(t, map[string]int{"a": 4, "b": 2}, count(place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "a", "b"}}, all, 250)))
 	gone := slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.DataCentre == "a" })
-	c := place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, gone, 250)
+	c := place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, gone, 250)
 	must.Len(t, 6, c.Names)
 	must.Greater(t, 1, count(c)["b"])
 }
 
-// One instance more or less moves only its own places.
-func TestPlacementIsStable(t *testing.T) {
+// Losing one instance only replaces that instance.
+func TestLosingAnInstanceReplacesOnlyIt(t *testing.T) {
 	all := fleet(50, "a", "b", "c", "d", "e")
-	g := Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}
+	g := Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}
 	before := place(g, all, 250).Names
 	without := place(g, slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.Name == before[0] }), 249).Names
 	kept := 0
@@ -135,46 +135,46 @@
 	must.False(t, ok)
 }
 
-func TestActive(t *testing.T) {
-	everybody := place(Group{Name: "g", MaxConnections: 23}, nil, 9)
-	must.Eq(t, 1, everybody.Active(3, "a", "a"))
-	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).Active(3, "a", "a"))
-	must.Eq(t, 6, place(Group{Name: "g", MaxConnections: 23}, nil, 1).Active(3, "a", "a"))
-	must.Eq(t, 1, place(Group{Name: "g", MaxConnections: 23}, nil, 5).Active(0, "a", "a"))
-	few := place(Group{Name: "g", MaxConnections: 131, Homes: []string{"a", "b", "c"}}, fleet(50, "a", "b", "c", "d"), 200)
-	must.Eq(t, 3, few.Active(3, "a", "a"), must.Sprint("two near carriers share the member"))
-	must.Eq(t, 1, few.Active(3, "a", "b"))
-	must.Eq(t, 1, few.Active(3, "d", "d"), must.Sprint("no carrier stands there"))
+func TestActiveLimitPerCarrier(t *testing.T) {
+	allInstances := place(Group{Name: "g", MaxConnections: 23}, nil, 9)
+	must.Eq(t, 1, allInstances.ActiveLimit(3, "a", "a"))
+	must.Eq(t, 2, place(Group{Name: "g", MaxConnections: 23}, nil, 3).ActiveLimit(3, "a", "a"))
+	must.Eq(t, 6, place(Group{Name: "g", MaxConnections: 23}, nil, 1).ActiveLimit(3, "a", "a"))
+	must.Eq(t, 1, place(Group{Name: "g", MaxConnections: 23}, nil, 5).ActiveLimit(0, "a", "a"))
+	few := place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, fleet(50, "a", "b", "c", "d"), 200)
+	must.Eq(t, 3, few.ActiveLimit(3, "a", "a"), must.Sprint("two near carriers share the member"))
+	must.Eq(t, 1, few.ActiveLimit(3, "a", "b"))
+	must.Eq(t, 1, few.ActiveLimit(3, "d", "d"), must.Sprint("there is no carrier near the member"))
 }
 
-// A statement crosses once: the one that needs the primary goes to the primary's data
-// centre, others stay in the entry's where a carrier is there.
-func TestOrderOfCarriers(t *testing.T) {
+// A statement is forwarded between data centres at most once: one that needs the primary goes to
+// the primary's data centre, others stay in their own where it has a carrier.
+func TestOrderPrefersNearCarriers(t *testing.T) {
 	carriers := fleet(2, "a", "b", "c")
 	same := func(i ownership.Instance) ownership.Instance { return i }
-	near := func(caller Caller, preferred string) []string {
+	near := func(origin Origin, preferred string) []string {
 		var dcs []string
-		for _, i := range Order(carriers, same, caller, preferred, locality.Map{})[:2] {
+		for _, i := range Order(carriers, same, origin, preferred, locality.Map{})[:2] {
 			dcs = append(dcs, i.DataCentre)
 		}
 		return dcs
 	}
-	must.Eq(t, []string{"b", "b"}, near(Caller{"x", "a"}, "b"))
-	must.Eq(t, []string{"a", "a"}, near(Caller{"x", "a"}, "a"))
-	must.Eq(t, []string{"a", "a"}, near(Caller{"x", "a"}, "d"))
+	must.Eq(t, []string{"b", "b"}, near(Origin{"x", "a"}, "b"))
+	must.Eq(t, []string{"a", "a"}, near(Origin{"x", "a"}, "a"))
+	must.Eq(t, []string{"a", "a"}, near(Origin{"x", "a"}, "d"))
 	first := make(map[string]int)
 	for i := range 300 {
-		first[Order(carriers, same, Caller{fmt.Sprint(i), "d"}, "d", locality.Map{})[0].Name]++
+		first[Order(carriers, same, Origin{fmt.Sprint(i), "d"}, "d", locality.Map{})[0].Name]++
 	}
 	for _, i := range carriers {
-		must.Greater(t, 25, first[i.Name], must.Sprint("the callers of a data centre without members share all carriers"))
+		must.Greater(t, 25, first[i.Name], must.Sprint("origins in a data centre without members use all carriers"))
 	}
 }
 
-// full drives one member of 3 slots with half more than it can run, through some carriers
-// that have so many statements there at the most. It returns which part of the urgent
-// statements, a sixth of all, is answered within 150 ms.
-func full(carriers, active int) float64 {
+// urgentInTime simulates a member of 3 slots that receives 1.5 times the load it can run, through
+// some carriers with a limit of concurrent statements each. It returns the fraction of urgent
+// statements, a sixth of all, that are answered within 150 ms.
+func urgentInTime(carriers, active int) float64 {
 	const (
 		slots, work   = 3, 18 * time.Millisecond
 		arrivals      = 3000
@@ -239,20 +239,19 @@
 	return float64(inTime) / float64(all)
 }
 
-// The load: a member has half more work than it can run, as a primary whose replicas lag.
-// From 32 instances up to 29 statements wait there, and an urgent one behind them;
-// from 6 it waits behind 5.
-func TestUrgentStatementsPassAFullMember(t *testing.T) {
-	many, few := full(32, 1), full(6, 1)
+// A member receives 1.5 times the load that it can run, like a primary whose replicas lag. With
+// 32 carriers up to 29 statements queue at the member, and an urgent statement behind them; with
+// 6 carriers it queues behind 5.
+func TestFewCarriersKeepUrgentStatementsFast(t *testing.T) {
+	many, few := urgentInTime(32, 1), urgentInTime(6, 1)
 	t.Logf("urgent statements in time: %.2f through 32 instances, %.2f through 6", many, few)
 	must.Less(t, 0.7, many)
 	must.Greater(t, 0.95, few)
 }
 
-// Whoever the carriers of a group are, in data centres that have few instances or none, and
-// with instances that are unlike: together they use no more connections to a member than it
-// takes.
-func TestCarriersShareAMembersConnections(t *testing.T) {
+// The carriers of a group together never use more connections to a member than it accepts, also
+// with few or no instances in a data centre and with instances of different capacity.
+func TestCarriersStayWithinMaxConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var alive []ownership.Instance
 		centres := make(map[string]string)
@@ -264,15 +263,15 @@
 		}
 		var groups []Group
 		for n := range rapid.IntRange(1, 12).Draw(t, "groups") {
-			homes := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3).Draw(t, "homes")
-			groups = append(groups, Group{Name: fmt.Sprint("g", n), MaxConnections: rapid.IntRange(8, 140).Draw(t, "connections"), Homes: homes})
+			memberDataCentres := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3).Draw(t, "memberDataCentres")
+			groups = append(groups, Group{Name: fmt.Sprint("g", n), MaxConnections: rapid.IntRange(8, 140).Draw(t, "connections"), MemberDataCentres: memberDataCentres})
 		}
 		placed := Place(groups, Fleet{Alive: alive, Registered: 1000})
 		for _, g := range groups {
-			for _, home := range g.Homes {
+			for _, home := range g.MemberDataCentres {
 				used := 0
 				for _, name := range placed[g.Name].Names {
-					used += placed[g.Name].Connections(home, centres[name])
+					used += placed[g.Name].ConnectionLimit(home, centres[name])
 				}
 				if used > g.MaxConnections-Reserved {
 					t.Fatalf("group %+v: %v use %d connections to the member in %s", g, placed[g.Name].Names, used, home)
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -4,39 +4,39 @@
 	"slices"
 )
 
-// spareRanks is how many instances a ranking keeps beyond the places of its data centre: those
-// that take over when some of them leave or have no room.
+// spareRanks is how many instances a ranking keeps beyond the carrier slots of its data centre.
+// They take over when others leave or reach their group limit.
 const spareRanks = 6
 
-// ranking is the first in rank for one group of the instances of a data centre, or of all. It follows
-// the instances that come and go, so that one of them costs each group one comparison; only
-// a ranking that has run short is drawn anew.
+// ranking holds the highest-ranked instances for one group, of one data centre or of all. It is
+// updated as instances join and leave, at the cost of one comparison per instance and group; it
+// is recomputed only when it has run out of instances.
 type ranking struct {
-	dataCentre string // empty: all
-	keeps      int    // instances at the most; 0: nothing is ranked yet
-	first      []candidate
-	whole      bool // first holds every instance that the ranking covers
+	dataCentre string // empty: all data centres
+	limit      int    // maximum length of top; 0: not computed yet
+	top        []candidate
+	complete   bool // top holds every instance that the ranking covers
 }
 
-// covers reports whether an instance takes part.
+// covers reports whether the ranking includes instances of i's data centre.
 func (r *ranking) covers(i *instance) bool { return r.dataCentre == "" || r.dataCentre == i.DataCentre }
 
-// at returns the nth instance in rank, false when there are fewer.
+// at returns the instance of rank n, counted from 0, and false when there are fewer.
 func (r *ranking) at(t *Table, group string, n int) (candidate, bool) {
-	for n >= len(r.first) {
-		if r.whole {
+	for n >= len(r.top) {
+		if r.complete {
 			return candidate{}, false
 		}
-		r.keeps = max(n+spareRanks, 2*r.keeps)
+		r.limit = max(n+spareRanks, 2*r.limit)
 		r.fill(t, group)
 	}
-	return r.first[n], true
+	return r.top[n], true
 }
 
-// fill draws for all instances that the ranking covers.
+// fill recomputes the ranking from all instances that it covers.
 func (r *ranking) fill(t *Table, group string) {
-	r.first = r.first[:0]
-	count, bars := 0, make(map[float64]uint64) // least scores that still matter, by weight
+	r.top = r.top[:0]
+	count, thresholds := 0, make(map[float64]uint64) // lowest scores that can still enter the ranking, by weight
 	for dataCentre, instances := range t.byDataCentre {
 		if r.dataCentre != "" && r.dataCentre != dataCentre {
 			continue
@@ -44,52 +44,53 @@
 		count += len(instances)
 		for _, i := range instances {
 			score := t.score(group, i)
-			if score < bars[i.Weight] {
+			if score < thresholds[i.Weight] {
 				continue
 			}
-			if r.insert(t.draw(score, i)) && len(r.first) == r.keeps {
-				r.raise(t, bars)
+			if r.insert(t.newCandidate(score, i)) && len(r.top) == r.limit {
+				r.raiseThresholds(t, thresholds)
 			}
 		}
 	}
-	r.whole = len(r.first) == count
+	r.complete = len(r.top) == count
 }
 
-// raise sets the bars to the last that is kept: most instances are passed over by their scores
-// alone.
-func (r *ranking) raise(t *Table, bars map[float64]uint64) {
-	last := r.first[len(r.first)-1].draw
-	for _, i := range t.kinds {
-		bars[i.Weight] = t.weights.Threshold(last, i)
+// raiseThresholds sets the thresholds from the last instance in the ranking. Most instances are
+// then skipped by their score, without computing the weighted score.
+func (r *ranking) raiseThresholds(t *Table, thresholds map[float64]uint64) {
+	last := r.top[len(r.top)-1].score
+	for _, i := range t.weightClasses {
+		thresholds[i.Weight] = t.weights.Threshold(last, i)
 	}
 }
 
-// insert takes in an instance unless enough others rank before it, and reports whether it did.
+// insert adds an instance unless the ranking is full of better ones, and reports whether it did.
 func (r *ranking) insert(c candidate) bool {
-	if len(r.first) == r.keeps && byRank(c, r.first[len(r.first)-1]) > 0 {
+	if len(r.top) == r.limit && byRank(c, r.top[len(r.top)-1]) > 0 {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.first, c, byRank)
-	r.first = slices.Insert(r.first, at, c)
-	r.first = r.first[:min(r.keeps, len(r.first))]
+	at, _ := slices.BinarySearchFunc(r.top, c, byRank)
+	r.top = slices.Insert(r.top, at, c)
+	r.top = r.top[:min(r.limit, len(r.top))]
 	return true
 }
 
-// join takes in an instance that has come. Of those behind the last that is kept nothing is
-// known, unless the ranking is whole.
+// join adds an instance that has joined the fleet. Unless the ranking is complete, it does not
+// know the instances that rank after its last one, so a new instance that would come last is
+// left out.
 func (r *ranking) join(c candidate) {
-	if !r.whole && (len(r.first) == 0 || byRank(c, r.first[len(r.first)-1]) > 0) {
+	if !r.complete && (len(r.top) == 0 || byRank(c, r.top[len(r.top)-1]) > 0) {
 		return
 	}
-	before := len(r.first)
+	before := len(r.top)
 	r.insert(c)
-	r.whole = r.whole && len(r.first) > before
+	r.complete = r.complete && len(r.top) > before
 }
 
-// leave drops the instances that have gone.
-func (r *ranking) leave() {
-	r.first = slices.DeleteFunc(r.first, func(c candidate) bool { return c.gone })
+// removeGone removes the instances that have left the fleet.
+func (r *ranking) removeGone() {
+	r.top = slices.DeleteFunc(r.top, func(c candidate) bool { return c.gone })
 }
 
-// clear forgets the ranking.
-func (r *ranking) clear() { r.first, r.whole, r.keeps = nil, false, 0 }
+// clear marks the ranking as not computed.
+func (r *ranking) clear() { r.top, r.complete, r.limit = nil, false, 0 }
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -22,10 +22,10 @@
 	}
 }
 
-// twoRegions has three data centres in each of two regions.
+// twoRegions has two regions with three data centres each.
 var twoRegions = locality.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "y", "e": "y", "f": "y"})
 
-// drawFleet returns instances in some data centres.
+// drawFleet draws up to six instances in each of six data centres.
 func drawFleet(t *rapid.T) []ownership.Instance {
 	var all []ownership.Instance
 	for _, dc := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -36,17 +36,17 @@
 	return all
 }
 
-// withoutRegions is the choice of carriers as it is where no data centre is farther away
-// than another: two near each member, in rank, and others in rank where some are missing.
+// withoutRegions chooses carriers without regard to regions: the highest-ranked instances near each
+// member, then others in rank order for the missing ones.
 func withoutRegions(g Group, alive []ownership.Instance, most int) []string {
 	left := make(map[string]int)
-	for _, home := range g.Homes {
-		left[home] += PerMember
+	for _, dataCentre := range g.MemberDataCentres {
+		left[dataCentre] += CarriersPerMember
 	}
 	var names, others []string
 	for _, name := range ownership.Rank(ownership.Group{Name: g.Name}, alive) {
-		if home := name[:1]; left[home] > 0 && len(names) < most {
-			left[home]--
+		if dataCentre := name[:1]; left[dataCentre] > 0 && len(names) < most {
+			left[dataCentre]--
 			names = append(names, name)
 			continue
 		}
@@ -55,67 +55,68 @@
 	return append(names, others[:min(most-len(names), len(others))]...)
 }
 
-// A fleet whose settings name one region, or none, has the same carriers, in the same
-// order, as one that knows nothing of regions.
-func TestOneRegionChangesNothing(t *testing.T) {
+// Without regions, or with a single one, the carriers and their order are the same as those
+// computed without regard to regions.
+func TestSingleRegionMatchesNoRegions(t *testing.T) {
 	one := locality.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x", "e": "x", "f": "x"})
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, Homes: rapid.SliceOfN(dcs, 1, 3).Draw(t, "homes")}
-		preferred, caller := dcs.Draw(t, "preferred"), Caller{rapid.StringN(1, 8, -1).Draw(t, "caller"), dcs.Draw(t, "its data centre")}
+		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: rapid.SliceOfN(dcs, 1, 3).Draw(t, "memberDataCentres")}
+		preferred, origin := dcs.Draw(t, "preferred"), Origin{rapid.StringN(1, 8, -1).Draw(t, "origin"), dcs.Draw(t, "its data centre")}
 		near := func(i ownership.Instance) int {
 			switch i.DataCentre {
 			case preferred:
 				return 0
-			case caller.DataCentre:
+			case origin.DataCentre:
 				return 1
 			}
 			return 2
 		}
 		wanted := slices.Clone(alive)
 		slices.SortStableFunc(wanted, func(a, b ownership.Instance) int {
-			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(caller.Name, a.Name), ownership.Score(caller.Name, b.Name)))
+			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(origin.HashKey, a.Name), ownership.Score(origin.HashKey, b.Name)))
 		})
-		for _, places := range []locality.Map{{}, one} {
-			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: places})[g.Name]
-			must.SliceEqOp(t, withoutRegions(g, alive, PerMember*len(g.Homes)), c.Names)
-			must.SliceEqOp(t, wanted, Order(alive, same, caller, preferred, places))
+		for _, regions := range []locality.Map{{}, one} {
+			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: regions})[g.Name]
+			must.SliceEqOp(t, withoutRegions(g, alive, CarriersPerMember*len(g.MemberDataCentres)), c.Names)
+			must.SliceEqOp(t, wanted, Order(alive, same, origin, preferred, regions))
 		}
 	})
 }
 
-// The load: callers everywhere, members in some data centres. A read is carried in its
-// caller's region where that has a carrier, and what needs the primary in the primary's
-// data centre, or else its region: neither crosses more than once.
-func TestOrderKeepsToRegions(t *testing.T) {
+// Ingress instances are in any data centre, members in some. Carriers are tried by distance to
+// the preferred data centre, then by distance to the ingress instance. A read thus stays in the
+// region of its ingress instance if there is a carrier, and a statement that needs the primary goes
+// to the primary's data centre, or else to its region; neither changes regions more than once.
+func TestOrderSortsByRegionDistance(t *testing.T) {
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	rapid.Check(t, func(t *rapid.T) {
 		carriers := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
-		preferred, caller := dcs.Draw(t, "preferred"), Caller{"x", dcs.Draw(t, "caller")}
-		order := Order(carriers, same, caller, preferred, twoRegions)
+		preferred, origin := dcs.Draw(t, "preferred"), Origin{"x", dcs.Draw(t, "origin")}
+		order := Order(carriers, same, origin, preferred, twoRegions)
 		must.Len(t, len(carriers), order)
 		for i := 1; i < len(order); i++ {
 			before, after := order[i-1].DataCentre, order[i].DataCentre
 			must.LessEq(t, twoRegions.Distance(after, preferred), twoRegions.Distance(before, preferred))
 			if twoRegions.Distance(before, preferred) == twoRegions.Distance(after, preferred) {
-				must.LessEq(t, twoRegions.Distance(after, caller.DataCentre), twoRegions.Distance(before, caller.DataCentre))
+				must.LessEq(t, twoRegions.Distance(after, origin.DataCentre), twoRegions.Distance(before, origin.DataCentre))
 			}
 		}
 	})
 }
 
-// The failure: a data centre with a member is lost with all its instances. Its region keeps
-// as many carriers as long as it has instances.
-func TestRegionsKeepCarriers(t *testing.T) {
+// A data centre with a member loses all its instances. Its region keeps its number of carriers as
+// long as it has enough instances.
+func TestRegionReplacesLostCarriers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
-		homes := []string{"a", "b", "d"}
-		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, Homes: homes}
-		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Places: twoRegions})[g.Name]
-		for region, wanted := range map[string]int{"x": 2 * PerMember, "y": PerMember} {
+		memberDataCentres := []string{"a", "b", "d"}
+		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: memberDataCentres}
+		c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: twoRegions})[g.Name]
+		for region, wanted := range map[string]int{"x": 2 * CarriersPerMember, "y": CarriersPerMember} {
 			carriers, instances := 0, 0
 			for _, i := range alive {
 				if twoRegions.Region(i.DataCentre) == region {
@@ -127,7 +128,7 @@
 			}
 			must.GreaterEq(t, min(wanted, instances), carriers)
 		}
-		must.Len(t, min(len(alive), PerMember*len(homes)), c.Names)
+		must.Len(t, min(len(alive), CarriersPerMember*len(memberDataCentres)), c.Names)
 		must.Len(t, len(c.Names), slices.Compact(slices.Sorted(slices.Values(c.Names))))
 	})
 }
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -23,13 +23,13 @@
 	declared, ok := snap.Groups[name]
 	g := placement.Group{Name: name, MaxConnections: declared.MaxConnections}
 	for _, m := range snap.MembersOf(name) {
-		g.Homes = append(g.Homes, m.DataCentre)
+		g.MemberDataCentres = append(g.MemberDataCentres, m.DataCentre)
 	}
 	return g, ok
 }
 
 func candidate(i lead.Instance) ownership.Instance {
-	return ownership.Instance{Name: i.Name, DataCentre: i.DataCentre, Weight: i.Capacity.Carrying()}
+	return ownership.Instance{Name: i.Name, DataCentre: i.DataCentre, Weight: i.Capacity.StatementsPerSecond()}
 }
 
 // SetCarriers makes a placement known to the traffic.
@@ -68,7 +68,7 @@
 		primary, _ := r.snapshot().Member(authority.Primary)
 		preferred = primary.DataCentre
 	}
-	return placement.Order(c.Others, candidate, placement.Caller{Name: cmp.Or(account, r.self), DataCentre: r.near}, preferred, r.places)
+	return placement.Order(c.Others, candidate, placement.Origin{HashKey: cmp.Or(account, r.self), DataCentre: r.near}, preferred, r.places)
 }
 
 // StartCarrying lets this instance run statements for others. Before that it has not
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -30,7 +30,7 @@
 	}
 	age := a.group.age(a.now(), required)
 	order := routing.Order(a.candidates(), required, age)
-	if routing.Await(order, required, age, a.arrived+a.route.LatencyObjective-a.now()-retryPause) {
+	if routing.ShouldWaitForReplica(order, required, age, a.arrived+a.route.LatencyObjective-a.now()-retryPause) {
 		a.why = "a replica is about to hold what the read must see"
 		return statement.Answer{}, noRoom
 	}
@@ -39,7 +39,7 @@
 		return a.waitAtBest(order, required, age)
 	}
 	last := noRoom
-	order = routing.AtOnce(order, required, age)
+	order = routing.ImmediateCandidates(order, required, age)
 	for i, c := range order {
 		answer, out := a.tryOne(c, required, a.now(), len(order)-i > 1) // where a connection is free now
 		if out == served || out == unknown {
@@ -76,7 +76,7 @@
 			continue
 		}
 		c := up.view(a.now())
-		c.Slots, c.Work = m.Slots/placement.PerMember, usual
+		c.Slots, c.TypicalDuration = m.Slots/placement.CarriersPerMember, usual
 		if err == nil && m.ID == authority.Primary {
 			c.Primary = true
 		}
@@ -90,11 +90,11 @@
 func (r *Relay) deferOutliers(candidates []routing.Candidate) {
 	failing := make([]float64, len(candidates))
 	for n, c := range candidates {
-		failing[n] = c.Failing
+		failing[n] = c.FailureRate
 	}
-	for n, share := range outlier.Shares(failing) {
+	for n, share := range outlier.ReadShares(failing) {
 		if up := r.upstreams.get(candidates[n].ID); up != nil {
-			candidates[n].Deferred = !up.takesPart(share)
+			candidates[n].Deprioritized = !up.takesPart(share)
 		}
 	}
 }
@@ -122,14 +122,14 @@
 	pass, err := a.gate.Acquire(breaker.trip)
 	if err != nil {
 		a.why = err.Error()
-		a.obstacle = &obstacle{reason: admission.Change, left: a.group.outage(a.now(), a.gate)}
+		a.obstacle = &obstacle{reason: admission.NoPrimary, left: a.group.outage(a.now(), a.gate)}
 		return statement.Answer{}, noRoom
 	}
 	a.group.noteAuthority(a.now())
 	if !a.mayWrite(pass) {
 		pass.Done()
 		a.why = "the grant is not confirmed, and the members do not verify it"
-		a.obstacle = &obstacle{reason: admission.Change, left: a.group.lapse()}
+		a.obstacle = &obstacle{reason: admission.NoPrimary, left: a.group.lapse()}
 		return statement.Answer{}, noRoom
 	}
 	up := a.s.relay.upstreams.get(pass.Primary)
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -32,7 +32,7 @@
 func unreachable(up *upstream, now time.Duration) *obstacle {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return &obstacle{reason: admission.Unreachable, left: admission.Silence(up.silent(now))}
+	return &obstacle{reason: admission.Unreachable, left: admission.RemainingUnresponsive(up.silent(now))}
 }
 
 // silent returns for how long the member has not answered although it was asked. The
@@ -44,7 +44,7 @@
 func (a *attempt) request() admission.Request {
 	left := max(0, a.deadline-a.now())
 	return admission.Request{
-		ID: a.st.ID, Usual: a.group.usual(kindOf(a.route)), Objective: min(a.route.LatencyObjective, left), Deadline: left,
+		ID: a.st.ID, TypicalDuration: a.group.usual(kindOf(a.route)), Objective: min(a.route.LatencyObjective, left), Deadline: left,
 	}
 }
 
@@ -52,20 +52,20 @@
 func (a *attempt) level() int { return min(max(a.route.Priority, 0), lowestPriority) }
 
 // work returns what the statement needs.
-func (a *attempt) work() admission.Work {
+func (a *attempt) work() admission.Target {
 	if a.needsPrimary() {
-		return admission.OnPrimary
+		return admission.PrimaryOnly
 	}
-	return admission.OnReplica
+	return admission.ReplicaAllowed
 }
 
 // decide returns whether the wait for a member is worth it.
-func (up *upstream) decide(now time.Duration, level int, r admission.Request, work admission.Work) admission.Verdict {
+func (up *upstream) decide(now time.Duration, level int, r admission.Request, work admission.Target) admission.Verdict {
 	backlog := up.backlog(level, work)
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if silent := up.silent(now); silent > 0 && up.probing {
-		return admission.DecideOutage(r, admission.Silence(silent), admission.Unreachable)
+		return admission.DecideOutage(r, admission.RemainingUnresponsive(silent), admission.Unreachable)
 	}
 	return up.levels[work][level].Decide(now, r, up.slowed(now, backlog))
 }
@@ -79,14 +79,14 @@
 	return b
 }
 
-func (up *upstream) backlog(level int, work admission.Work) admission.Backlog {
+func (up *upstream) backlog(level int, work admission.Target) admission.Backlog {
 	b := up.pool.Backlog(level)
-	if work == admission.OnReplica {
+	if work == admission.ReplicaAllowed {
 		b.Slots = b.FlexibleSlots
 	} else {
 		b.PausedUntil = 0 // a pause holds flexible requests only
 	}
-	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, Held: b.MeanHoldTime, Paused: b.PausedUntil}
+	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, MeanDuration: b.MeanHoldTime, Paused: b.PausedUntil}
 }
 
 // waitForPrimary has the statement wait for the primary if that is worth it. A statement that
@@ -130,11 +130,11 @@
 	best, verdict, soonest := order[0], admission.Verdict{Admit: true}, time.Duration(0)
 	for i, c := range order {
 		up := a.s.relay.upstreams.get(c.ID)
-		if up == nil || i > 0 && !c.Fit(required, age) {
+		if up == nil || i > 0 && !c.Eligible(required, age) {
 			continue
 		}
 		v := up.decide(now, a.level(), request, a.work())
-		if at := v.Wait + c.Trip(); i == 0 || at < soonest {
+		if at := v.Wait + c.ExtraRoundTrip(); i == 0 || at < soonest {
 			best, verdict, soonest = c, v, at
 		}
 	}
@@ -160,7 +160,7 @@
 	p := &place{a: a, up: up}
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.level(a).Began(now)
+	up.level(a).Enqueued(now)
 	if !up.probing && up.silent(now) > 0 {
 		p.probe, up.probing = true, true
 	}
@@ -168,7 +168,7 @@
 }
 
 // level returns what is known of statements like this one. The caller holds mu.
-func (up *upstream) level(a *attempt) *admission.Level { return &up.levels[a.work()][a.level()] }
+func (up *upstream) level(a *attempt) *admission.Controller { return &up.levels[a.work()][a.level()] }
 
 // leave notes that the statement waits no longer.
 func (p *place) leave(granted bool) {
@@ -181,7 +181,7 @@
 	if p.probe && !granted {
 		p.up.probing = false
 	}
-	p.up.level(p.a).Left(now, granted)
+	p.up.level(p.a).Dequeued(now, granted)
 	if granted {
 		p.a.learnWait(p.up, now)
 	}
@@ -203,7 +203,7 @@
 	if a.queuedAt == 0 {
 		return
 	}
-	up.level(a).Waited(now-a.queuedAt, a.verdict.Predicted)
+	up.level(a).ObserveWait(now-a.queuedAt, a.verdict.Predicted)
 	a.s.relay.observeWait(a, now-a.queuedAt)
 	a.queuedAt = 0
 }
@@ -285,14 +285,14 @@
 // comeBack returns after what time the caller is told to try again.
 func (a *attempt) comeBack() time.Duration {
 	switch {
-	case a.verdict.ComeBack > 0:
-		return a.verdict.ComeBack
+	case a.verdict.RetryAfter > 0:
+		return a.verdict.RetryAfter
 	case a.obstacle != nil:
-		return admission.ComeBackAfter(a.request(), a.obstacle.left)
+		return admission.RetryAfterOutage(a.request(), a.obstacle.left)
 	}
 	if up := a.s.relay.upstreams.get(a.lastMember); up != nil {
 		if v := up.decide(a.now(), a.level(), a.request(), a.work()); v.Wait > 0 {
-			return admission.ComeBack(a.request(), v.Wait, 0)
+			return admission.RetryAfter(a.request(), v.Wait, 0)
 		}
 	}
 	return comeBack
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -113,10 +113,10 @@
 	gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
 	g.outage(300*time.Millisecond, gate)
 	g.noteAuthority(320 * time.Millisecond)
-	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true))
+	must.Eq(t, 20*time.Millisecond, g.outages.learned.Remaining(0, true))
 	g.outage(400*time.Millisecond, gate)
 	g.noteAuthority(time.Hour)
-	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true), must.Sprint("no statement saw its end"))
+	must.Eq(t, 20*time.Millisecond, g.outages.learned.Remaining(0, true), must.Sprint("no statement saw its end"))
 }
 
 // A carrier tells in its replies how long statements wait there, and nothing while none do.
@@ -191,7 +191,7 @@
 	a := s.carry(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("let through once, to learn"))
 	asked := full.asked.Load()
-	for refusals(b, admission.AllRefuse.String()) == 0 { // one is let through now and then
+	for refusals(b, admission.AllCarriersReject.String()) == 0 { // one is let through now and then
 		asked = full.asked.Load()
 		a = s.carry(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 		must.Eq(t, statement.Busy, a.Err.Code)
@@ -207,7 +207,7 @@
 	up.noteAnswer(0, 0, group.Position{})
 	up.noteMiss(0)
 	hurried := admission.Request{ID: "x", Objective: 200 * time.Millisecond}
-	decide := func() admission.Verdict { return up.decide(time.Second, 0, hurried, admission.OnPrimary) }
+	decide := func() admission.Verdict { return up.decide(time.Second, 0, hurried, admission.PrimaryOnly) }
 	must.True(t, decide().Admit, must.Sprint("nobody asks it"))
 	a := &attempt{s: &session{relay: b.relay}, reads: true}
 	probe := a.enterQueue(up, b.relay.now()+generous)
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -60,9 +60,9 @@
 		}
 		for level := range onReplica {
 			if m.ID == leader {
-				onPrimary[level] = up.wait(now, level, admission.OnPrimary)
+				onPrimary[level] = up.wait(now, level, admission.PrimaryOnly)
 			}
-			wait := up.wait(now, level, admission.OnReplica)
+			wait := up.wait(now, level, admission.ReplicaAllowed)
 			if first || wait < onReplica[level] {
 				onReplica[level] = wait
 			}
@@ -75,37 +75,37 @@
 			onPrimary[level] = left
 		}
 	}
-	return admission.Shorten(onPrimary[:]), admission.Shorten(onReplica[:])
+	return admission.EncodeWaits(onPrimary[:]), admission.EncodeWaits(onReplica[:])
 }
 
 // wait returns how long a statement of a priority would wait for the member.
-func (up *upstream) wait(now time.Duration, level int, work admission.Work) time.Duration {
+func (up *upstream) wait(now time.Duration, level int, work admission.Target) time.Duration {
 	backlog := up.backlog(level, work)
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if silent := up.silent(now); silent > 0 {
-		return admission.Silence(silent)
+		return admission.RemainingUnresponsive(silent)
 	}
-	_, wait := up.levels[work][level].Wait(now, up.slowed(now, backlog))
+	_, wait := up.levels[work][level].PredictWait(now, up.slowed(now, backlog))
 	return wait
 }
 
 // outlook is what this instance knows of its carriers. It is safe for concurrent use.
 type outlook struct {
 	mu   sync.Mutex // guards what
-	what admission.Outlook
+	what admission.WaitForecast
 }
 
 func (o *outlook) told(now time.Duration, carrier, group string, reply *relaypb.CarryReply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.what.Told(now, carrier, group, reply.PrimaryWaitUs, reply.ReplicaWaitUs)
+	o.what.Update(now, carrier, group, reply.PrimaryWaitUs, reply.ReplicaWaitUs)
 }
 
 func (o *outlook) lost(carrier string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.what.Lost(carrier)
+	o.what.Forget(carrier)
 }
 
 func (o *outlook) choose(now time.Duration, q admission.Query, carriers []lead.Instance) admission.Choice {
@@ -126,9 +126,9 @@
 
 // query describes a statement that is to be passed on.
 func (s *session) query(st statement.Statement, route topology.Route, arrived time.Duration) admission.Query {
-	q := admission.Query{Group: route.Group, Work: admission.OnReplica, Priority: route.Priority}
+	q := admission.Query{Group: route.Group, Target: admission.ReplicaAllowed, Priority: route.Priority}
 	if !s.reads(st) || route.Consistency == topology.Strict {
-		q.Work = admission.OnPrimary
+		q.Target = admission.PrimaryOnly
 	}
 	left := max(0, arrived+route.Timeout-s.relay.now())
 	q.Request = admission.Request{ID: st.ID, Objective: min(route.LatencyObjective, left), Deadline: left}
@@ -143,9 +143,9 @@
 	if leftOut, ok := r.sampler.Allow("refusal carriers " + route.Group); ok {
 		r.log.WithField("request", st.ID).WithField("group", route.Group).WithField("priority", route.Priority).
 			WithField("reason", c.Verdict.Reason.String()).WithField("wait_ms", c.Verdict.Wait.Milliseconds()).WithField("age_ms", c.Age.Milliseconds()).
-			WithField("come_back_ms", c.Verdict.ComeBack.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, since all carriers would refuse it")
+			WithField("come_back_ms", c.Verdict.RetryAfter.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, since all carriers would refuse it")
 	}
 	answer := statement.Failure(statement.Idle, statement.Busy, "not run: what waits at all carriers already takes longer than the statement can wait")
-	answer.Err.RetryAfter = c.Verdict.ComeBack
+	answer.Err.RetryAfter = c.Verdict.RetryAfter
 	return answer
 }
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -33,22 +33,22 @@
 	answered uint64            // in all
 	carried  bool              // this instance is a carrier of the group, or none is known
 	health   member.Health
-	failing  outlier.Failing
-	turns    outlier.Turns  // of the choices in which the member takes part
-	position group.Position // end of its log, as its answers told
-	behind   time.Duration  // how long ago the primary was there; negative: not known
-	growing  bool           // that has become more since the answer before
-	behindAt time.Duration  // when that was told
-	lagUntil time.Duration  // before which a read that it could not serve is not tried again
-	lagged   int            // reads in a row that it could not serve
-	lagSince time.Duration  // when the first of them was
+	failing  outlier.FailureRate
+	turns    outlier.Sampler // of the choices in which the member takes part
+	position group.Position  // end of its log, as its answers told
+	behind   time.Duration   // how long ago the primary was there; negative: not known
+	growing  bool            // that has become more since the answer before
+	behindAt time.Duration   // when that was told
+	lagUntil time.Duration   // before which a read that it could not serve is not tried again
+	lagged   int             // reads in a row that it could not serve
+	lagSince time.Duration   // when the first of them was
 	recent   tally
 	window   pacing.Throttle
 	room     pacing.SpareCapacity // beyond share
 	share    int                  // statements outside transactions that this instance may have running there
 	most     int                  // that all together may
 	mayRun   int                  // of which this instance makes use: its share and the room
-	levels   [admission.Works][lowestPriority + 1]admission.Level
+	levels   [admission.NumTargets][lowestPriority + 1]admission.Controller
 	probing  bool // a statement is on its way that will show whether the member is there
 }
 
@@ -77,7 +77,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	up.health.RecordAnswer(now)
-	up.failing.Answered()
+	up.failing.RecordSuccess()
 	up.answered++
 	up.recent.answered++
 	up.recent.took += now - asked
@@ -91,7 +91,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	up.health.RecordNoAnswer(now)
-	up.failing.Failed()
+	up.failing.RecordFailure()
 	up.recent.unheard++
 }
 
@@ -160,16 +160,16 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	return routing.Candidate{
-		ID:       up.id,
-		Distance: up.distance,
-		Draining: up.draining,
-		Usable:   up.health.Usable(now),
-		Refused:  now < up.lagUntil,
-		Position: up.position,
-		Behind:   up.behind,
-		Growing:  up.growing,
-		Seen:     now - up.behindAt,
-		Failing:  up.failing.Part(),
-		Load:     up.pool.Load(),
+		ID:          up.id,
+		Distance:    up.distance,
+		Draining:    up.draining,
+		Usable:      up.health.Usable(now),
+		LagRejected: now < up.lagUntil,
+		Position:    up.position,
+		Lag:         up.behind,
+		LagGrowing:  up.growing,
+		LagAge:      now - up.behindAt,
+		FailureRate: up.failing.Value(),
+		Load:        up.pool.Load(),
 	}
 }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -113,8 +113,8 @@
 func (u *Upstreams) configure(up *upstream, m topology.Member) {
 	shares, here, known := u.placed.shares(m.Group)
 	if known {
-		up.pool.SetCapacity(shares.Connections(m.DataCentre, u.dataCentre))
-		up.setShare(shares.Active(m.Slots, m.DataCentre, u.dataCentre), placement.MostActive(m.Slots))
+		up.pool.SetCapacity(shares.ConnectionLimit(m.DataCentre, u.dataCentre))
+		up.setShare(shares.ActiveLimit(m.Slots, m.DataCentre, u.dataCentre), placement.TotalActiveLimit(m.Slots))
 	}
 	up.mu.Lock()
 	defer up.mu.Unlock()
@@ -256,7 +256,7 @@
 	defer u.mu.Unlock()
 	for id, up := range u.members {
 		up.mu.Lock()
-		recent, behind, share, distance, failing, mayRun := up.recent, up.behind, up.window.Share(), up.distance, up.failing.Part(), up.mayRun
+		recent, behind, share, distance, failing, mayRun := up.recent, up.behind, up.window.Share(), up.distance, up.failing.Value(), up.mayRun
 		up.recent = tally{}
 		up.mu.Unlock()
 		if recent == (tally{}) {
