--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -18,7 +18,7 @@
 )
 
 // declare puts a configuration with accounts in force, each with a key named like it.
-func (b *bench) declare(version int64, accounts ...string) {
+func (b *fixture) declareAccounts(version int64, accounts ...string) {
 	declared := make([]account.Account, 0, len(accounts))
 	for _, name := range accounts {
 		declared = append(declared, account.Account{Name: name, Keys: []account.Key{account.NewKey("key-" + name)}, Limit: account.Limit{Rate: 1e9, Burst: 1e9}})
@@ -26,7 +26,7 @@
 	b.setConfig(version, account.NewDirectory(declared))
 }
 
-func (b *bench) setConfig(version int64, accounts *account.Directory) {
+func (b *fixture) setConfig(version int64, accounts *account.Directory) {
 	state := topology.New(0, 0)
 	config := b.relay.snapshot().Config
 	config.Version, config.Accounts = version, accounts
@@ -48,8 +48,8 @@
 }
 
 func TestAdmit(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a", "b")
+	b := newFixture(t)
+	b.declareAccounts(2, "a", "b")
 	for name, c := range map[string]struct {
 		start   Start
 		current bool
@@ -67,7 +67,7 @@
 		"known while nothing was heard":   {withKey("strict", "a"), false, "a", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b.relay.current = func() bool { return c.current }
+			b.relay.topologyFresh = func() bool { return c.current }
 			_, got, refusal := b.relay.admit(c.start)
 			if c.code == 0 {
 				must.Nil(t, refusal)
@@ -82,14 +82,14 @@
 
 // A key that is taken away ends what its open sessions may do: the next statement is
 // refused, and an open transaction is rolled back.
-func TestKeyTakenAway(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a", "b")
+func TestRevokedKeyEndsSessions(t *testing.T) {
+	b := newFixture(t)
+	b.declareAccounts(2, "a", "b")
 	idle, open := newSession(b.relay, withKey("strict", "a")), newSession(b.relay, withKey("strict", "a"))
 	must.Nil(t, b.run(idle, statement.Write, "WRITE 1 x").Err)
 	b.run(open, statement.Begin, "BEGIN")
 	must.Nil(t, b.run(open, statement.Write, "WRITE 2 x").Err)
-	b.declare(3, "b")
+	b.declareAccounts(3, "b")
 	must.Eq(t, statement.Unauthenticated, b.run(idle, statement.Write, "WRITE 3 x").Err.Code)
 	answer := b.run(open, statement.Commit, "COMMIT")
 	must.Eq(t, statement.Aborted, answer.Err.Code)
@@ -102,8 +102,8 @@
 // A key that passes to another account brings its open sessions along, from the next
 // transaction on.
 func TestKeyMovesToAnotherAccount(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a", "b")
+	b := newFixture(t)
+	b.declareAccounts(2, "a", "b")
 	s := newSession(b.relay, withKey("strict", "a"))
 	b.run(s, statement.Begin, "BEGIN")
 	b.setConfig(3, account.NewDirectory([]account.Account{{Name: "b", Keys: []account.Key{account.NewKey("key-a")}, Limit: account.Limit{Rate: 1e9, Burst: 1e9}}}))
@@ -117,14 +117,14 @@
 
 // However sessions of several accounts use the same members: each statement reaches
 // them on a connection of its own account.
-func TestStatementsReachMembersAsTheirAccount(t *testing.T) {
-	b := newBench(t)
+func TestStatementsUseConnectionsOfTheirAccount(t *testing.T) {
+	b := newFixture(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
-	b.declare(2, names...)
-	var work sync.WaitGroup
+	b.declareAccounts(2, names...)
+	var wg sync.WaitGroup
 	for _, name := range names {
 		for _, database := range []string{"strict", "bounded"} {
-			work.Go(func() {
+			wg.Go(func() {
 				s := newSession(b.relay, withKey(database, name))
 				for n := range 50 {
 					s.handle(context.Background(), statement.Statement{ID: name + fmt.Sprint(n), Kind: statement.Read, Text: "READ 1"}, b.relay.now())
@@ -132,7 +132,7 @@
 			})
 		}
 	}
-	work.Wait()
+	wg.Wait()
 	runs := b.group.Runs()
 	must.Positive(t, len(runs))
 	for _, run := range runs {
@@ -156,26 +156,26 @@
 func (unlimited) Ran(quota.Visit, time.Duration) {}
 
 // fixedRights is a Limiter that gives a number of rights.
-type fixedRights struct {
+type fixedTokens struct {
 	unlimited
 	left int
 }
 
-const comeBackLater = 70 * time.Millisecond
+const testRetryAfter = 70 * time.Millisecond
 
-func (r *fixedRights) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+func (r *fixedTokens) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	r.left--
-	return quota.Token{}, quota.Shortage{ComeBack: comeBackLater, Without: 1}, r.left >= 0
+	return quota.Token{}, quota.Shortage{ComeBack: testRetryAfter, Without: 1}, r.left >= 0
 }
 
-func (r *fixedRights) Return(string, quota.Token) { r.left++ }
+func (r *fixedTokens) Return(string, quota.Token) { r.left++ }
 
 // An operation beyond the account's limit is refused at once, with when to come back; a
 // transaction counts once, whatever it holds.
 func TestOperationsBeyondTheLimitAreRefused(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a")
-	b.relay.limiter = &fixedRights{left: 2}
+	b := newFixture(t)
+	b.declareAccounts(2, "a")
+	b.relay.limiter = &fixedTokens{left: 2}
 	s := newSession(b.relay, withKey("strict", "a"))
 	b.run(s, statement.Begin, "BEGIN")
 	for range 3 {
@@ -186,42 +186,42 @@
 	ran := len(b.group.Runs())
 	answer := b.run(s, statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, answer.Err.Code)
-	must.Eq(t, comeBackLater, answer.Err.RetryAfter)
+	must.Eq(t, testRetryAfter, answer.Err.RetryAfter)
 	must.Len(t, ran, b.group.Runs())
 }
 
 // A read that is run again elsewhere, since a member failed it, counts again.
-func TestReadThatRunsAgainCountsAgain(t *testing.T) {
-	for _, rights := range []int{1, 2} {
-		b := newBench(t)
-		b.declare(2, "a")
+func TestRetriedReadSpendsAnotherToken(t *testing.T) {
+	for _, tokens := range []int{1, 2} {
+		b := newFixture(t)
+		b.declareAccounts(2, "a")
 		must.Nil(t, b.run(newSession(b.relay, withKey("strict", "a")), statement.Read, "READ 1").Err) // brings a sample
 		b.group.FailStatements("m1", 1)
 		b.group.FailStatements("m2", 1)
 		before := len(b.group.Runs())
-		b.relay.limiter = &fixedRights{left: rights}
+		b.relay.limiter = &fixedTokens{left: tokens}
 		answer := b.run(newSession(b.relay, withKey("bounded", "a")), statement.Read, "READ 1")
 		must.Eq(t, statement.StatementFailed, answer.Err.Code)
-		must.Len(t, before+rights, b.group.Runs())
+		must.Len(t, before+tokens, b.group.Runs())
 	}
 }
 
 // The right to an operation that has not run is given back.
-func TestRightIsReturnedWhereNothingRan(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a")
-	rights := &fixedRights{left: 2}
-	b.relay.limiter = rights
-	must.NoError(t, b.gate.Release(t.Context(), 2, 0)) // no primary can be used
+func TestTokenIsReturnedWhenNothingRan(t *testing.T) {
+	b := newFixture(t)
+	b.declareAccounts(2, "a")
+	limiter := &fixedTokens{left: 2}
+	b.relay.limiter = limiter
+	must.NoError(t, b.guard.Release(t.Context(), 2, 0)) // no primary can be used
 	answer := b.run(newSession(b.relay, withKey("hurried", "a")), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, answer.Err.Code)
-	must.Eq(t, 2, rights.left)
+	must.Eq(t, 2, limiter.left)
 }
 
 // What was known of a member ends with it: one that was started again under its ID gets
 // new connections, and nothing of its log, its names and its usual times is remembered.
-func TestMemberStartedAgainIsAnotherOne(t *testing.T) {
-	b := newBench(t)
+func TestRestartedMemberGetsNewState(t *testing.T) {
+	b := newFixture(t)
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
 	before := b.relay.upstreams.get("m2")
@@ -245,12 +245,12 @@
 }
 
 // expiring is a Limiter whose first rights have expired when they are used.
-type expiring struct {
+type expiringLimiter struct {
 	unlimited
 	expired, spent int
 }
 
-func (e *expiring) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+func (e *expiringLimiter) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	e.spent++
 	if e.spent <= e.expired {
 		return quota.TokenUntil(1), quota.Shortage{}, true
@@ -260,12 +260,12 @@
 
 // A statement that has waited for longer than its right lasts needs another one before
 // it is sent, since rights count by when they are used.
-func TestRightThatExpiredIsNotUsed(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a")
-	rights := &expiring{expired: 1}
-	b.relay.limiter = rights
+func TestExpiredTokenIsReplacedBeforeSending(t *testing.T) {
+	b := newFixture(t)
+	b.declareAccounts(2, "a")
+	limiter := &expiringLimiter{expired: 1}
+	b.relay.limiter = limiter
 	must.Nil(t, b.run(newSession(b.relay, withKey("strict", "a")), statement.Read, "READ 1").Err)
-	must.Eq(t, 2, rights.spent)
+	must.Eq(t, 2, limiter.spent)
 	must.Len(t, 1, b.group.Runs())
 }
--- a/internal/relay/carrier.go
+++ b/internal/relay/carrier.go
@@ -37,35 +37,35 @@
 const (
 	// entryBeat is the pause after which an instance says that a transaction of its
 	// caller, which rests at a carrier, goes on.
-	entryBeat = time.Second
+	heartbeatInterval = time.Second
 	// entrySilence is after what time without a word the transaction is rolled back: it
 	// holds one of the few connections to a member. It leaves room for two words that are late.
-	entrySilence = 3 * entryBeat
+	heartbeatTimeout = 3 * heartbeatInterval
 	// beatKind is the kind of a request that is no statement but such a word.
-	beatKind = -1
+	heartbeatKind = -1
 )
 
 // carriedSession is the session of another instance's caller, on one stream.
-type carriedSession struct {
-	mu      sync.Mutex // guards the rest; held while a statement runs
-	session *session
-	silence *time.Timer // ends the open transaction; nil: none was opened yet
+type forwardedSession struct {
+	mu             sync.Mutex // guards the rest; held while a statement runs
+	session        *session
+	heartbeatTimer *time.Timer // ends the open transaction; nil: none was opened yet
 }
 
 // Carry implements relaypb.CarrierServer.
 func (c *CarrierServer) Carry(stream grpc.BidiStreamingServer[relaypb.CarryRequest, relaypb.CarryReply]) error {
-	carried := &carriedSession{}
-	defer carried.end()
+	forwarded := &forwardedSession{}
+	defer forwarded.end()
 	for {
 		req, err := stream.Recv()
 		if err != nil {
 			return nil // the entry has ended the stream: what is open is rolled back
 		}
-		if req.Kind == beatKind {
-			carried.heard()
+		if req.Kind == heartbeatKind {
+			forwarded.recordHeartbeat()
 			continue
 		}
-		reply := c.run(stream.Context(), carried, req)
+		reply := c.runStatement(stream.Context(), forwarded, req)
 		if err := stream.Send(reply); err != nil {
 			return err
 		}
@@ -76,64 +76,64 @@
 }
 
 // run has a statement run in its session.
-func (c *CarrierServer) run(ctx context.Context, carried *carriedSession, req *relaypb.CarryRequest) *relaypb.CarryReply {
-	carried.mu.Lock()
-	defer carried.mu.Unlock()
-	if s := carried.session; s == nil || s.tx == nil && s.lost == "" {
-		if c.isStopping() || !c.relay.canCarry(req.Database) {
+func (c *CarrierServer) runStatement(ctx context.Context, forwarded *forwardedSession, req *relaypb.CarryRequest) *relaypb.CarryReply {
+	forwarded.mu.Lock()
+	defer forwarded.mu.Unlock()
+	if s := forwarded.session; s == nil || s.tx == nil && s.lostReason == "" {
+		if c.isStopping() || !c.relay.canRunForwarded(req.Database) {
 			return &relaypb.CarryReply{Stopping: true}
 		}
-		carried.session = newSession(c.relay, Start{Database: req.Database})
-		carried.session.carried = true
-		carried.session.account = req.Account
-		carried.session.floor = decodePosition(req.Floor)
+		forwarded.session = newSession(c.relay, Start{Database: req.Database})
+		forwarded.session.forwarded = true
+		forwarded.session.account = req.Account
+		forwarded.session.floor = decodePosition(req.Floor)
 	}
-	s := carried.session
-	answer := s.handle(ctx, c.statement(s, req), c.relay.now()-time.Duration(req.ElapsedUs)*time.Microsecond)
-	carried.await()
+	s := forwarded.session
+	answer := s.handle(ctx, c.decodeStatement(s, req), c.relay.now()-time.Duration(req.ElapsedUs)*time.Microsecond)
+	forwarded.resetHeartbeatTimer()
 	reply := encodeReply(answer, s.floor)
 	if route, ok := c.relay.snapshot().Databases[req.Database]; ok {
-		c.relay.tell(reply, route.Group)
+		c.relay.addWaitForecast(reply, route.Group)
 	}
-	reply.AccountEmptyUs, s.accountEmpty = s.accountEmpty.Microseconds(), 0
+	reply.AccountEmptyUs, s.accountEmptyFor = s.accountEmptyFor.Microseconds(), 0
 	return reply
 }
 
 // await bounds the silence in an open transaction. The caller holds mu.
-func (s *carriedSession) await() {
+func (s *forwardedSession) resetHeartbeatTimer() {
 	switch {
-	case s.session.tx == nil && s.silence != nil:
-		s.silence.Stop()
+	case s.session.tx == nil && s.heartbeatTimer != nil:
+		s.heartbeatTimer.Stop()
 	case s.session.tx == nil:
-	case s.silence == nil:
-		s.silence = time.AfterFunc(entrySilence, s.abandon)
+	case s.heartbeatTimer == nil:
+		s.heartbeatTimer = time.AfterFunc(heartbeatTimeout, s.handleHeartbeatTimeout)
 	default:
-		s.silence.Reset(entrySilence)
+		s.heartbeatTimer.Reset(heartbeatTimeout)
 	}
 }
 
 // heard takes in a word of the entry.
-func (s *carriedSession) heard() {
+func (s *forwardedSession) recordHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.session != nil {
-		s.await()
+		s.resetHeartbeatTimer()
 	}
 }
 
 // abandon rolls back the transaction of an instance that has gone silent.
-func (s *carriedSession) abandon() {
+func (s *forwardedSession) handleHeartbeatTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.session.abandonTx("the instance that the caller is connected to was silent, and the transaction was rolled back")
 }
 
 // end rolls back what is open.
-func (s *carriedSession) end() {
+func (s *forwardedSession) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silence != nil {
-		s.silence.Stop()
+	if s.heartbeatTimer != nil {
+		s.heartbeatTimer.Stop()
 	}
 	if s.session != nil {
 		s.session.endTx()
@@ -150,14 +150,14 @@
 }
 
 // statement decodes a request and brings the session to the caller's state.
-func (c *CarrierServer) statement(s *session, req *relaypb.CarryRequest) statement.Statement {
-	s.values = req.Values
-	if s.values == nil {
-		s.values = make(map[string]string)
+func (c *CarrierServer) decodeStatement(s *session, req *relaypb.CarryRequest) statement.Statement {
+	s.variables = req.Values
+	if s.variables == nil {
+		s.variables = make(map[string]string)
 	}
 	st := statement.Statement{ID: req.Id, Text: req.Text, Kind: statement.Kind(req.Kind), Name: req.Name, Args: req.Args}
 	if st.Kind == statement.Execute {
-		s.names[st.Name] = prepared{writes: req.Writes, shape: req.Shape}
+		s.prepared[st.Name] = preparedStatement{writes: req.Writes, shape: req.Shape}
 	}
 	return st
 }
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -28,23 +28,23 @@
 	return g, ok
 }
 
-func candidate(i lead.Instance) ownership.Instance {
-	return ownership.Instance{Name: i.Name, DataCentre: i.DataCentre, Weight: i.Strength.Carrying()}
+func ownershipCandidate(instance lead.Instance) ownership.Instance {
+	return ownership.Instance{Name: instance.Name, DataCentre: instance.DataCentre, Weight: instance.Strength.Carrying()}
 }
 
 // SetCarriers makes a placement known to the traffic.
-func (r *Relay) SetCarriers(placed *Placed) { r.carriers.Store(placed) }
+func (r *Relay) SetCarriers(snapshot *Placed) { r.placement.Store(snapshot) }
 
 // Carried returns the groups that this instance carries, in order. They must not be changed.
-func (r *Relay) Carried() []string { return r.carriers.Load().Carried() }
+func (r *Relay) Carried() []string { return r.placement.Load().Carried() }
 
 // AllShared reports whether every instance carries every group.
-func (r *Relay) AllShared() bool { return r.carriers.Load().AllShared() }
+func (r *Relay) AllShared() bool { return r.placement.Load().AllShared() }
 
 // CarriersOf returns the carriers of a group. While nothing is known of it this
 // instance is one.
 func (r *Relay) CarriersOf(group string) Carriers {
-	c, ok := r.carriers.Load().Of(group)
+	c, ok := r.placement.Load().Of(group)
 	if !ok || len(c.Others) == 0 {
 		c.Here = true
 	}
@@ -62,23 +62,23 @@
 // Of those in one data centre each client account has its own first, since the connections
 // that they hold belong to accounts: a carrier finds one open the more often, the
 // fewer accounts it serves.
-func (r *Relay) carrierOrder(c Carriers, group, account string, needsPrimary bool) []lead.Instance {
-	preferred := r.near
+func (r *Relay) orderCarriers(c Carriers, group, account string, needsPrimary bool) []lead.Instance {
+	preferred := r.dataCentre
 	if authority, err := r.Gate(group).Authority(); err == nil && needsPrimary {
 		primary, _ := r.snapshot().Member(authority.Primary)
 		preferred = primary.DataCentre
 	}
-	return placement.Order(c.Others, candidate, placement.Caller{Name: cmp.Or(account, r.self), DataCentre: r.near}, preferred, r.places)
+	return placement.Order(c.Others, ownershipCandidate, placement.Caller{Name: cmp.Or(account, r.self), DataCentre: r.dataCentre}, preferred, r.localities)
 }
 
 // StartCarrying lets this instance run statements for others. Before that it has not
 // read the store, or holds no grants, and those that still know its address from an
 // earlier process turn to other carriers.
-func (r *Relay) StartCarrying() { r.carrying.Store(true) }
+func (r *Relay) StartCarrying() { r.carrierEnabled.Store(true) }
 
 // canCarry reports whether this instance can run statements for a database. That it knows of
 // none by that name says nothing: the one that asks may have a newer configuration.
-func (r *Relay) canCarry(database string) bool {
+func (r *Relay) canRunForwarded(database string) bool {
 	_, known := r.snapshot().Databases[database]
-	return known && r.carrying.Load()
+	return known && r.carrierEnabled.Load()
 }
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -16,35 +16,35 @@
 // Settings of the way to carriers.
 const (
 	// carriersTried is how many carriers a statement is offered to that none has run.
-	carriersTried = 3
+	maxCarriersTried = 3
 	// carryMargin is how much longer than the statement's own deadline an answer is
 	// awaited: the way back, and a carrier that gives up at the last moment.
-	carryMargin = 60 * time.Millisecond
+	replyMargin = 60 * time.Millisecond
 )
 
 // remoteTransaction is an open transaction at a carrier.
-type remoteTransaction struct {
+type forwardedTransaction struct {
 	stream *carrierStream
 	route  topology.Route
 	wrote  bool
 }
 
 // carry has a first statement run by a carrier.
-func (s *session) carry(ctx context.Context, st statement.Statement, route topology.Route, carriers []lead.Instance, arrived time.Duration) statement.Answer {
-	q := s.query(st, route, arrived)
-	carriers = s.relay.carrierConns.order(carriers, carriersTried)
-	choice := s.relay.outlook.choose(s.relay.now(), q, carriers)
+func (s *session) forward(ctx context.Context, st statement.Statement, route topology.Route, carriers []lead.Instance, arrived time.Duration) statement.Answer {
+	query := s.admissionQuery(st, route, arrived)
+	carriers = s.relay.carrierConns.order(carriers, maxCarriersTried)
+	choice := s.relay.waitForecasts.choose(s.relay.now(), query, carriers)
 	if !choice.Verdict.Admit {
-		return s.refuseForAll(st, route, choice)
+		return s.refuseAtAllCarriers(st, route, choice)
 	}
 	refusal := statement.Failure(statement.Idle, statement.Busy, "not run: no carrier could be asked")
-	refusal.Err.RetryAfter = comeBack
-	for n := range choice.Len {
+	refusal.Err.RetryAfter = defaultRetryAfter
+	for i := range choice.Len {
 		if ctx.Err() != nil || s.relay.now() >= arrived+route.Timeout {
 			break
 		}
-		answer, next := s.carryTo(ctx, st, route, q, carriers[choice.At(n)], arrived, n+1 < choice.Open)
-		if !next {
+		answer, tryNext := s.forwardTo(ctx, st, route, query, carriers[choice.At(i)], arrived, i+1 < choice.Open)
+		if !tryNext {
 			return answer
 		}
 		refusal = answer
@@ -54,112 +54,112 @@
 
 // carryTo has a first statement run by one carrier. It reports true, with why, when nothing can have
 // changed and another carrier is to be asked. others says that one may have room.
-func (s *session) carryTo(ctx context.Context, st statement.Statement, route topology.Route, q admission.Query, carrier lead.Instance, arrived time.Duration, others bool) (answer statement.Answer, next bool) {
-	left := arrived + route.Timeout - s.relay.now()
-	stream, err := s.relay.carrierConns.open(carrier.Address, left)
+func (s *session) forwardTo(ctx context.Context, st statement.Statement, route topology.Route, query admission.Query, carrier lead.Instance, arrived time.Duration, othersLeft bool) (answer statement.Answer, tryNext bool) {
+	remaining := arrived + route.Timeout - s.relay.now()
+	stream, err := s.relay.carrierConns.open(carrier.Address, remaining)
 	if err != nil {
-		s.relay.outlook.lost(carrier.Address)
-		return notCarried(err), true
+		s.relay.waitForecasts.forget(carrier.Address)
+		return notForwarded(err), true
 	}
-	sent := s.relay.now()
-	reply, err := stream.ask(ctx, s.carryRequest(st, arrived), left+carryMargin)
+	sentAt := s.relay.now()
+	reply, err := stream.roundTrip(ctx, s.encodeRequest(st, arrived), remaining+replyMargin)
 	switch {
-	case errors.Is(err, errNotTaken):
-		if !errors.Is(err, errCallerLeft) {
-			s.relay.outlook.lost(carrier.Address)
+	case errors.Is(err, errNotAccepted):
+		if !errors.Is(err, errClientGone) {
+			s.relay.waitForecasts.forget(carrier.Address)
 		}
-		return notCarried(err), true
+		return notForwarded(err), true
 	case err != nil:
-		if !errors.Is(err, errCallerLeft) {
-			s.relay.outlook.lost(carrier.Address)
+		if !errors.Is(err, errClientGone) {
+			s.relay.waitForecasts.forget(carrier.Address)
 		}
-		s.noteNoAnswer(st, carrier.Name, arrived, err)
-		if s.reads(st) || st.Kind == statement.Begin {
-			return notCarried(err), true
+		s.recordLostReply(st, carrier.Name, arrived, err)
+		if s.readsOnly(st) || st.Kind == statement.Begin {
+			return notForwarded(err), true
 		}
 		return statement.Failure(statement.Idle, statement.Unknown, "it may have run: %v", err), false
 	}
-	s.noteCarried(route, sent, reply)
-	s.relay.outlook.told(s.relay.now(), carrier.Address, route.Group, reply)
-	if others && refusedForWait(reply, q) {
+	s.recordForwardedReply(route, sentAt, reply)
+	s.relay.waitForecasts.recordReply(s.relay.now(), carrier.Address, route.Group, reply)
+	if othersLeft && refusedForLongWait(reply, query) {
 		stream.release()
 		return decodeReply(reply), true
 	}
-	return s.settleCarried(st, stream, route, reply), false
+	return s.finishForwarded(st, stream, route, reply), false
 }
 
 // notCarried is the answer to a statement that no carrier has run.
-func notCarried(err error) statement.Answer {
+func notForwarded(err error) statement.Answer {
 	answer := statement.Failure(statement.Idle, statement.Busy, "not run: %v", err)
-	answer.Err.RetryAfter = comeBack
+	answer.Err.RetryAfter = defaultRetryAfter
 	return answer
 }
 
 // refusedForWait reports whether a carrier has refused a statement since it would wait for
 // too long there.
-func refusedForWait(reply *relaypb.CarryReply, q admission.Query) bool {
+func refusedForLongWait(reply *relaypb.CarryReply, query admission.Query) bool {
 	busy := statement.Code(reply.Code) == statement.Busy && statement.State(reply.State) == statement.Idle
-	return busy && reply.AccountEmptyUs <= 0 && q.WouldWait(reply.PrimaryWaitUs, reply.ReplicaWaitUs)
+	return busy && reply.AccountEmptyUs <= 0 && query.WouldWait(reply.PrimaryWaitUs, reply.ReplicaWaitUs)
 }
 
 // continueCarried runs a further statement of a transaction at a carrier.
-func (s *session) continueCarried(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
-	tx := s.remote
-	reply, err := tx.stream.ask(ctx, s.carryRequest(st, arrived), tx.route.Timeout+carryMargin)
+func (s *session) continueForwarded(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
+	tx := s.forwardedTx
+	reply, err := tx.stream.roundTrip(ctx, s.encodeRequest(st, arrived), tx.route.Timeout+replyMargin)
 	if err != nil {
-		s.noteNoAnswer(st, tx.stream.address, arrived, err)
-		tx.stream.rest()
-		s.remote = nil
-		if st.Kind == statement.Commit && tx.wrote && !errors.Is(err, errNotTaken) {
+		s.recordLostReply(st, tx.stream.address, arrived, err)
+		tx.stream.stopHeartbeat()
+		s.forwardedTx = nil
+		if st.Kind == statement.Commit && tx.wrote && !errors.Is(err, errNotAccepted) {
 			return statement.Failure(statement.Idle, statement.Unknown, "the answer to the commit did not arrive: %v", err)
 		}
 		return statement.Failure(statement.Idle, statement.Aborted, "the connection to the carrier was lost: %v", err)
 	}
-	return s.settleCarried(st, tx.stream, tx.route, reply)
+	return s.finishForwarded(st, tx.stream, tx.route, reply)
 }
 
 // noteNoAnswer records that a carrier's answer did not arrive, or was not awaited.
-func (s *session) noteNoAnswer(st statement.Statement, carrier string, arrived time.Duration, cause error) {
-	if errors.Is(cause, errCallerLeft) {
-		s.relay.noteCallerGone(s.start.Database, "carried", s.relay.now()-arrived)
+func (s *session) recordLostReply(st statement.Statement, carrier string, arrived time.Duration, cause error) {
+	if errors.Is(cause, errClientGone) {
+		s.relay.recordClientGone(s.start.Database, "carried", s.relay.now()-arrived)
 		return
 	}
-	s.relay.logLost(s, st, carrier, cause)
+	s.relay.logLostAnswer(s, st, carrier, cause)
 }
 
 // settleCarried takes in a carrier's reply. While a transaction is open the
 // session keeps the stream.
-func (s *session) settleCarried(st statement.Statement, stream *carrierStream, route topology.Route, reply *relaypb.CarryReply) statement.Answer {
+func (s *session) finishForwarded(st statement.Statement, stream *carrierStream, route topology.Route, reply *relaypb.CarryReply) statement.Answer {
 	answer := decodeReply(reply)
 	s.floor = group.Max(s.floor, decodePosition(reply.Floor))
 	if answer.State == statement.Idle {
-		s.remote = nil
+		s.forwardedTx = nil
 		stream.release()
 		return answer
 	}
-	if s.remote == nil {
-		s.remote = &remoteTransaction{stream: stream, route: route}
-		stream.keep()
+	if s.forwardedTx == nil {
+		s.forwardedTx = &forwardedTransaction{stream: stream, route: route}
+		stream.startHeartbeat()
 	}
-	s.remote.wrote = s.remote.wrote || st.Kind == statement.Write || st.Kind == statement.Execute && s.names[st.Name].writes
+	s.forwardedTx.wrote = s.forwardedTx.wrote || st.Kind == statement.Write || st.Kind == statement.Execute && s.prepared[st.Name].writes
 	return answer
 }
 
 // dropCarried rolls back what is open at a carrier.
-func (s *session) dropCarried() {
-	if s.remote != nil {
-		s.remote.stream.rest()
-		s.remote.stream.cancel()
-		s.remote = nil
+func (s *session) abortForwarded() {
+	if s.forwardedTx != nil {
+		s.forwardedTx.stream.stopHeartbeat()
+		s.forwardedTx.stream.cancel()
+		s.forwardedTx = nil
 	}
 }
 
 // carryRequest describes a statement with what the session brings to it.
-func (s *session) carryRequest(st statement.Statement, arrived time.Duration) *relaypb.CarryRequest {
-	named := s.names[st.Name]
+func (s *session) encodeRequest(st statement.Statement, arrived time.Duration) *relaypb.CarryRequest {
+	prepared := s.prepared[st.Name]
 	return &relaypb.CarryRequest{
 		Database: s.start.Database, Account: s.account, Id: st.ID, Text: st.Text, Kind: int32(st.Kind), Name: st.Name, Args: st.Args,
-		Writes: named.writes, Shape: named.shape, Values: s.values, Floor: encodePosition(s.floor),
+		Writes: prepared.writes, Shape: prepared.shape, Values: s.variables, Floor: encodePosition(s.floor),
 		ElapsedUs: (s.relay.now() - arrived).Microseconds(),
 	}
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -16,138 +16,138 @@
 
 // lostReadShare is the part of its objective after which a read that got no
 // answer is given to another member.
-const lostReadShare = 0.5
+const readTimeoutFraction = 0.5
 
 // round offers the statement to each member that may serve it, once.
-func (a *attempt) round() (statement.Answer, outcome) {
+func (a *attempt) tryRound() (statement.Answer, outcome) {
 	if a.needsPrimary() {
 		return a.waitForPrimary()
 	}
-	required, ok := a.required()
+	required, ok := a.requiredPosition()
 	if !ok {
-		a.why = "no replica is known to be fresh enough"
+		a.reason = "no replica is known to be fresh enough"
 		return a.waitForPrimary()
 	}
-	age := a.group.age(a.now(), required)
-	order := routing.Order(a.candidates(), required, age)
-	if routing.Await(order, required, age, a.arrived+a.route.LatencyObjective-a.now()-retryPause) {
-		a.why = "a replica is about to hold what the read must see"
-		return statement.Answer{}, noRoom
+	positionAge := a.group.positionAge(a.now(), required)
+	order := routing.Order(a.candidates(), required, positionAge)
+	if routing.Await(order, required, positionAge, a.arrived+a.route.LatencyObjective-a.now()-retryDelay) {
+		a.reason = "a replica is about to hold what the read must see"
+		return statement.Answer{}, noConnection
 	}
-	if a.tries > 0 || len(order) == 1 {
-		a.tries++
-		return a.waitAtBest(order, required, age)
+	if a.rounds > 0 || len(order) == 1 {
+		a.rounds++
+		return a.waitAtFastest(order, required, positionAge)
 	}
-	last := noRoom
-	order = routing.AtOnce(order, required, age)
+	last := noConnection
+	order = routing.AtOnce(order, required, positionAge)
 	for i, c := range order {
-		answer, out := a.tryOne(c, required, a.now(), len(order)-i > 1) // where a connection is free now
-		if out == served || out == unknown {
-			return answer, out
+		answer, result := a.tryCandidate(c, required, a.now(), len(order)-i > 1) // where a connection is free now
+		if result == served || result == unknownOutcome {
+			return answer, result
 		}
-		last = out
+		last = result
 	}
-	a.tries++
+	a.rounds++
 	return statement.Answer{}, last
 }
 
 // required returns the position that a read must see, or false when no sample
 // of the primary is young enough.
-func (a *attempt) required() (group.Position, bool) {
-	p, ok := a.group.required(a.arrived - a.route.MaxStaleness)
+func (a *attempt) requiredPosition() (group.Position, bool) {
+	p, ok := a.group.requiredAt(a.arrived - a.route.MaxStaleness)
 	if !ok {
 		return group.Position{}, false
 	}
 	if a.route.Consistency == topology.ReadYourWrites {
-		p = group.Max(p, a.group.floor(a.s.floor))
+		p = group.Max(p, a.group.currentFloor(a.session.floor))
 	}
 	return p, true
 }
 
 // candidates returns the members that might serve a read.
 func (a *attempt) candidates() []routing.Candidate {
-	relay := a.s.relay
-	authority, err := a.gate.Authority()
-	usual := a.group.usual(kindOf(a.route))
+	relay := a.session.relay
+	authority, err := a.guard.Authority()
+	typical := a.group.typicalDuration(classOf(a.route))
 	var candidates []routing.Candidate
 	for _, m := range relay.snapshot().MembersOf(a.route.Group) {
-		up := relay.upstreams.get(m.ID)
-		if up == nil {
+		upstream := relay.upstreams.get(m.ID)
+		if upstream == nil {
 			continue
 		}
-		c := up.view(a.now())
-		c.Slots, c.Work = m.Slots/placement.PerMember, usual
+		c := upstream.candidate(a.now())
+		c.Slots, c.Work = m.Slots/placement.PerMember, typical
 		if err == nil && m.ID == authority.Primary {
 			c.Primary = true
 		}
 		candidates = append(candidates, c)
 	}
-	relay.deferOutliers(candidates)
+	relay.deprioritizeOutliers(candidates)
 	return candidates
 }
 
 // deferOutliers leaves members that fail more than others out of a part of the choices.
-func (r *Relay) deferOutliers(candidates []routing.Candidate) {
+func (r *Relay) deprioritizeOutliers(candidates []routing.Candidate) {
 	failing := make([]float64, len(candidates))
-	for n, c := range candidates {
-		failing[n] = c.Failing
+	for i, c := range candidates {
+		failing[i] = c.Failing
 	}
-	for n, share := range outlier.Shares(failing) {
-		if up := r.upstreams.get(candidates[n].ID); up != nil {
-			candidates[n].Deferred = !up.takesPart(share)
+	for i, share := range outlier.Shares(failing) {
+		if upstream := r.upstreams.get(candidates[i].ID); upstream != nil {
+			candidates[i].Deferred = !upstream.inRotation(share)
 		}
 	}
 }
 
-func (a *attempt) tryOne(c routing.Candidate, required group.Position, waitUntil time.Duration, others bool) (statement.Answer, outcome) {
+func (a *attempt) tryCandidate(c routing.Candidate, required group.Position, waitUntil time.Duration, othersLeft bool) (statement.Answer, outcome) {
 	if c.Primary {
 		return a.tryPrimary(waitUntil)
 	}
-	up := a.s.relay.upstreams.get(c.ID)
-	if up == nil {
-		return statement.Answer{}, noRoom
+	upstream := a.session.relay.upstreams.get(c.ID)
+	if upstream == nil {
+		return statement.Answer{}, noConnection
 	}
 	timeout := a.deadline
-	if others {
-		timeout = min(timeout, max(waitUntil, a.now())+max(a.patience(), time.Duration(float64(a.route.LatencyObjective)*lostReadShare)))
+	if othersLeft {
+		timeout = min(timeout, max(waitUntil, a.now())+max(a.maxWorkTime(), time.Duration(float64(a.route.LatencyObjective)*readTimeoutFraction)))
 	}
-	return a.tryAt(a.ctx, target{up: up, after: required}, waitUntil, timeout)
+	return a.runAt(a.ctx, target{upstream: upstream, minPosition: required}, waitUntil, timeout)
 }
 
 // tryPrimary offers the statement to the primary, under a pass.
 func (a *attempt) tryPrimary(waitUntil time.Duration) (statement.Answer, outcome) {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
-	breaker := &breaker{cancel: cancel}
-	pass, err := a.gate.Enter(breaker.trip)
+	canceller := &workCanceller{cancelWait: cancel}
+	permit, err := a.guard.Enter(canceller.cancel)
 	if err != nil {
-		a.why = err.Error()
-		a.obstacle = &obstacle{reason: admission.Change, left: a.group.outage(a.now(), a.gate)}
-		return statement.Answer{}, noRoom
-	}
-	a.group.noteAuthority(a.now())
-	if !a.mayWrite(pass) {
-		pass.Done()
-		a.why = "the grant is not confirmed, and the members do not verify it"
-		a.obstacle = &obstacle{reason: admission.Change, left: a.group.lapse()}
-		return statement.Answer{}, noRoom
-	}
-	up := a.s.relay.upstreams.get(pass.Primary)
-	if up == nil {
-		pass.Done()
-		a.why = "the primary's entry is gone"
-		return statement.Answer{}, noRoom
-	}
-	answer, out := a.tryAt(ctx, target{up: up, pass: pass, breaker: breaker}, waitUntil, a.deadline)
-	if a.s.tx == nil || a.s.tx.pass != pass {
-		pass.Done()
-	}
-	return answer, out
+		a.reason = err.Error()
+		a.unavailable = &unavailability{reason: admission.Change, remaining: a.group.recordOutage(a.now(), a.guard)}
+		return statement.Answer{}, noConnection
+	}
+	a.group.recordPrimary(a.now())
+	if !a.maySendToPrimary(permit) {
+		permit.Done()
+		a.reason = "the grant is not confirmed, and the members do not verify it"
+		a.unavailable = &unavailability{reason: admission.Change, remaining: a.group.typicalLapse()}
+		return statement.Answer{}, noConnection
+	}
+	upstream := a.session.relay.upstreams.get(permit.Primary)
+	if upstream == nil {
+		permit.Done()
+		a.reason = "the primary's entry is gone"
+		return statement.Answer{}, noConnection
+	}
+	answer, result := a.runAt(ctx, target{upstream: upstream, permit: permit, canceller: canceller}, waitUntil, a.deadline)
+	if a.session.tx == nil || a.session.tx.permit != permit {
+		permit.Done()
+	}
+	return answer, result
 }
 
 // mayWrite reports whether work that may write can be sent to the primary: the
 // grant is confirmed, or the members could verify it a moment ago.
-func (a *attempt) mayWrite(pass *lead.Pass) bool {
-	return a.reads || pass.Standing() == lead.Confirmed || a.group.verifiedLately(a.now()) ||
-		a.s.relay.verify(a.ctx, a.group, pass.Authority, false)
+func (a *attempt) maySendToPrimary(permit *lead.Pass) bool {
+	return a.reads || permit.Standing() == lead.Confirmed || a.group.recentlyVerified(a.now()) ||
+		a.session.relay.verify(a.ctx, a.group, permit.Authority, false)
 }
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -13,8 +13,8 @@
 
 // The load: a read of one region, of a group with a member in each. Where both would have it
 // wait as long, it waits for the one of its region.
-func TestMembersOfAnotherRegion(t *testing.T) {
-	b := newBench(t)
+func TestReadPrefersMemberOfOwnRegion(t *testing.T) {
+	b := newFixture(t)
 	state := topology.New(0, 0)
 	state.SetConfig(b.snap.Config)
 	for id, dataCentre := range map[string]string{"m1": "a", "m2": "b"} {
@@ -24,12 +24,12 @@
 	}
 	snap := state.Snapshot()
 	b.snap = snap
-	b.relay.near, b.relay.places = "a", locality.New(map[string]string{"a": "x", "b": "y"})
-	b.relay.upstreams.Locate(b.relay.places)
+	b.relay.dataCentre, b.relay.localities = "a", locality.New(map[string]string{"a": "x", "b": "y"})
+	b.relay.upstreams.Locate(b.relay.localities)
 	b.relay.upstreams.Update(snap, placedFor(snap, 1), "a")
 	a := &attempt{
-		s: newSession(b.relay, Start{Database: "bounded"}), route: snap.Databases["bounded"],
-		group: b.relay.upstreams.group("g"), gate: b.gate, arrived: b.relay.now(), deadline: b.relay.now() + generous, reads: true,
+		session: newSession(b.relay, Start{Database: "bounded"}), route: snap.Databases["bounded"],
+		group: b.relay.upstreams.group("g"), guard: b.guard, arrived: b.relay.now(), deadline: b.relay.now() + generous, reads: true,
 	}
 	byID := make(map[string]routing.Candidate)
 	for _, c := range a.candidates() {
@@ -38,23 +38,23 @@
 	must.Eq(t, locality.SameDataCentre, byID["m1"].Distance)
 	must.Eq(t, locality.OtherRegion, byID["m2"].Distance)
 	for _, order := range [][]routing.Candidate{{byID["m1"], byID["m2"]}, {byID["m2"], byID["m1"]}} {
-		best, _ := a.best(order, group.Position{}, 0)
+		best, _ := a.fastest(order, group.Position{}, 0)
 		must.Eq(t, "m1", best.ID)
 	}
 }
 
 // The failure: a member answers every other attempt only. It takes part in fewer choices than
 // the other one, and in some.
-func TestCandidatesThatFail(t *testing.T) {
-	b := newBench(t)
+func TestFailingMemberIsDeprioritized(t *testing.T) {
+	b := newFixture(t)
 	bad := b.relay.upstreams.get("m2")
 	for range 50 {
-		bad.noteMiss(0)
-		bad.noteAnswer(0, 0, bad.position)
+		bad.recordFailedAttempt(0)
+		bad.recordAnswer(0, 0, bad.position)
 	}
 	a := &attempt{
-		s: newSession(b.relay, Start{Database: "bounded"}), route: b.snap.Databases["bounded"],
-		group: b.relay.upstreams.group("g"), gate: b.gate,
+		session: newSession(b.relay, Start{Database: "bounded"}), route: b.snap.Databases["bounded"],
+		group: b.relay.upstreams.group("g"), guard: b.guard,
 	}
 	const choices = 200
 	deferred := make(map[string]int)
--- a/internal/relay/entry_test.go
+++ b/internal/relay/entry_test.go
@@ -24,7 +24,7 @@
 
 // newEntry returns a relay without connections to members, whose statements another one
 // carries over loopback.
-func newEntry(t *testing.T, carrier *bench) *Relay {
+func newIngress(t *testing.T, carrier *fixture) *Relay {
 	t.Helper()
 	carrier.relay.StartCarrying()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,17 +41,17 @@
 			t.Errorf("serve: %v", err)
 		}
 	})
-	entry := New(Config{
+	ingress := New(Config{
 		Started: carrier.relay.started, Topology: carrier.topology, Current: func() bool { return true }, Known: func(string) Known { return Known{} }, Limiter: unlimited{},
 		Upstreams: carrier.relay.upstreams, Conns: conns, Log: carrier.relay.log, Metrics: metrics.NewSet(),
 	})
 	placed := &Placed{
-		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", placement.Carriers{Names: []string{"carrier"}}),
-		alive:    map[string]lead.Instance{"carrier": {Name: "carrier", Address: l.Addr().String()}},
+		carriers:  immutable.NewMap[string, placement.Carriers](nil).Set("g", placement.Carriers{Names: []string{"carrier"}}),
+		instances: map[string]lead.Instance{"carrier": {Name: "carrier", Address: l.Addr().String()}},
 	}
-	entry.SetCarriers(placed)
-	openSoon(t, entry.carrierConns, l.Addr().String()).release() // so that statements do not wait for the connection
-	return entry
+	ingress.SetCarriers(placed)
+	openWithRetries(t, ingress.carrierConns, l.Addr().String()).release() // so that statements do not wait for the connection
+	return ingress
 }
 
 // limiterOf returns a limiter that knows a relay's accounts, and whose clock stands still.
@@ -64,13 +64,13 @@
 }
 
 // hotLimiter is a carrier's Limiter that has no tokens for a while. It counts who asks.
-type hotLimiter struct {
+type emptyLimiter struct {
 	unlimited
 	shortage quota.Shortage
 	asked    int
 }
 
-func (h *hotLimiter) Spend(_ context.Context, name string, _ time.Duration) (quota.Token, quota.Shortage, bool) {
+func (h *emptyLimiter) Spend(_ context.Context, name string, _ time.Duration) (quota.Token, quota.Shortage, bool) {
 	if name != "hot" {
 		return quota.Token{}, quota.Shortage{}, true
 	}
@@ -81,45 +81,45 @@
 // An account that asks on beyond its limit is refused where its callers are connected,
 // each told a later time to come back; its carrier hears of the first of them only, and
 // others are served as before.
-func TestAccountAtItsLimitIsRefusedAtTheEntry(t *testing.T) {
-	b := newBench(t)
+func TestIngressRefusesAccountAtItsLimit(t *testing.T) {
+	b := newFixture(t)
 	limit := account.Limit{Rate: 10, Burst: 10}
 	b.setConfig(2, account.NewDirectory([]account.Account{
 		{Name: "hot", Keys: []account.Key{account.NewKey("key-hot")}, Limit: limit},
 		{Name: "cold", Keys: []account.Key{account.NewKey("key-cold")}, Limit: limit},
 	}))
-	carrier := &hotLimiter{shortage: quota.Shortage{ComeBack: comeBackLater, Without: 1}}
+	carrier := &emptyLimiter{shortage: quota.Shortage{ComeBack: testRetryAfter, Without: 1}}
 	b.relay.limiter = carrier
-	entry := newEntry(t, b)
-	entry.limiter = limiterOf(entry)
-	e := &bench{relay: entry}
+	ingress := newIngress(t, b)
+	ingress.limiter = limiterOf(ingress)
+	e := &fixture{relay: ingress}
 	var last time.Duration
 	for range 20 {
-		answer := e.run(newSession(entry, withKey("strict", "hot")), statement.Read, "READ 1")
+		answer := e.run(newSession(ingress, withKey("strict", "hot")), statement.Read, "READ 1")
 		must.Eq(t, statement.Busy, answer.Err.Code)
 		must.Greater(t, last, answer.Err.RetryAfter)
 		last = answer.Err.RetryAfter
-		must.Nil(t, e.run(newSession(entry, withKey("strict", "cold")), statement.Read, "READ 1").Err)
+		must.Nil(t, e.run(newSession(ingress, withKey("strict", "cold")), statement.Read, "READ 1").Err)
 	}
 	must.Eq(t, 1, carrier.asked)
 }
 
 // A carrier that could not ask those that hold the limit tells nothing, and the entry goes
 // on asking it; so it does where the carrier tells what cannot be.
-func TestEntryPassesOnWhereNothingIsKnown(t *testing.T) {
+func TestIngressForwardsWhenShortageIsUnknown(t *testing.T) {
 	for _, shortage := range []quota.Shortage{
 		{ComeBack: time.Second, Silent: 1}, {ComeBack: time.Second, Silent: 1, Without: 5}, {ComeBack: time.Second, Gone: 6}, {ComeBack: time.Second, Without: 2, Gone: 4},
 		{ComeBack: -time.Second, Without: 1}, {ComeBack: time.Hour, Without: 1},
 	} {
-		b := newBench(t)
-		b.declare(2, "hot")
-		carrier := &hotLimiter{shortage: shortage}
+		b := newFixture(t)
+		b.declareAccounts(2, "hot")
+		carrier := &emptyLimiter{shortage: shortage}
 		b.relay.limiter = carrier
-		entry := newEntry(t, b)
-		entry.limiter = limiterOf(entry)
-		e := &bench{relay: entry}
+		ingress := newIngress(t, b)
+		ingress.limiter = limiterOf(ingress)
+		e := &fixture{relay: ingress}
 		for range 20 {
-			refusal := e.run(newSession(entry, withKey("strict", "hot")), statement.Read, "READ 1").Err
+			refusal := e.run(newSession(ingress, withKey("strict", "hot")), statement.Read, "READ 1").Err
 			must.Eq(t, statement.Busy, refusal.Code)
 			must.StrContains(t, refusal.Detail, "the account is at its limit")
 		}
--- a/internal/relay/failures_test.go
+++ b/internal/relay/failures_test.go
@@ -9,46 +9,46 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestFailuresAreNamedOnceASecond(t *testing.T) {
-	f := newFailures()
-	busy := cause{group: "g", outcome: "busy", why: "full"}
-	f.note(busy, "a")
-	f.note(cause{group: "g", outcome: "aborted"}, "b")
-	f.note(busy, "c")
-	must.MapEmpty(t, f.take(failurePeriod-1))
-	taken := f.take(failurePeriod)
+func TestFailuresAreLoggedOncePerInterval(t *testing.T) {
+	f := newFailureLog()
+	busy := failureCause{group: "g", outcome: "busy", detail: "full"}
+	f.add(busy, "a")
+	f.add(failureCause{group: "g", outcome: "aborted"}, "b")
+	f.add(busy, "c")
+	must.MapEmpty(t, f.takeBatch(failureLogInterval-1))
+	taken := f.takeBatch(failureLogInterval)
 	must.MapLen(t, 2, taken)
 	must.Eq(t, "a c", taken[busy].ids.String())
-	must.MapEmpty(t, f.take(time.Hour), must.Sprint("nothing failed since"))
+	must.MapEmpty(t, f.takeBatch(time.Hour), must.Sprint("nothing failed since"))
 }
 
 // However much fails, lines and memory are bounded, and what is not named is counted.
 func TestFailuresAreBounded(t *testing.T) {
-	f := newFailures()
-	for n := range 10 * failureCauses {
-		for id := range 2 * failureIDs {
-			f.note(cause{why: fmt.Sprint(n)}, fmt.Sprint(id))
+	f := newFailureLog()
+	for n := range 10 * maxFailureCauses {
+		for id := range 2 * maxLoggedIDs {
+			f.add(failureCause{detail: fmt.Sprint(n)}, fmt.Sprint(id))
 		}
 	}
-	taken := f.take(failurePeriod)
-	must.MapLen(t, failureCauses, taken)
+	taken := f.takeBatch(failureLogInterval)
+	must.MapLen(t, maxFailureCauses, taken)
 	count := 0
 	for _, b := range taken {
-		must.Eq(t, failureIDs, b.named)
-		must.Eq(t, failureIDs-1, strings.Count(b.ids.String(), " "))
-		count += b.named + b.leftOut
+		must.Eq(t, maxLoggedIDs, b.listed)
+		must.Eq(t, maxLoggedIDs-1, strings.Count(b.ids.String(), " "))
+		count += b.listed + b.omitted
 	}
-	must.Eq(t, 10*failureCauses*2*failureIDs, count)
+	must.Eq(t, 10*maxFailureCauses*2*maxLoggedIDs, count)
 }
 
 // A thousand failures a second cost some tenth of a millisecond of processor time.
-func BenchmarkFailures(b *testing.B) {
-	f := newFailures()
+func BenchmarkFailureLog(b *testing.B) {
+	f := newFailureLog()
 	b.ReportAllocs()
 	for n := range b.N {
-		f.note(cause{group: "g", outcome: "busy", why: "no connection came free before the deadline"}, "5fd9756185aa9979")
+		f.add(failureCause{group: "g", outcome: "busy", detail: "no connection came free before the deadline"}, "5fd9756185aa9979")
 		if n%1000 == 999 {
-			f.take(time.Duration(n) * failurePeriod)
+			f.takeBatch(time.Duration(n) * failureLogInterval)
 		}
 	}
 }
--- a/internal/relay/first.go
+++ b/internal/relay/first.go
@@ -15,105 +15,105 @@
 
 // attempt is the work on one first statement.
 type attempt struct {
-	ctx      context.Context // ends when nobody waits for the answer any more
-	s        *session
-	st       statement.Statement
-	needed   *member.Prepared
-	route    topology.Route
-	account  string // whose connections it may use
-	token    quota.Token
-	group    *groupState
-	gate     *lead.Gate
-	arrived  time.Duration
-	deadline time.Duration // for the whole answer
-	reads    bool
-	offered  bool // a member that could run it was asked
-	maybeRun bool // a member may have run it, without an answer that could be passed on
-	atLimit  bool // it may not be sent again, since the account is at its limit
-	tries    int
-	why      string // the last refusal, for the caller and the log
+	ctx        context.Context // ends when nobody waits for the answer any more
+	session    *session
+	st         statement.Statement
+	prepared   *member.Prepared
+	route      topology.Route
+	account    string // whose connections it may use
+	token      quota.Token
+	group      *groupState
+	guard      *lead.Gate
+	arrived    time.Duration
+	deadline   time.Duration // for the whole answer
+	reads      bool
+	offered    bool // a member that could run it was asked
+	mayHaveRun bool // a member may have run it, without an answer that could be passed on
+	atLimit    bool // it may not be sent again, since the account is at its limit
+	rounds     int
+	reason     string // the last refusal, for the caller and the log
 
-	verdict  admission.Verdict // on the wait for the member that was chosen last
-	decided  bool              // there is a verdict, which stands until the statement has run
-	queuedAt time.Duration     // since when it waits in queues; 0: it does not
-	obstacle *obstacle         // why no member could be asked in this round, other than that all are full
-	full     bool              // a member that can be reached had no room in this round
-	waits    bool              // it was found worth holding although there is an obstacle
+	verdict          admission.Verdict // on the wait for the member that was chosen last
+	hasVerdict       bool              // there is a verdict, which stands until the statement has run
+	queuedAt         time.Duration     // since when it waits in queues; 0: it does not
+	unavailable      *unavailability   // why no member could be asked in this round, other than that all are full
+	saturated        bool              // a member that can be reached had no room in this round
+	waitsForRecovery bool              // it was found worth holding although there is an obstacle
 
-	failures int              // members that ran the read and failed
-	failed   statement.Answer // of the last of them
+	readFailures int              // members that ran the read and failed
+	lastFailure  statement.Answer // of the last of them
 
-	lastMember string         // that was tried last
-	lastAfter  group.Position // what its log had to hold
+	lastMember      string         // that was tried last
+	lastMinPosition group.Position // what its log had to hold
 }
 
 // outcome is how one try at a member ended.
 type outcome int
 
 const (
-	served  outcome = iota // the answer is the caller's
-	notRun                 // nothing ran; try elsewhere
-	noRoom                 // no connection came free; nothing was sent
-	unknown                // it may have run
+	served         outcome = iota // the answer is the caller's
+	notRun                        // nothing ran; try elsewhere
+	noConnection                  // no connection came free; nothing was sent
+	unknownOutcome                // it may have run
 )
 
 // first runs a statement outside a transaction, or opens one.
-func (s *session) first(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
-	route, account, refusal := s.admitFirst()
+func (s *session) executeFirst(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
+	route, account, refusal := s.admitTransaction()
 	if refusal != nil {
 		return statement.Answer{State: statement.Idle, Err: refusal}
 	}
-	needed, known := s.needed(st)
+	needed, known := s.preparedFor(st)
 	if !known {
 		return statement.Failure(statement.Idle, statement.Unprepared, "no statement %q was prepared in this session", st.Name)
 	}
-	if carriers := s.relay.CarriersOf(route.Group); !carriers.Here && !s.carried {
-		needsPrimary := !s.reads(st) || route.Consistency == topology.Strict
+	if carriers := s.relay.CarriersOf(route.Group); !carriers.Here && !s.forwarded {
+		needsPrimary := !s.readsOnly(st) || route.Consistency == topology.Strict
 		s.account = account
-		if refusal := s.refuseAtDoor(account, route); refusal != nil {
+		if refusal := s.rejectFromCache(account, route); refusal != nil {
 			return statement.Answer{State: statement.Idle, Err: refusal}
 		}
-		return s.carry(ctx, st, route, s.relay.carrierOrder(carriers, route.Group, account, needsPrimary), arrived)
+		return s.forward(ctx, st, route, s.relay.orderCarriers(carriers, route.Group, account, needsPrimary), arrived)
 	}
-	token, refusal := s.spend(ctx, account, route, arrived)
+	token, refusal := s.spendToken(ctx, account, route, arrived)
 	if refusal != nil {
 		return statement.Answer{State: statement.Idle, Err: refusal}
 	}
 	a := &attempt{
-		ctx: ctx, s: s, st: st, needed: needed, route: route, account: account, token: token,
-		group: s.relay.upstreams.group(route.Group), gate: s.relay.Gate(route.Group),
-		arrived: arrived, deadline: arrived + route.Timeout, reads: s.reads(st),
-		why: "no member could be asked",
+		ctx: ctx, session: s, st: st, prepared: needed, route: route, account: account, token: token,
+		group: s.relay.upstreams.group(route.Group), guard: s.relay.Gate(route.Group),
+		arrived: arrived, deadline: arrived + route.Timeout, reads: s.readsOnly(st),
+		reason: "no member could be asked",
 	}
 	answer := a.run()
-	s.relay.observe(a, answer)
+	s.relay.recordOutcome(a, answer)
 	return answer
 }
 
 // run tries members until one has served the statement or time is up.
 func (a *attempt) run() statement.Answer {
 	for {
-		a.obstacle, a.full = nil, false
-		answer, out := a.round()
+		a.unavailable, a.saturated = nil, false
+		answer, out := a.tryRound()
 		switch out {
 		case served:
 			return answer
-		case unknown:
-			return a.giveUpUnknown()
+		case unknownOutcome:
+			return a.answerUnknown()
 		}
-		if a.callerGone() {
-			a.s.relay.noteCallerGone(a.route.Database, "here", a.now()-a.arrived)
+		if a.clientGone() {
+			a.session.relay.recordClientGone(a.route.Database, "here", a.now()-a.arrived)
 			return a.refuse()
 		}
-		if a.atLimit || !a.worthHolding() {
+		if a.atLimit || !a.shouldRetry() {
 			return a.refuse()
 		}
-		a.pause()
+		a.waitBeforeRetry()
 	}
 }
 
 // now returns the time since the instance started.
-func (a *attempt) now() time.Duration { return a.s.relay.now() }
+func (a *attempt) now() time.Duration { return a.session.relay.now() }
 
 func (a *attempt) needsPrimary() bool {
 	return !a.reads || a.route.Consistency == topology.Strict
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -14,45 +14,47 @@
 	// answerMargin is kept of the time that a statement has, for the answer to leave.
 	answerMargin = 8 * time.Millisecond
 	// retryPause is the pause after all members have refused.
-	retryPause = 6 * time.Millisecond
+	retryDelay = 6 * time.Millisecond
 	// stayTimes is how many times its predicted wait a read stays in the queue of one
 	// member before the members are compared again.
-	stayTimes = 2
+	maxWaitMultiple = 2
 	// comeBack is the advice of a refusal when nothing better is known.
-	comeBack = 50 * time.Millisecond
+	defaultRetryAfter = 50 * time.Millisecond
 )
 
 // obstacle is why a member could not be asked, other than that it is full.
-type obstacle struct {
-	reason admission.Reason
-	left   time.Duration // for which it is expected to last
+type unavailability struct {
+	reason    admission.Reason
+	remaining time.Duration // for which it is expected to last
 }
 
 // unreachable is the obstacle of a member to which no connection can be had.
-func unreachable(up *upstream, now time.Duration) *obstacle {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return &obstacle{reason: admission.Unreachable, left: admission.Silence(up.silent(now))}
+func unreachableMember(upstream *upstreamState, now time.Duration) *unavailability {
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	return &unavailability{reason: admission.Unreachable, remaining: admission.Silence(upstream.unresponsiveFor(now))}
 }
 
 // silent returns for how long the member has not answered although it was asked. The
 // caller holds mu.
-func (up *upstream) silent(now time.Duration) time.Duration { return up.health.SilentFor(now) }
+func (u *upstreamState) unresponsiveFor(now time.Duration) time.Duration {
+	return u.health.SilentFor(now)
+}
 
 // request returns what admission needs to know of the statement. One that arrives late,
 // since others could not run it, is treated as its caller's next attempt would be.
-func (a *attempt) request() admission.Request {
-	left := max(0, a.deadline-a.now())
+func (a *attempt) admissionRequest() admission.Request {
+	timeLeft := max(0, a.deadline-a.now())
 	return admission.Request{
-		ID: a.st.ID, Usual: a.group.usual(kindOf(a.route)), Objective: min(a.route.LatencyObjective, left), Deadline: left,
+		ID: a.st.ID, Usual: a.group.typicalDuration(classOf(a.route)), Objective: min(a.route.LatencyObjective, timeLeft), Deadline: timeLeft,
 	}
 }
 
 // level returns the priority of the statement among those that are told apart.
-func (a *attempt) level() int { return min(max(a.route.Priority, 0), lowestPriority) }
+func (a *attempt) priorityLevel() int { return min(max(a.route.Priority, 0), lastPriorityLevel) }
 
 // work returns what the statement needs.
-func (a *attempt) work() admission.Work {
+func (a *attempt) queueTarget() admission.Work {
 	if a.needsPrimary() {
 		return admission.OnPrimary
 	}
@@ -60,28 +62,28 @@
 }
 
 // decide returns whether the wait for a member is worth it.
-func (up *upstream) decide(now time.Duration, level int, r admission.Request, work admission.Work) admission.Verdict {
-	backlog := up.backlog(level, work)
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	if silent := up.silent(now); silent > 0 && up.probing {
-		return admission.DecideOutage(r, admission.Silence(silent), admission.Unreachable)
+func (u *upstreamState) decideAdmission(now time.Duration, level int, r admission.Request, target admission.Work) admission.Verdict {
+	backlog := u.backlog(level, target)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if unresponsive := u.unresponsiveFor(now); unresponsive > 0 && u.probing {
+		return admission.DecideOutage(r, admission.Silence(unresponsive), admission.Unreachable)
 	}
-	return up.levels[work][level].Decide(now, r, up.slowed(now, backlog))
+	return u.controllers[target][level].Decide(now, r, u.withSlowdown(now, backlog))
 }
 
 // slowed returns a backlog with how slow the member is. The caller holds mu.
-func (up *upstream) slowed(now time.Duration, b admission.Backlog) admission.Backlog {
-	b.Slowdown = up.window.Slowdown()
+func (u *upstreamState) withSlowdown(now time.Duration, b admission.Backlog) admission.Backlog {
+	b.Slowdown = u.throttle.Slowdown()
 	if b.Paused -= now; b.Paused > 0 {
-		b.Slowdown = max(1, b.Slowdown) / up.window.Share() // it works for this instance for a share of the time
+		b.Slowdown = max(1, b.Slowdown) / u.throttle.Share() // it works for this instance for a share of the time
 	}
 	return b
 }
 
-func (up *upstream) backlog(level int, work admission.Work) admission.Backlog {
-	b := up.pool.Backlog(level)
-	if work == admission.OnReplica {
+func (u *upstreamState) backlog(level int, target admission.Work) admission.Backlog {
+	b := u.pool.Backlog(level)
+	if target == admission.OnReplica {
 		b.Slots = b.Flexible
 	} else {
 		b.PausedUntil = 0 // a pause holds flexible requests only
@@ -92,64 +94,64 @@
 // waitForPrimary has the statement wait for the primary if that is worth it. A statement that
 // was admitted once stays so.
 func (a *attempt) waitForPrimary() (statement.Answer, outcome) {
-	if authority, err := a.gate.Authority(); err == nil && !a.decided {
-		if up := a.s.relay.upstreams.get(authority.Primary); up != nil {
-			a.verdict, a.decided = up.decide(a.now(), a.level(), a.request(), a.work()), true
-			a.lastMember = up.id
+	if authority, err := a.guard.Authority(); err == nil && !a.hasVerdict {
+		if upstream := a.session.relay.upstreams.get(authority.Primary); upstream != nil {
+			a.verdict, a.hasVerdict = upstream.decideAdmission(a.now(), a.priorityLevel(), a.admissionRequest(), a.queueTarget()), true
+			a.lastMember = upstream.id
 		}
 	}
-	if a.decided && !a.verdict.Admit {
-		a.why = "what waits for the primary already takes longer than the statement can wait"
-		return statement.Answer{}, noRoom
+	if a.hasVerdict && !a.verdict.Admit {
+		a.reason = "what waits for the primary already takes longer than the statement can wait"
+		return statement.Answer{}, noConnection
 	}
-	return a.tryPrimary(a.holdUntil())
+	return a.tryPrimary(a.queueDeadline())
 }
 
 // waitAtBest has a read wait for the member at which it is expected to run first.
-func (a *attempt) waitAtBest(order []routing.Candidate, required group.Position, age time.Duration) (statement.Answer, outcome) {
+func (a *attempt) waitAtFastest(order []routing.Candidate, required group.Position, positionAge time.Duration) (statement.Answer, outcome) {
 	if len(order) == 0 {
-		a.why = "no member is known that could serve it"
-		return statement.Answer{}, noRoom
+		a.reason = "no member is known that could serve it"
+		return statement.Answer{}, noConnection
 	}
-	best, verdict := a.best(order, required, age)
-	if !a.decided {
-		a.verdict, a.decided = verdict, true
+	fastest, verdict := a.fastest(order, required, positionAge)
+	if !a.hasVerdict {
+		a.verdict, a.hasVerdict = verdict, true
 	}
 	if !a.verdict.Admit {
-		a.lastMember, a.why = best.ID, "what waits at the members already takes longer than the statement can wait"
-		return statement.Answer{}, noRoom
+		a.lastMember, a.reason = fastest.ID, "what waits at the members already takes longer than the statement can wait"
+		return statement.Answer{}, noConnection
 	}
-	stay := max(retryPause, stayTimes*verdict.Wait)
-	return a.tryOne(best, required, min(a.now()+stay, a.holdUntil()), len(order) > 1)
+	maxWait := max(retryDelay, maxWaitMultiple*verdict.Wait)
+	return a.tryCandidate(fastest, required, min(a.now()+maxWait, a.queueDeadline()), len(order) > 1)
 }
 
 // best returns the member at which a read is expected to run first, of those that are
 // fit to serve it where there are such. The first of equals is the one that routing prefers.
-func (a *attempt) best(order []routing.Candidate, required group.Position, age time.Duration) (routing.Candidate, admission.Verdict) {
-	now, request := a.now(), a.request()
-	best, verdict, soonest := order[0], admission.Verdict{Admit: true}, time.Duration(0)
+func (a *attempt) fastest(order []routing.Candidate, required group.Position, positionAge time.Duration) (routing.Candidate, admission.Verdict) {
+	now, req := a.now(), a.admissionRequest()
+	fastest, verdict, soonest := order[0], admission.Verdict{Admit: true}, time.Duration(0)
 	for i, c := range order {
-		up := a.s.relay.upstreams.get(c.ID)
-		if up == nil || i > 0 && !c.Fit(required, age) {
+		upstream := a.session.relay.upstreams.get(c.ID)
+		if upstream == nil || i > 0 && !c.Fit(required, positionAge) {
 			continue
 		}
-		v := up.decide(now, a.level(), request, a.work())
-		if at := v.Wait + c.Trip(); i == 0 || at < soonest {
-			best, verdict, soonest = c, v, at
+		v := upstream.decideAdmission(now, a.priorityLevel(), req, a.queueTarget())
+		if runsAt := v.Wait + c.Trip(); i == 0 || runsAt < soonest {
+			fastest, verdict, soonest = c, v, runsAt
 		}
 	}
-	return best, verdict
+	return fastest, verdict
 }
 
 // place is a statement's place in the queue before a member.
-type place struct {
-	a     *attempt
-	up    *upstream
-	probe bool // it shows whether a member is there that has not answered
+type queueEntry struct {
+	attempt  *attempt
+	upstream *upstreamState
+	probe    bool // it shows whether a member is there that has not answered
 }
 
 // enterQueue notes that the statement may wait for a member until a time; nil: it does not.
-func (a *attempt) enterQueue(up *upstream, until time.Duration) *place {
+func (a *attempt) enterQueue(upstream *upstreamState, until time.Duration) *queueEntry {
 	now := a.now()
 	if until <= now {
 		return nil
@@ -157,102 +159,104 @@
 	if a.queuedAt == 0 {
 		a.queuedAt = now
 	}
-	p := &place{a: a, up: up}
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.level(a).Began(now)
-	if !up.probing && up.silent(now) > 0 {
-		p.probe, up.probing = true, true
+	entry := &queueEntry{attempt: a, upstream: upstream}
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	upstream.controllerFor(a).Began(now)
+	if !upstream.probing && upstream.unresponsiveFor(now) > 0 {
+		entry.probe, upstream.probing = true, true
 	}
-	return p
+	return entry
 }
 
 // level returns what is known of statements like this one. The caller holds mu.
-func (up *upstream) level(a *attempt) *admission.Level { return &up.levels[a.work()][a.level()] }
+func (u *upstreamState) controllerFor(a *attempt) *admission.Level {
+	return &u.controllers[a.queueTarget()][a.priorityLevel()]
+}
 
 // leave notes that the statement waits no longer.
-func (p *place) leave(granted bool) {
-	if p == nil {
+func (e *queueEntry) leaveQueue(granted bool) {
+	if e == nil {
 		return
 	}
-	now := p.a.now()
-	p.up.mu.Lock()
-	defer p.up.mu.Unlock()
-	if p.probe && !granted {
-		p.up.probing = false
+	now := e.attempt.now()
+	e.upstream.mu.Lock()
+	defer e.upstream.mu.Unlock()
+	if e.probe && !granted {
+		e.upstream.probing = false
 	}
-	p.up.level(p.a).Left(now, granted)
+	e.upstream.controllerFor(e.attempt).Left(now, granted)
 	if granted {
-		p.a.learnWait(p.up, now)
+		e.attempt.recordQueueWait(e.upstream, now)
 	}
 }
 
 // shown notes that what the statement was to show of the member is known.
-func (p *place) shown() {
-	if p == nil || !p.probe {
+func (e *queueEntry) finishProbe() {
+	if e == nil || !e.probe {
 		return
 	}
-	p.up.mu.Lock()
-	defer p.up.mu.Unlock()
-	p.up.probing = false
+	e.upstream.mu.Lock()
+	defer e.upstream.mu.Unlock()
+	e.upstream.probing = false
 }
 
 // learnWait compares how long the statement has waited with what was predicted when it was
 // admitted. The caller holds up.mu.
-func (a *attempt) learnWait(up *upstream, now time.Duration) {
+func (a *attempt) recordQueueWait(upstream *upstreamState, now time.Duration) {
 	if a.queuedAt == 0 {
 		return
 	}
-	up.level(a).Waited(now-a.queuedAt, a.verdict.Predicted)
-	a.s.relay.observeWait(a, now-a.queuedAt)
+	upstream.controllerFor(a).Waited(now-a.queuedAt, a.verdict.Predicted)
+	a.session.relay.recordWait(a, now-a.queuedAt)
 	a.queuedAt = 0
 }
 
 // worthHolding reports whether the statement is held for another round.
-func (a *attempt) worthHolding() bool {
-	if a.decided && !a.verdict.Admit {
+func (a *attempt) shouldRetry() bool {
+	if a.hasVerdict && !a.verdict.Admit {
 		return false
 	}
-	if a.obstacle != nil && !a.full && !a.waits {
-		v := admission.DecideOutage(a.request(), a.obstacle.left, a.obstacle.reason)
+	if a.unavailable != nil && !a.saturated && !a.waitsForRecovery {
+		v := admission.DecideOutage(a.admissionRequest(), a.unavailable.remaining, a.unavailable.reason)
 		if !v.Admit {
-			a.verdict, a.decided = v, true
+			a.verdict, a.hasVerdict = v, true
 			return false
 		}
-		a.waits = true
+		a.waitsForRecovery = true
 	}
-	return a.now()+retryPause < a.holdUntil()
+	return a.now()+retryDelay < a.queueDeadline()
 }
 
 // holdUntil returns until when the statement may be held: for its objective, and beyond that
 // until its deadline is near if it was admitted and its queue is not overloaded. Where
 // others are refused, one that is late takes the room of one that would be in time.
-func (a *attempt) holdUntil() time.Duration {
+func (a *attempt) queueDeadline() time.Duration {
 	objective := min(a.deadline, a.arrived+a.route.LatencyObjective)
-	if !a.decided || a.offered || a.waits || a.now()+retryPause < objective || a.overloaded() {
+	if !a.hasVerdict || a.offered || a.waitsForRecovery || a.now()+retryDelay < objective || a.overloaded() {
 		return objective
 	}
-	return a.deadline - answerMargin - a.group.usual(kindOf(a.route))
+	return a.deadline - answerMargin - a.group.typicalDuration(classOf(a.route))
 }
 
 // overloaded reports whether statements like this one are refused at the member that it
 // waits for.
 func (a *attempt) overloaded() bool {
-	up := a.s.relay.upstreams.get(a.lastMember)
-	if up == nil {
+	upstream := a.session.relay.upstreams.get(a.lastMember)
+	if upstream == nil {
 		return false
 	}
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.level(a).Overloaded(a.now())
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	return upstream.controllerFor(a).Overloaded(a.now())
 }
 
 // pause waits for a moment, or until the group's primary changes or nobody waits any more.
-func (a *attempt) pause() {
-	timer := time.NewTimer(retryPause)
+func (a *attempt) waitBeforeRetry() {
+	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
 	select {
-	case <-a.gate.Changed():
+	case <-a.guard.Changed():
 	case <-a.ctx.Done():
 	case <-timer.C:
 	}
@@ -261,43 +265,43 @@
 // refuse gives the statement up. Nothing of it has run, but for a read that failed, or
 // whose answer was lost.
 func (a *attempt) refuse() statement.Answer {
-	if !a.maybeRun {
-		a.s.relay.limiter.Return(a.account, a.token)
+	if !a.mayHaveRun {
+		a.session.relay.limiter.Return(a.account, a.token)
 	}
-	if a.failures > 0 {
-		return a.failed
+	if a.readFailures > 0 {
+		return a.lastFailure
 	}
-	if up := a.s.relay.upstreams.get(a.lastMember); up != nil && a.waitedInVain() {
-		up.mu.Lock()
-		a.learnWait(up, a.now())
-		up.mu.Unlock()
+	if upstream := a.session.relay.upstreams.get(a.lastMember); upstream != nil && a.waitExceededPrediction() {
+		upstream.mu.Lock()
+		a.recordQueueWait(upstream, a.now())
+		upstream.mu.Unlock()
 	}
-	answer := statement.Failure(statement.Idle, statement.Busy, "not run: %s", a.why)
-	answer.Err.RetryAfter = a.comeBack()
-	a.s.relay.noteRefusal(a, answer.Err.RetryAfter)
+	answer := statement.Failure(statement.Idle, statement.Busy, "not run: %s", a.reason)
+	answer.Err.RetryAfter = a.retryAfter()
+	a.session.relay.recordRefusal(a, answer.Err.RetryAfter)
 	return answer
 }
 
 // waitedInVain reports whether the statement has waited for longer than was predicted. One that
 // ended before, since its caller left or its account is at its limit, tells nothing.
-func (a *attempt) waitedInVain() bool { return a.now()-a.queuedAt > a.verdict.Predicted }
+func (a *attempt) waitExceededPrediction() bool { return a.now()-a.queuedAt > a.verdict.Predicted }
 
 // comeBack returns after what time the caller is told to try again.
-func (a *attempt) comeBack() time.Duration {
+func (a *attempt) retryAfter() time.Duration {
 	switch {
 	case a.verdict.ComeBack > 0:
 		return a.verdict.ComeBack
-	case a.obstacle != nil:
-		return admission.ComeBackAfter(a.request(), a.obstacle.left)
+	case a.unavailable != nil:
+		return admission.ComeBackAfter(a.admissionRequest(), a.unavailable.remaining)
 	}
-	if up := a.s.relay.upstreams.get(a.lastMember); up != nil {
-		if v := up.decide(a.now(), a.level(), a.request(), a.work()); v.Wait > 0 {
-			return admission.ComeBack(a.request(), v.Wait, 0)
+	if upstream := a.session.relay.upstreams.get(a.lastMember); upstream != nil {
+		if v := upstream.decideAdmission(a.now(), a.priorityLevel(), a.admissionRequest(), a.queueTarget()); v.Wait > 0 {
+			return admission.ComeBack(a.admissionRequest(), v.Wait, 0)
 		}
 	}
-	return comeBack
+	return defaultRetryAfter
 }
 
-func (a *attempt) giveUpUnknown() statement.Answer {
-	return statement.Failure(statement.Idle, statement.Unknown, "it may have run: %s", a.why)
+func (a *attempt) answerUnknown() statement.Answer {
+	return statement.Failure(statement.Idle, statement.Unknown, "it may have run: %s", a.reason)
 }
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -21,7 +21,7 @@
 )
 
 // fill takes all slots of the primary, and has further requests of some work wait.
-func fill(t *testing.T, b *bench, waiting int, work time.Duration) []*connpool.Lease[*member.Shared] {
+func fillSlots(t *testing.T, b *fixture, waiting int, work time.Duration) []*connpool.Lease[*member.Shared] {
 	t.Helper()
 	p := b.relay.upstreams.get("m1").pool
 	var leases []*connpool.Lease[*member.Shared]
@@ -38,25 +38,25 @@
 }
 
 // learn makes known what a statement of a database usually takes.
-func learn(b *bench, database string, usual time.Duration) {
+func learnDuration(b *fixture, database string, usual time.Duration) {
 	for range 100 {
-		b.relay.pace(b.relay.upstreams.get("m1"), b.relay.upstreams.group("g"), b.snap.Databases[database], usual)
+		b.relay.paceMember(b.relay.upstreams.get("m1"), b.relay.upstreams.group("g"), b.snap.Databases[database], usual)
 	}
 }
 
 // refusals returns how many statements were refused for a reason.
-func refusals(b *bench, reason string) uint64 {
-	return b.relay.set.GetOrCreateCounter(`stackspindle_refusals_total{reason="` + reason + `",priority="0"}`).Get()
+func refusals(b *fixture, reason string) uint64 {
+	return b.relay.metrics.GetOrCreateCounter(`stackspindle_refusals_total{reason="` + reason + `",priority="0"}`).Get()
 }
 
 // The load: a primary with more before it than it can run in the statement's time. What
 // cannot run in time is refused before it waits, and told to come back when the queue has
 // drained; what can is held.
-func TestRefusedAtOnceBeforeALongQueue(t *testing.T) {
-	b := newBench(t)
+func TestStatementIsRefusedBeforeLongQueue(t *testing.T) {
+	b := newFixture(t)
 	const waiting, work = 20, 100 * time.Millisecond
-	learn(b, "hurried", work)
-	fill(t, b, waiting, work)
+	learnDuration(b, "hurried", work)
+	fillSlots(t, b, waiting, work)
 	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Eq(t, 1, refusals(b, "late"))
@@ -67,12 +67,12 @@
 
 // The load: all slots are taken in the first second after a start, when nothing usual is
 // known. A statement is held past its objective while its deadline leaves it time.
-func TestAdmittedStatementIsHeldUntilItRuns(t *testing.T) {
-	b := newBench(t)
+func TestAdmittedStatementIsQueuedPastItsObjective(t *testing.T) {
+	b := newFixture(t)
 	route := b.snap.Databases["strict"]
 	route.LatencyObjective = time.Millisecond
 	b.snap.Databases["strict"] = route
-	leases := fill(t, b, 0, 0)
+	leases := fillSlots(t, b, 0, 0)
 	answered := make(chan statement.Answer, 1)
 	go func() {
 		answered <- b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 1 x")
@@ -87,9 +87,9 @@
 
 // The failure: the primary is being changed. A statement whose time is over before the next
 // one can be there is refused at once and told when that should be; one that has the time waits.
-func TestStatementsDuringAChangeOfPrimary(t *testing.T) {
-	b := newBench(t)
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
+func TestStatementsDuringChangeOfPrimary(t *testing.T) {
+	b := newFixture(t)
+	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
 	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Eq(t, 1, refusals(b, "no_primary"))
@@ -98,40 +98,40 @@
 	go func() {
 		answered <- b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x")
 	}()
-	time.Sleep(5 * retryPause)
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
-	b.gate.Confirm(b.relay.now())
+	time.Sleep(5 * retryDelay)
+	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
+	b.guard.Confirm(b.relay.now())
 	must.Nil(t, (<-answered).Err)
 }
 
 // How long a change took is learned by the statements that it kept waiting.
-func TestLengthOfOutagesIsLearned(t *testing.T) {
+func TestOutageDurationIsLearned(t *testing.T) {
 	g := &groupState{}
 	gate := lead.NewGate(func() time.Duration { return 300 * time.Millisecond })
 	gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
-	g.outage(300*time.Millisecond, gate)
-	g.noteAuthority(320 * time.Millisecond)
-	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true))
-	g.outage(400*time.Millisecond, gate)
-	g.noteAuthority(time.Hour)
-	must.Eq(t, 20*time.Millisecond, g.outages.learned.Left(0, true), must.Sprint("no statement saw its end"))
+	g.recordOutage(300*time.Millisecond, gate)
+	g.recordPrimary(320 * time.Millisecond)
+	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true))
+	g.recordOutage(400*time.Millisecond, gate)
+	g.recordPrimary(time.Hour)
+	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true), must.Sprint("no statement saw its end"))
 }
 
 // A carrier tells in its replies how long statements wait there, and nothing while none do.
-func TestCarrierTellsItsWaits(t *testing.T) {
-	b := newBench(t)
+func TestCarrierReportsQueueingDelays(t *testing.T) {
+	b := newFixture(t)
 	b.relay.StartCarrying()
 	server := NewCarrierServer(b.relay)
 	read := &relaypb.CarryRequest{Database: "strict", Id: "x", Text: "READ 1", Kind: int32(statement.Read)}
-	reply := server.run(context.Background(), &carriedSession{}, read)
+	reply := server.runStatement(context.Background(), &forwardedSession{}, read)
 	must.Zero(t, reply.Code)
 	must.SliceEmpty(t, reply.PrimaryWaitUs)
 	must.SliceEmpty(t, reply.ReplicaWaitUs)
 
-	b = newBench(t)
-	learn(b, "hurried", 100*time.Millisecond)
-	fill(t, b, 20, 100*time.Millisecond)
-	b.relay.tell(reply, "g")
+	b = newFixture(t)
+	learnDuration(b, "hurried", 100*time.Millisecond)
+	fillSlots(t, b, 20, 100*time.Millisecond)
+	b.relay.addWaitForecast(reply, "g")
 	must.Positive(t, reply.PrimaryWaitUs[0])
 	must.SliceEmpty(t, reply.ReplicaWaitUs, must.Sprint("the replica has room"))
 }
@@ -168,8 +168,8 @@
 
 // The load: one carrier has more than it can run, or cannot reach the primary, and another can. The statement
 // that the first refuses is run by the second, and further ones are not offered to the first.
-func TestStatementGoesToTheCarrierThatHasRoom(t *testing.T) {
-	b := newBench(t)
+func TestStatementGoesToCarrierWithCapacity(t *testing.T) {
+	b := newFixture(t)
 	full, first := newFakeCarrier(t, &relaypb.CarryReply{
 		Code: int32(statement.Busy), State: uint32(statement.Idle), PrimaryWaitUs: []uint32{9e6}, Position: encodePosition(group.Position{}),
 	})
@@ -179,19 +179,19 @@
 	write := statement.Statement{ID: "x", Kind: statement.Write, Text: "WRITE 1 x"}
 	s := newSession(b.relay, Start{Database: "strict"})
 	for n := range 3 {
-		a := s.carry(t.Context(), write, route, []lead.Instance{first, second}, b.relay.now())
+		a := s.forward(t.Context(), write, route, []lead.Instance{first, second}, b.relay.now())
 		must.Nil(t, a.Err, must.Sprint(n))
 		must.Eq(t, "done", a.Receipt)
 	}
 	must.Eq(t, 1, full.asked.Load())
 	must.Eq(t, 3, free.asked.Load())
 
-	a := s.carry(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
+	a := s.forward(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("let through once, to learn"))
 	asked := full.asked.Load()
 	for refusals(b, admission.AllRefuse.String()) == 0 { // one is let through now and then
 		asked = full.asked.Load()
-		a = s.carry(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
+		a = s.forward(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 		must.Eq(t, statement.Busy, a.Err.Code)
 	}
 	must.Eq(t, asked, full.asked.Load(), must.Sprint("refused at the door"))
@@ -199,20 +199,22 @@
 
 // The failure: a member does not answer. One statement finds out whether it does again; others whose time is
 // shorter than its silence are refused meanwhile.
-func TestOneStatementProbesASilentMember(t *testing.T) {
-	b := newBench(t)
-	up := b.relay.upstreams.get("m1")
-	up.noteAnswer(0, 0, group.Position{})
-	up.noteMiss(0)
+func TestOneStatementProbesUnresponsiveMember(t *testing.T) {
+	b := newFixture(t)
+	upstream := b.relay.upstreams.get("m1")
+	upstream.recordAnswer(0, 0, group.Position{})
+	upstream.recordFailedAttempt(0)
 	hurried := admission.Request{ID: "x", Objective: 200 * time.Millisecond}
-	decide := func() admission.Verdict { return up.decide(time.Second, 0, hurried, admission.OnPrimary) }
+	decide := func() admission.Verdict {
+		return upstream.decideAdmission(time.Second, 0, hurried, admission.OnPrimary)
+	}
 	must.True(t, decide().Admit, must.Sprint("nobody asks it"))
-	a := &attempt{s: &session{relay: b.relay}, reads: true}
-	probe := a.enterQueue(up, b.relay.now()+generous)
+	a := &attempt{session: &session{relay: b.relay}, reads: true}
+	probe := a.enterQueue(upstream, b.relay.now()+generous)
 	must.Eq(t, admission.Unreachable, decide().Reason)
-	second := a.enterQueue(up, b.relay.now()+generous)
-	second.leave(false)
+	second := a.enterQueue(upstream, b.relay.now()+generous)
+	second.leaveQueue(false)
 	must.Eq(t, admission.Unreachable, decide().Reason, must.Sprint("the first still asks"))
-	probe.leave(false)
+	probe.leaveQueue(false)
 	must.True(t, decide().Admit)
 }
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -14,11 +14,11 @@
 // Placed is the carriers of all groups at one moment, as one instance sees them. It is not changed
 // after it was made; nil: none are known yet.
 type Placed struct {
-	self     string
-	carriers *immutable.Map[string, placement.Carriers] // by group
-	alive    map[string]lead.Instance
-	carried  []string // groups that this instance carries, in order
-	shared   int      // groups that every instance carries
+	self             string
+	carriers         *immutable.Map[string, placement.Carriers] // by group
+	instances        map[string]lead.Instance
+	servedGroups     []string // groups that this instance carries, in order
+	servedByAllCount int      // groups that every instance carries
 }
 
 // Of returns the carriers of a group, false when it is not known.
@@ -30,7 +30,7 @@
 	c := Carriers{Carriers: placed, Here: placed.Includes(p.self)}
 	for _, name := range c.Names {
 		if name != p.self {
-			c.Others = append(c.Others, p.alive[name])
+			c.Others = append(c.Others, p.instances[name])
 		}
 	}
 	return c, known
@@ -38,7 +38,7 @@
 
 // shares returns how the carriers of a group share its members, and whether this instance is one of
 // them; false last when the group is not known.
-func (p *Placed) shares(group string) (shares placement.Carriers, here, known bool) {
+func (p *Placed) memberShares(group string) (shares placement.Carriers, servedHere, known bool) {
 	if p == nil {
 		return placement.Carriers{}, false, false
 	}
@@ -51,61 +51,61 @@
 	if p == nil {
 		return nil
 	}
-	return p.carried
+	return p.servedGroups
 }
 
 // AllShared reports whether every instance carries every group.
-func (p *Placed) AllShared() bool { return p == nil || p.shared == p.carriers.Len() }
+func (p *Placed) AllShared() bool { return p == nil || p.servedByAllCount == p.carriers.Len() }
 
 // set takes in other carriers of a group, and returns those before.
 func (p *Placed) set(group string, c placement.Carriers) placement.Carriers {
-	before := p.remove(group)
+	previous := p.remove(group)
 	p.carriers = p.carriers.Set(group, c)
 	if c.Includes(p.self) {
-		at, _ := slices.BinarySearch(p.carried, group)
-		p.carried = slices.Insert(slices.Clone(p.carried), at, group)
+		at, _ := slices.BinarySearch(p.servedGroups, group)
+		p.servedGroups = slices.Insert(slices.Clone(p.servedGroups), at, group)
 	}
 	if c.Everybody {
-		p.shared++
+		p.servedByAllCount++
 	}
-	return before
+	return previous
 }
 
 // remove drops a group, and returns its carriers.
 func (p *Placed) remove(group string) placement.Carriers {
-	before, known := p.carriers.Get(group)
+	previous, known := p.carriers.Get(group)
 	if !known {
-		return before
+		return previous
 	}
 	p.carriers = p.carriers.Delete(group)
-	if at, carried := slices.BinarySearch(p.carried, group); carried {
-		p.carried = slices.Delete(slices.Clone(p.carried), at, at+1)
+	if at, served := slices.BinarySearch(p.servedGroups, group); served {
+		p.servedGroups = slices.Delete(slices.Clone(p.servedGroups), at, at+1)
 	}
-	if before.Everybody {
-		p.shared--
+	if previous.Everybody {
+		p.servedByAllCount--
 	}
-	return before
+	return previous
 }
 
 // Placements keeps the carriers of all groups, as one instance sees them, while the fleet
 // changes. It belongs to one goroutine; what Placed returns may be read by all.
 type Placements struct {
-	places locality.Map
-	table  *placement.Table
-	next   Placed // as the next update is to show it
-	placed *Placed
+	localities locality.Map
+	table      *placement.Table
+	next       Placed // as the next update is to show it
+	published  *Placed
 }
 
 // NewPlacements returns the placements of an instance, of which none is known.
 func NewPlacements(self lead.Instance, places locality.Map) *Placements {
 	return &Placements{
-		places: places, table: placement.NewTable(),
+		localities: places, table: placement.NewTable(),
 		next: Placed{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
 	}
 }
 
 // Placed returns the carriers as of the last update, nil before the first.
-func (p *Placements) Placed() *Placed { return p.placed }
+func (p *Placements) Placed() *Placed { return p.published }
 
 // Set takes in a group that is new or has changed.
 func (p *Placements) Set(g placement.Group) { p.table.Set(g) }
@@ -119,10 +119,10 @@
 // SetInstances takes in the instances whose lease holds.
 func (p *Placements) SetInstances(alive []lead.Instance) {
 	candidates := make([]ownership.Instance, 0, len(alive))
-	p.next.alive = make(map[string]lead.Instance, len(alive))
+	p.next.instances = make(map[string]lead.Instance, len(alive))
 	for _, i := range alive {
-		p.next.alive[i.Name] = i
-		candidates = append(candidates, candidate(i))
+		p.next.instances[i.Name] = i
+		candidates = append(candidates, ownershipCandidate(i))
 	}
 	p.table.SetInstances(candidates)
 }
@@ -131,9 +131,9 @@
 // does whether its lease holds or not. It calls changed with each group that has other carriers
 // than before.
 func (p *Placements) Update(registered int, changed func(group string, before, now placement.Carriers)) {
-	p.table.Update(registered, p.places, func(group string, c placement.Carriers) {
+	p.table.Update(registered, p.localities, func(group string, c placement.Carriers) {
 		changed(group, p.next.set(group, c), c)
 	})
-	placed := p.next
-	p.placed = &placed
+	snapshot := p.next
+	p.published = &snapshot
 }
--- a/internal/relay/samples.go
+++ b/internal/relay/samples.go
@@ -19,19 +19,19 @@
 // groupState is what the instance has seen of one group.
 type groupState struct {
 	name     string
-	forecast forecast
+	forecast cachedForecast
 
-	mu       sync.Mutex // guards the rest
-	term     uint64
-	samples  *routing.Samples
-	verifier verifier
-	works    map[workKind]*pacing.Work
-	outages  outages
+	mu        sync.Mutex // guards the rest
+	term      uint64
+	samples   *routing.Samples
+	verifier  verifier
+	baselines map[statementClass]*pacing.Work
+	outages   outageTracker
 }
 
 // note takes a sample of the primary's log: everything acknowledged before the
 // question was asked lies at or below the position.
-func (g *groupState) note(asked time.Duration, p group.Position) {
+func (g *groupState) addSample(sentAt time.Duration, p group.Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.Term != g.term {
@@ -42,14 +42,14 @@
 		g.term = p.Term
 		g.samples.Reset()
 	}
-	if newest, ok := g.samples.Newest(); ok && asked < newest {
+	if newest, ok := g.samples.Newest(); ok && sentAt < newest {
 		return // answers overtake one another; the newer question says more
 	}
-	g.samples.Add(asked, p)
+	g.samples.Add(sentAt, p)
 }
 
 // required returns a position that holds everything acknowledged up to a time.
-func (g *groupState) required(at time.Duration) (group.Position, bool) {
+func (g *groupState) requiredAt(at time.Duration) (group.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.samples.RequiredAt(at)
@@ -57,7 +57,7 @@
 
 // behind returns how long ago the primary's log ended at a position, negative
 // when the samples do not tell.
-func (g *groupState) behind(now time.Duration, p group.Position) time.Duration {
+func (g *groupState) lagAt(now time.Duration, p group.Position) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if _, ok := g.samples.Newest(); !ok || p.Term != g.term {
@@ -78,7 +78,7 @@
 }
 
 // age returns how long ago a position was the end of the primary's log.
-func (g *groupState) age(now time.Duration, p group.Position) time.Duration {
+func (g *groupState) positionAge(now time.Duration, p group.Position) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	age, _ := g.samples.Age(now, p)
@@ -87,7 +87,7 @@
 
 // floor translates a session's floor into the current term: commits beyond the
 // start of a new term are gone, and those before it are in every log of the term.
-func (g *groupState) floor(p group.Position) group.Position {
+func (g *groupState) currentFloor(p group.Position) group.Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.Term < g.term {
--- a/internal/relay/samples_test.go
+++ b/internal/relay/samples_test.go
@@ -30,7 +30,7 @@
 // grows, through changes of term, with answers that overtake one another. A read
 // that may be some time old must be sent to a log that holds everything which
 // was acknowledged before that time and is still part of the group's log.
-func TestRequiredCoversWhatWasAcknowledged(t *testing.T) {
+func TestRequiredPositionCoversAcknowledgedWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &groupState{samples: routing.NewSamples(sampleCount, sampleSpacing)}
 		var now time.Duration
@@ -40,25 +40,25 @@
 			position group.Position
 		}
 		var acks []acknowledged
-		var flying []statementInFlight
+		var inFlight []statementInFlight
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond
 			switch rapid.SampledFrom([]string{"ask", "ask", "write", "answer", "answer", "promote", "read", "read"}).Draw(t, "what") {
 			case "ask":
-				flying = append(flying, statementInFlight{asked: now, position: end})
+				inFlight = append(inFlight, statementInFlight{asked: now, position: end})
 			case "write":
 				end.Index++
 				acks = append(acks, acknowledged{at: now, position: end})
 			case "answer":
-				if len(flying) > 0 {
-					i := rapid.IntRange(0, len(flying)-1).Draw(t, "which")
-					g.note(flying[i].asked, flying[i].position)
-					flying = append(flying[:i], flying[i+1:]...)
+				if len(inFlight) > 0 {
+					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
+					g.addSample(inFlight[i].asked, inFlight[i].position)
+					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				}
 			case "promote":
 				// What is under way at the old primary is broken off, and its last writes
 				// may be gone.
-				flying = nil
+				inFlight = nil
 				lost := rapid.Uint64Range(0, min(2, end.Index)).Draw(t, "lost")
 				end = group.Position{Term: end.Term + 1, Index: end.Index - lost}
 				for i := range acks {
@@ -68,7 +68,7 @@
 				}
 			case "read":
 				at := now - time.Duration(rapid.IntRange(0, 500).Draw(t, "staleness"))*time.Millisecond
-				required, ok := g.required(at)
+				required, ok := g.requiredAt(at)
 				if !ok {
 					continue // to the primary
 				}
@@ -82,12 +82,12 @@
 	})
 }
 
-func TestFloorOfAnEarlierTerm(t *testing.T) {
+func TestFloorOfEarlierTerm(t *testing.T) {
 	g := &groupState{samples: routing.NewSamples(sampleCount, sampleSpacing)}
-	g.note(time.Second, group.Position{Term: 2, Index: 7})
-	must.Eq(t, group.Position{}, g.floor(group.Position{Term: 1, Index: 9}))
-	must.Eq(t, group.Position{Term: 2, Index: 9}, g.floor(group.Position{Term: 2, Index: 9}))
-	g.note(2*time.Second, group.Position{Term: 1, Index: 50})
-	_, ok := g.required(time.Second)
+	g.addSample(time.Second, group.Position{Term: 2, Index: 7})
+	must.Eq(t, group.Position{}, g.currentFloor(group.Position{Term: 1, Index: 9}))
+	must.Eq(t, group.Position{Term: 2, Index: 9}, g.currentFloor(group.Position{Term: 2, Index: 9}))
+	g.addSample(2*time.Second, group.Position{Term: 1, Index: 50})
+	_, ok := g.requiredAt(time.Second)
 	must.False(t, ok, must.Sprint("a sample of an older term is not taken"))
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -50,31 +50,31 @@
 
 // Settings of the server.
 const (
-	startTimeout  = 5 * time.Second        // for the first message; callers send it at once
-	acceptPause   = 5 * time.Millisecond   // after a failed accept, as when descriptors run out
-	keepAliveIdle = 5 * time.Second        // after which a silent caller's far end is checked
-	keepAliveStep = 2 * time.Second        // between two checks
-	keepAliveMax  = 3                      // checks without an answer
-	stopPoll      = 20 * time.Millisecond  // between two looks at what is still open
-	stopNudge     = 100 * time.Millisecond // between two attempts to end idle sessions
+	startupTimeout         = 5 * time.Second        // for the first message; callers send it at once
+	acceptRetryDelay       = 5 * time.Millisecond   // after a failed accept, as when descriptors run out
+	keepAliveIdle          = 5 * time.Second        // after which a silent caller's far end is checked
+	keepAliveInterval      = 2 * time.Second        // between two checks
+	keepAliveProbes        = 3                      // checks without an answer
+	drainPollInterval      = 20 * time.Millisecond  // between two looks at what is still open
+	drainInterruptInterval = 100 * time.Millisecond // between two attempts to end idle sessions
 )
 
 // Server accepts callers.
 type Server struct {
-	relay *Relay
-	wrap  func(net.Conn) Caller
-	pool  *ants.Pool
+	relay         *Relay
+	newClientConn func(net.Conn) Caller
+	pool          *ants.Pool
 
 	mu       sync.Mutex // guards the rest
-	callers  map[*callerConn]struct{}
-	closing  bool // sessions end as soon as they are idle
+	clients  map[*clientHandler]struct{}
+	draining bool // sessions end as soon as they are idle
 	listener net.Listener
 }
 
 // callerConn is one caller with its session.
-type callerConn struct {
+type clientHandler struct {
 	server  *Server
-	caller  Caller
+	conn    Caller
 	session *session
 
 	mu   sync.Mutex // guards the rest
@@ -83,12 +83,12 @@
 }
 
 // NewServer returns a server of at most maxCallers callers at once.
-func NewServer(relay *Relay, wrap func(net.Conn) Caller, maxCallers int) (*Server, error) {
-	pool, err := ants.NewPool(maxCallers, ants.WithNonblocking(true))
+func NewServer(relay *Relay, newClientConn func(net.Conn) Caller, maxClients int) (*Server, error) {
+	pool, err := ants.NewPool(maxClients, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, fmt.Errorf("callers: %w", err)
 	}
-	return &Server{relay: relay, wrap: wrap, pool: pool, callers: make(map[*callerConn]struct{})}, nil
+	return &Server{relay: relay, newClientConn: newClientConn, pool: pool, clients: make(map[*clientHandler]struct{})}, nil
 }
 
 // Serve accepts callers until the listener is closed.
@@ -103,7 +103,7 @@
 		}
 		if err != nil {
 			s.relay.log.WithError(err).Warn("relay: a caller could not be accepted")
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.accept(conn)
@@ -112,37 +112,37 @@
 
 func (s *Server) accept(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		err := tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveStep, Count: keepAliveMax})
+		err := tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes})
 		if err != nil {
 			s.relay.log.WithError(err).Debug("relay: keep-alive could not be set")
 		}
 	}
-	c := &callerConn{server: s, caller: s.wrap(conn)}
-	if err := s.pool.Submit(c.serve); err != nil {
+	handler := &clientHandler{server: s, conn: s.newClientConn(conn)}
+	if err := s.pool.Submit(handler.serve); err != nil {
 		// The caller's first message is not awaited: it can go elsewhere at once.
-		_ = c.caller.Refuse(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: comeBack})
-		_ = c.caller.Close()
+		_ = handler.conn.Refuse(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: defaultRetryAfter})
+		_ = handler.conn.Close()
 	}
 }
 
 // serve runs a caller's connection until its end.
-func (c *callerConn) serve() {
-	defer c.caller.Close()
-	if !c.begin() {
+func (c *clientHandler) serve() {
+	defer c.conn.Close()
+	if !c.startSession() {
 		return
 	}
-	defer c.end()
-	for c.next() {
+	defer c.endSession()
+	for c.serveNext() {
 	}
 }
 
 // begin answers the first message.
-func (c *callerConn) begin() bool {
+func (c *clientHandler) startSession() bool {
 	relay := c.server.relay
-	if c.caller.SetReadDeadline(time.Now().Add(startTimeout)) != nil {
+	if c.conn.SetReadDeadline(time.Now().Add(startupTimeout)) != nil {
 		return false
 	}
-	start, err := c.caller.Start()
+	start, err := c.conn.Start()
 	var refusal *statement.Error
 	switch {
 	case errors.As(err, &refusal):
@@ -152,39 +152,39 @@
 		_, _, refusal = relay.admit(start)
 	}
 	if refusal != nil {
-		_ = c.caller.Refuse(refusal)
+		_ = c.conn.Refuse(refusal)
 		return false
 	}
 	c.session = newSession(relay, start)
 	c.server.mu.Lock()
-	c.server.callers[c] = struct{}{}
+	c.server.clients[c] = struct{}{}
 	c.server.mu.Unlock()
-	return c.caller.Accept() == nil
+	return c.conn.Accept() == nil
 }
 
-func (c *callerConn) end() {
+func (c *clientHandler) endSession() {
 	c.server.mu.Lock()
-	delete(c.server.callers, c)
+	delete(c.server.clients, c)
 	c.server.mu.Unlock()
 	c.session.endTx()
 }
 
 // next serves one statement and reports whether the connection goes on.
-func (c *callerConn) next() bool {
-	if !c.await() {
+func (c *clientHandler) serveNext() bool {
+	if !c.setReadDeadline() {
 		return false
 	}
-	st, err := c.caller.Next()
+	st, err := c.conn.Next()
 	arrived := c.server.relay.now()
-	var fault *statement.Error
+	var protocolErr *statement.Error
 	switch {
-	case errors.As(err, &fault) && st.ID != "":
-		return c.reply(statement.Answer{State: c.session.state, Err: fault})
-	case errors.As(err, &fault):
-		_ = c.caller.Refuse(fault)
+	case errors.As(err, &protocolErr) && st.ID != "":
+		return c.sendAnswer(statement.Answer{State: c.session.state, Err: protocolErr})
+	case errors.As(err, &protocolErr):
+		_ = c.conn.Refuse(protocolErr)
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return c.idleTooLong()
+		return c.handleIdleTimeout()
 	case err != nil:
 		if !errors.Is(err, io.EOF) {
 			c.server.relay.log.WithError(err).Debug("relay: a caller's connection ended")
@@ -192,100 +192,100 @@
 		return false
 	}
 	c.setBusy(true)
-	ctx, end := watchDeparture(c.caller)
+	ctx, stopWatch := watchDisconnect(c.conn)
 	answer := c.session.handle(ctx, st, arrived)
-	end()
-	ok := c.reply(answer)
-	c.noteFailure(st, answer, ok)
+	stopWatch()
+	ok := c.sendAnswer(answer)
+	c.recordFailure(st, answer, ok)
 	c.setBusy(false)
 	return ok
 }
 
 // noteFailure remembers a request that did not succeed, or whose answer the caller
 // was not there to take.
-func (c *callerConn) noteFailure(st statement.Statement, answer statement.Answer, delivered bool) {
+func (c *clientHandler) recordFailure(st statement.Statement, answer statement.Answer, delivered bool) {
 	relay := c.server.relay
-	reason := cause{group: relay.snapshot().Databases[c.session.start.Database].Group}
+	cause := failureCause{group: relay.snapshot().Databases[c.session.start.Database].Group}
 	switch {
 	case answer.Err != nil:
-		reason.outcome, reason.why = answer.Err.Code.String(), answer.Err.Detail
+		cause.outcome, cause.detail = answer.Err.Code.String(), answer.Err.Detail
 	case !delivered:
-		reason.outcome, reason.why = "undelivered", "it succeeded, and the caller's connection had ended"
+		cause.outcome, cause.detail = "undelivered", "it succeeded, and the caller's connection had ended"
 	default:
 		return
 	}
-	relay.failures.note(reason, st.ID)
+	relay.failureLog.add(cause, st.ID)
 }
 
-func (c *callerConn) reply(a statement.Answer) bool { return c.caller.Answer(a) == nil }
+func (c *clientHandler) sendAnswer(a statement.Answer) bool { return c.conn.Answer(a) == nil }
 
 // await sets the bound of the wait for the next statement.
-func (c *callerConn) await() bool {
+func (c *clientHandler) setReadDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	closing := c.server.isClosing()
-	if closing && !c.inTx && c.caller.Quiet() {
+	closing := c.server.isDraining()
+	if closing && !c.inTx && c.conn.Quiet() {
 		return false
 	}
 	var deadline time.Time
 	if closing && !c.inTx {
-		deadline = time.Now().Add(stopNudge) // for the rest of what has begun to arrive
+		deadline = time.Now().Add(drainInterruptInterval) // for the rest of what has begun to arrive
 	}
 	if limit := c.server.relay.snapshot().Config.IdleInTransaction; c.inTx && limit > 0 {
 		deadline = time.Now().Add(limit)
 	}
-	return c.caller.SetReadDeadline(deadline) == nil
+	return c.conn.SetReadDeadline(deadline) == nil
 }
 
 // idleTooLong ends a transaction that rests, or a session that is to end.
-func (c *callerConn) idleTooLong() bool {
-	if c.session.tx != nil || c.session.remote != nil {
+func (c *clientHandler) handleIdleTimeout() bool {
+	if c.session.tx != nil || c.session.forwardedTx != nil {
 		c.session.abandonTx("the transaction rested for too long and was rolled back")
-		c.server.relay.noteRested(c.session.start.Database)
+		c.server.relay.recordIdleTransaction(c.session.start.Database)
 		c.setBusy(false)
 		return true
 	}
 	return true // await tells whether the session ends
 }
 
-func (c *callerConn) setBusy(busy bool) {
+func (c *clientHandler) setBusy(busy bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = busy
-	c.inTx = c.session.state != statement.Idle && c.session.lost == ""
+	c.inTx = c.session.state != statement.Idle && c.session.lostReason == ""
 }
 
-func (s *Server) isClosing() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing
+	return s.draining
 }
 
 // Callers returns how many callers are connected.
 func (s *Server) Callers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.callers)
+	return len(s.clients)
 }
 
 // Stop lets callers go: sessions end between two statements, and open
 // transactions may end by themselves until the context does.
 func (s *Server) Stop(ctx context.Context) {
 	s.mu.Lock()
-	s.closing = true
+	s.draining = true
 	s.mu.Unlock()
-	nudge := time.NewTicker(stopNudge)
-	defer nudge.Stop()
-	poll := time.NewTicker(stopPoll)
+	interrupt := time.NewTicker(drainInterruptInterval)
+	defer interrupt.Stop()
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	s.endIdle(false)
+	s.interruptIdle(false)
 	for s.Callers() > 0 {
 		select {
 		case <-ctx.Done():
-			s.endIdle(true)
+			s.interruptIdle(true)
 			return
-		case <-nudge.C:
-			s.endIdle(false)
+		case <-interrupt.C:
+			s.interruptIdle(false)
 		case <-poll.C:
 		}
 	}
@@ -293,17 +293,17 @@
 
 // endIdle interrupts the wait of sessions that have nothing to do, so that they
 // end themselves: a statement that was read whole is always answered.
-func (s *Server) endIdle(transactionsToo bool) {
+func (s *Server) interruptIdle(includeTransactions bool) {
 	s.mu.Lock()
-	callers := make([]*callerConn, 0, len(s.callers))
-	for c := range s.callers {
-		callers = append(callers, c)
+	clients := make([]*clientHandler, 0, len(s.clients))
+	for c := range s.clients {
+		clients = append(clients, c)
 	}
 	s.mu.Unlock()
-	for _, c := range callers {
+	for _, c := range clients {
 		c.mu.Lock()
-		if !c.busy && (!c.inTx || transactionsToo) {
-			_ = c.caller.SetReadDeadline(time.Now()) // a broken connection ends by itself
+		if !c.busy && (!c.inTx || includeTransactions) {
+			_ = c.conn.SetReadDeadline(time.Now()) // a broken connection ends by itself
 		}
 		c.mu.Unlock()
 	}
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -21,16 +21,16 @@
 )
 
 // bench is a relay before one group, without a fleet.
-type bench struct {
+type fixture struct {
 	relay *Relay
 	group *membergroup.Group
-	gate  *lead.Gate
+	guard *lead.Gate
 
 	mu   sync.Mutex // guards snap
 	snap *topology.Snapshot
 }
 
-func (b *bench) topology() *topology.Snapshot {
+func (b *fixture) topology() *topology.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.snap
@@ -38,7 +38,7 @@
 
 const generous = time.Minute // a bound that no test reaches
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	group := membergroup.New("g", "m1", "m2")
 	state := topology.New(0, 0)
 	state.SetConfig(topology.Config{Version: 1, Groups: []topology.Group{{Name: "g", MaxConnections: 10}}, Routes: []topology.Route{
@@ -56,14 +56,14 @@
 	upstreams := NewUpstreams(group, func() time.Duration { return time.Since(started) })
 	upstreams.Update(snap, placedFor(snap, 1), "")
 	t.Cleanup(upstreams.Close)
-	b := &bench{group: group, snap: snap}
+	b := &fixture{group: group, snap: snap}
 	b.relay = New(Config{
 		Started: started, Topology: b.topology, Current: func() bool { return true }, Known: func(string) Known { return Known{} }, Limiter: unlimited{},
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
-	b.gate = b.relay.Gate("g")
-	b.gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
-	b.gate.Confirm(b.relay.now())
+	b.guard = b.relay.Gate("g")
+	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
+	b.guard.Confirm(b.relay.now())
 	return b
 }
 
@@ -79,12 +79,12 @@
 }
 
 // run has a session answer a statement that arrives now.
-func (b *bench) run(s *session, kind statement.Kind, text string) statement.Answer {
+func (b *fixture) run(s *session, kind statement.Kind, text string) statement.Answer {
 	return s.handle(context.Background(), statement.Statement{ID: "x", Kind: kind, Text: text}, b.relay.now())
 }
 
-func TestRestingTransactionIsRolledBack(t *testing.T) {
-	b := newBench(t)
+func TestIdleTransactionIsRolledBack(t *testing.T) {
+	b := newFixture(t)
 	s := newSession(b.relay, Start{Database: "strict"})
 	must.Eq(t, statement.InTransaction, b.run(s, statement.Begin, "BEGIN").State)
 	must.Eq(t, statement.InTransaction, b.run(s, statement.Write, "WRITE 1 x").State)
@@ -100,12 +100,12 @@
 // A change of primary breaks off a transaction that does not end in its time, and
 // releases only when nothing of it is under way any more.
 func TestReleaseEndsOpenTransactions(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	s := newSession(b.relay, Start{Database: "strict"})
 	b.run(s, statement.Begin, "BEGIN")
 	b.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
-	go func() { released <- b.gate.Release(t.Context(), 2, time.Millisecond) }()
+	go func() { released <- b.guard.Release(t.Context(), 2, time.Millisecond) }()
 	var a statement.Answer
 	for a.Err == nil {
 		a = b.run(s, statement.Write, "WRITE 1 x")
@@ -121,15 +121,15 @@
 }
 
 // What a released session was told to be done is done: the release waits.
-func TestReleaseWaitsForTransactionsThatEnd(t *testing.T) {
-	b := newBench(t)
+func TestReleaseWaitsForOpenTransaction(t *testing.T) {
+	b := newFixture(t)
 	s := newSession(b.relay, Start{Database: "strict"})
 	b.run(s, statement.Begin, "BEGIN")
 	b.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
-	go func() { released <- b.gate.Release(t.Context(), 2, generous) }()
+	go func() { released <- b.guard.Release(t.Context(), 2, generous) }()
 	for {
-		if _, err := b.gate.Authority(); err != nil {
+		if _, err := b.guard.Authority(); err != nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -139,8 +139,8 @@
 	must.Len(t, 1, b.group.Log())
 }
 
-func TestBoundedReadsGoToReplicasOnceThePrimaryWasHeard(t *testing.T) {
-	b := newBench(t)
+func TestBoundedReadsUseReplicasAfterFirstSample(t *testing.T) {
+	b := newFixture(t)
 	s := newSession(b.relay, Start{Database: "bounded"})
 	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
 	must.Eq(t, "m2.x", b.run(s, statement.Read, "READ 1").Receipt)
@@ -148,21 +148,21 @@
 	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt)
 }
 
-func TestWritesToAReplacedPrimaryAreNotAcknowledged(t *testing.T) {
-	b := newBench(t)
-	pass, err := b.gate.Enter(func() {})
+func TestReleaseRevokesPermits(t *testing.T) {
+	b := newFixture(t)
+	permit, err := b.guard.Enter(func() {})
 	must.NoError(t, err)
-	must.True(t, pass.Valid())
-	must.Error(t, b.gate.Release(cancelled(t), 2, 0), must.Sprint("the pass is still out"))
-	must.False(t, pass.Valid())
-	pass.Done()
-	pass.Done()
-	must.NoError(t, b.gate.Release(t.Context(), 2, 0))
+	must.True(t, permit.Valid())
+	must.Error(t, b.guard.Release(cancelled(t), 2, 0), must.Sprint("the pass is still out"))
+	must.False(t, permit.Valid())
+	permit.Done()
+	permit.Done()
+	must.NoError(t, b.guard.Release(t.Context(), 2, 0))
 }
 
 // The members change while statements run; the race detector watches.
 func TestMembersChangeUnderTraffic(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	served, done := make(chan struct{}, 1), make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -9,7 +9,7 @@
 )
 
 // openTwo opens two connections to the primary and leaves them idle.
-func openTwo(t *testing.T, b *bench) {
+func openTwoConns(t *testing.T, b *fixture) {
 	s, other := newSession(b.relay, Start{Database: "strict"}), newSession(b.relay, Start{Database: "strict"})
 	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
 	must.Nil(t, b.run(other, statement.Begin, "BEGIN").Err)
@@ -20,9 +20,9 @@
 
 // All open connections to a member go silent for good, and new ones work: one
 // statement waits for its timeout, and none after it.
-func TestSilentConnectionCostsOneStatement(t *testing.T) {
-	b := newBench(t)
-	openTwo(t, b)
+func TestUnresponsiveConnectionsCostOneStatement(t *testing.T) {
+	b := newFixture(t)
+	openTwoConns(t, b)
 	b.group.SilenceOpen("m1")
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
@@ -30,16 +30,16 @@
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 }
 
-func TestReadOnSilentConnectionIsNotAnswered(t *testing.T) {
-	b := newBench(t)
-	openTwo(t, b)
+func TestReadOnUnresponsiveConnectionIsRefused(t *testing.T) {
+	b := newFixture(t)
+	openTwoConns(t, b)
 	b.group.SilenceOpen("m1")
 	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("it reads, so that nothing is kept"))
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Read, "READ 1").Err)
 }
 
-func TestTransactionOnSilentConnection(t *testing.T) {
+func TestTransactionOnUnresponsiveConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		wrote bool
 		kind  statement.Kind
@@ -50,7 +50,7 @@
 		"one that only read":  {false, statement.Commit, statement.Aborted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			s := newSession(b.relay, Start{Database: "hurried"})
 			must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
 			if c.wrote {
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -20,7 +20,7 @@
 // Settings of the streams to carriers.
 const (
 	// idleStreams bounds the streams to one carrier that are kept for the next use.
-	idleStreams = 64
+	maxIdleStreams = 64
 	// openTimeout bounds the wait for a new stream: links have delays of
 	// milliseconds, and other carriers can be asked.
 	openTimeout = 200 * time.Millisecond
@@ -34,10 +34,10 @@
 )
 
 // errCallerLeft says that the answer is not awaited, since nobody wants it any more.
-var errCallerLeft = errors.New("the caller has gone")
+var errClientGone = errors.New("the caller has gone")
 
 // errNotTaken says that a carrier has not taken a statement up.
-var errNotTaken = errors.New("the carrier has not taken the statement up")
+var errNotAccepted = errors.New("the carrier has not taken the statement up")
 
 // carrierConns holds the streams to carriers and what was seen of these. It is
 // safe for concurrent use.
@@ -56,11 +56,11 @@
 type carrierStream struct {
 	owner   *carrierConns
 	address string
-	run     grpc.BidiStreamingClient[relaypb.CarryRequest, relaypb.CarryReply]
+	rpc     grpc.BidiStreamingClient[relaypb.CarryRequest, relaypb.CarryReply]
 	cancel  context.CancelFunc
 
-	mu   sync.Mutex  // guards what is sent, and beat
-	beat *time.Timer // says that the open transaction goes on; nil: none is open
+	mu        sync.Mutex  // guards what is sent, and beat
+	heartbeat *time.Timer // says that the open transaction goes on; nil: none is open
 }
 
 func newCarrierConns(conns *peerconn.Conns, now func() time.Duration) *carrierConns {
@@ -76,19 +76,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	var usable, doubtful []lead.Instance
+	var usable, unresponsive []lead.Instance
 	for _, carrier := range carriers {
 		if h := c.health[carrier.Address]; h == nil || h.Usable(now) {
 			usable = append(usable, carrier)
 		} else {
-			doubtful = append(doubtful, carrier)
+			unresponsive = append(unresponsive, carrier)
 		}
 	}
-	return slices.Concat(usable, doubtful)[:min(n, len(carriers))]
+	return slices.Concat(usable, unresponsive)[:min(n, len(carriers))]
 }
 
 // note records whether a carrier answered.
-func (c *carrierConns) note(address string, answered bool) {
+func (c *carrierConns) recordResult(address string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.health[address]
@@ -110,7 +110,7 @@
 }
 
 // heard returns how long ago a carrier answered, and whether it ever did.
-func (c *carrierConns) heard(address string) (time.Duration, bool) {
+func (c *carrierConns) sinceLastAnswer(address string) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.health[address]
@@ -122,9 +122,9 @@
 
 // watch asks a carrier whether it is there while an answer of it is awaited, and
 // calls giveUp when it is not. It ends with done.
-func (c *carrierConns) watch(address string, done <-chan struct{}, giveUp func()) {
+func (c *carrierConns) pingWhileWaiting(address string, done <-chan struct{}, giveUp func()) {
 	for {
-		if since, ok := c.heard(address); !ok || since >= pingAfter {
+		if since, ok := c.sinceLastAnswer(address); !ok || since >= pingAfter {
 			if _, err, _ := c.pings.Do(address, func() (any, error) { return nil, c.ping(address) }); err != nil {
 				giveUp()
 				return
@@ -148,13 +148,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.pingTimeout)
 	defer cancel()
 	_, err = relaypb.NewCarrierClient(conn).Ping(ctx, &relaypb.PingRequest{})
-	c.note(address, err == nil)
+	c.recordResult(address, err == nil)
 	return err
 }
 
 // open returns an idle stream to a carrier, or a new one, which it waits for no
 // longer than a while.
-func (c *carrierConns) open(address string, left time.Duration) (*carrierStream, error) {
+func (c *carrierConns) open(address string, remaining time.Duration) (*carrierStream, error) {
 	c.mu.Lock()
 	if idle := c.idle[address]; len(idle) > 0 {
 		s := idle[len(idle)-1]
@@ -168,63 +168,63 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	timer := time.AfterFunc(min(left, openTimeout), cancel)
+	timer := time.AfterFunc(min(remaining, openTimeout), cancel)
 	run, err := relaypb.NewCarrierClient(conn).Carry(ctx)
 	if !timer.Stop() && err == nil {
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
 		cancel()
-		c.note(address, false)
+		c.recordResult(address, false)
 		return nil, fmt.Errorf("carrier at %s: %w", address, err)
 	}
-	return &carrierStream{owner: c, address: address, run: run, cancel: cancel}, nil
+	return &carrierStream{owner: c, address: address, rpc: run, cancel: cancel}, nil
 }
 
 // send sends a request. A stream takes one at a time.
 func (s *carrierStream) send(req *relaypb.CarryRequest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.beat != nil {
-		s.beat.Reset(entryBeat)
+	if s.heartbeat != nil {
+		s.heartbeat.Reset(heartbeatInterval)
 	}
-	return s.run.Send(req)
+	return s.rpc.Send(req)
 }
 
 // keep has the carrier told again and again that the transaction goes on, until the
 // stream is released or ends.
-func (s *carrierStream) keep() {
+func (s *carrierStream) startHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.beat != nil {
+	if s.heartbeat != nil {
 		return
 	}
-	s.beat = time.AfterFunc(entryBeat, func() {
-		if s.send(&relaypb.CarryRequest{Kind: beatKind}) != nil {
-			s.rest() // the next statement finds the stream gone
+	s.heartbeat = time.AfterFunc(heartbeatInterval, func() {
+		if s.send(&relaypb.CarryRequest{Kind: heartbeatKind}) != nil {
+			s.stopHeartbeat() // the next statement finds the stream gone
 		}
 	})
 }
 
 // rest ends what keep began.
-func (s *carrierStream) rest() {
+func (s *carrierStream) stopHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.beat != nil {
-		s.beat.Stop()
-		s.beat = nil
+	if s.heartbeat != nil {
+		s.heartbeat.Stop()
+		s.heartbeat = nil
 	}
 }
 
 // release keeps the stream for the next transaction, unless it has ended.
 func (s *carrierStream) release() {
-	s.rest()
-	if s.run.Context().Err() != nil {
+	s.stopHeartbeat()
+	if s.rpc.Context().Err() != nil {
 		return
 	}
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	if len(s.owner.idle[s.address]) >= idleStreams {
+	if len(s.owner.idle[s.address]) >= maxIdleStreams {
 		s.cancel()
 		return
 	}
@@ -233,7 +233,7 @@
 
 // asking is a question under way. Once it has ended nothing breaks its stream off any more,
 // since the stream may serve another caller.
-type asking struct {
+type pendingRequest struct {
 	stream *carrierStream
 
 	mu    sync.Mutex // guards ended
@@ -241,7 +241,7 @@
 }
 
 // breakOff ends the stream, unless the question has ended.
-func (a *asking) breakOff() {
+func (a *pendingRequest) abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.ended {
@@ -249,7 +249,7 @@
 	}
 }
 
-func (a *asking) end() {
+func (a *pendingRequest) finish() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ended = true
@@ -258,36 +258,36 @@
 // ask sends a request and returns the reply. An error that wraps errNotTaken means
 // that nothing of it was run; after any error the stream is gone. With ctx the stream
 // ends, and the carrier gives up what waits there.
-func (s *carrierStream) ask(ctx context.Context, req *relaypb.CarryRequest, timeout time.Duration) (*relaypb.CarryReply, error) {
-	asking := &asking{stream: s}
-	defer asking.end()
-	timer := time.AfterFunc(timeout, asking.breakOff)
+func (s *carrierStream) roundTrip(ctx context.Context, req *relaypb.CarryRequest, timeout time.Duration) (*relaypb.CarryReply, error) {
+	pending := &pendingRequest{stream: s}
+	defer pending.finish()
+	timer := time.AfterFunc(timeout, pending.abort)
 	defer timer.Stop()
-	defer context.AfterFunc(ctx, asking.breakOff)()
+	defer context.AfterFunc(ctx, pending.abort)()
 	done := make(chan struct{})
 	defer close(done)
-	watch := time.AfterFunc(pingAfter, func() { s.owner.watch(s.address, done, asking.breakOff) })
+	watch := time.AfterFunc(pingAfter, func() { s.owner.pingWhileWaiting(s.address, done, pending.abort) })
 	defer watch.Stop()
 	if err := s.send(req); err != nil {
 		s.cancel()
 		if ctx.Err() != nil {
-			return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotTaken, errCallerLeft)
+			return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotAccepted, errClientGone)
 		}
-		return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotTaken, err)
+		return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotAccepted, err)
 	}
-	reply, err := s.run.Recv()
+	reply, err := s.rpc.Recv()
 	switch {
 	case err != nil && ctx.Err() != nil:
 		s.cancel()
-		return nil, fmt.Errorf("carrier at %s: %w", s.address, errCallerLeft)
+		return nil, fmt.Errorf("carrier at %s: %w", s.address, errClientGone)
 	case err != nil:
 		s.cancel()
-		s.owner.note(s.address, false)
+		s.owner.recordResult(s.address, false)
 		return nil, fmt.Errorf("carrier at %s: %w", s.address, err)
 	case reply.Stopping:
 		s.cancel()
-		return nil, fmt.Errorf("carrier at %s: %w: it stops", s.address, errNotTaken)
+		return nil, fmt.Errorf("carrier at %s: %w: it stops", s.address, errNotAccepted)
 	}
-	s.owner.note(s.address, true)
+	s.owner.recordResult(s.address, true)
 	return reply, nil
 }
--- a/internal/relay/streams_test.go
+++ b/internal/relay/streams_test.go
@@ -15,12 +15,12 @@
 )
 
 // echo is a carrier that answers a request with its text, once it may.
-type echo struct {
+type echoCarrier struct {
 	*CarrierServer
 	hold chan struct{}
 }
 
-func (e *echo) Carry(stream grpc.BidiStreamingServer[relaypb.CarryRequest, relaypb.CarryReply]) error {
+func (e *echoCarrier) Carry(stream grpc.BidiStreamingServer[relaypb.CarryRequest, relaypb.CarryReply]) error {
 	for {
 		req, err := stream.Recv()
 		if err != nil {
@@ -34,12 +34,12 @@
 }
 
 // newEcho starts a carrier behind a proxy.
-func newEcho(t *testing.T) (*carrierConns, *echo, *faultproxy.Proxy) {
+func newEchoCarrier(t *testing.T) (*carrierConns, *echoCarrier, *faultproxy.Proxy) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer()
-	carrier := &echo{CarrierServer: NewCarrierServer(nil), hold: make(chan struct{})}
+	carrier := &echoCarrier{CarrierServer: NewCarrierServer(nil), hold: make(chan struct{})}
 	relaypb.RegisterCarrierServer(server, carrier)
 	go func() { _ = server.Serve(l) }() // ends with the test
 	t.Cleanup(server.Stop)
@@ -56,7 +56,7 @@
 const long = time.Hour
 
 // openSoon opens a stream, over and over while the machine is busy.
-func openSoon(t *testing.T, c *carrierConns, address string) *carrierStream {
+func openWithRetries(t *testing.T, c *carrierConns, address string) *carrierStream {
 	t.Helper()
 	for range 100 {
 		if stream, err := c.open(address, long); err == nil {
@@ -70,15 +70,15 @@
 // A carrier that is gone without a trace is given up long before the statement's
 // own time is over, and later ones go elsewhere. On days with cuts of the grown
 // sites statements were held for it until their callers gave up.
-func TestSilentCarrierIsGivenUp(t *testing.T) {
-	c, carrier, proxy := newEcho(t)
+func TestUnresponsiveCarrierIsAbandoned(t *testing.T) {
+	c, carrier, proxy := newEchoCarrier(t)
 	close(carrier.hold)
-	stream := openSoon(t, c, proxy.Addr())
-	reply, err := stream.ask(t.Context(), &relaypb.CarryRequest{Text: "before"}, long)
+	stream := openWithRetries(t, c, proxy.Addr())
+	reply, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "before"}, long)
 	must.NoError(t, err)
 	must.Eq(t, "before", reply.Receipt)
 	proxy.Set(faultproxy.Fault{HoldTo: true, HoldBack: true, HoldsOpens: true})
-	_, err = stream.ask(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
+	_, err = stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
 	other := lead.Instance{Name: "other", Address: "other"}
 	silent := lead.Instance{Name: "silent", Address: proxy.Addr()}
@@ -87,28 +87,28 @@
 
 // A connection that has gone silent for good does not keep the carrier from being
 // used over a new one.
-func TestCarrierIsReachedAgainAfterItsConnectionWentSilent(t *testing.T) {
-	c, carrier, proxy := newEcho(t)
+func TestCarrierIsReachableAfterConnectionBecameUnresponsive(t *testing.T) {
+	c, carrier, proxy := newEchoCarrier(t)
 	close(carrier.hold)
-	stream := openSoon(t, c, proxy.Addr())
+	stream := openWithRetries(t, c, proxy.Addr())
 	proxy.SilenceOpen()
-	_, err := stream.ask(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
+	_, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
-	reply, err := openSoon(t, c, proxy.Addr()).ask(t.Context(), &relaypb.CarryRequest{Text: "again"}, long)
+	reply, err := openWithRetries(t, c, proxy.Addr()).roundTrip(t.Context(), &relaypb.CarryRequest{Text: "again"}, long)
 	must.NoError(t, err)
 	must.Eq(t, "again", reply.Receipt)
 }
 
 // A carrier that works on a statement for long is not given up.
-func TestSlowAnswerOfACarrierIsAwaited(t *testing.T) {
-	c, carrier, proxy := newEcho(t)
+func TestSlowCarrierAnswerIsAwaited(t *testing.T) {
+	c, carrier, proxy := newEchoCarrier(t)
 	c.pingTimeout = long // however busy the machine is
-	stream := openSoon(t, c, proxy.Addr())
+	stream := openWithRetries(t, c, proxy.Addr())
 	go func() {
 		time.Sleep(3 * pingAfter)
 		close(carrier.hold)
 	}()
-	reply, err := stream.ask(t.Context(), &relaypb.CarryRequest{Text: "slow"}, long)
+	reply, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "slow"}, long)
 	must.NoError(t, err)
 	must.Eq(t, "slow", reply.Receipt)
 }
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -19,157 +19,157 @@
 )
 
 // upstream is one member with its connections and what was seen of it.
-type upstream struct {
-	id      string
-	group   string
-	address string
-	born    int64 // the member's start that all this is of
-	madeAt  time.Duration
-	pool    *connpool.Pool[*member.Shared]
+type upstreamState struct {
+	id        string
+	group     string
+	address   string
+	born      int64 // the member's start that all this is of
+	createdAt time.Duration
+	pool      *connpool.Pool[*member.Shared]
 
-	mu       sync.Mutex // guards the rest
-	draining bool
-	distance locality.Distance // from this instance
-	answered uint64            // in all
-	carried  bool              // this instance is a carrier of the group, or none is known
-	health   member.Health
-	failing  outlier.Failing
-	turns    outlier.Turns  // of the choices in which the member takes part
-	position group.Position // end of its log, as its answers told
-	behind   time.Duration  // how long ago the primary was there; negative: not known
-	growing  bool           // that has become more since the answer before
-	behindAt time.Duration  // when that was told
-	lagUntil time.Duration  // before which a read that it could not serve is not tried again
-	lagged   int            // reads in a row that it could not serve
-	lagSince time.Duration  // when the first of them was
-	recent   tally
-	window   pacing.Window
-	room     pacing.Room // beyond share
-	share    int         // statements outside transactions that this instance may have running there
-	most     int         // that all together may
-	mayRun   int         // of which this instance makes use: its share and the room
-	levels   [admission.Works][lowestPriority + 1]admission.Level
-	probing  bool // a statement is on its way that will show whether the member is there
+	mu             sync.Mutex // guards the rest
+	draining       bool
+	distance       locality.Distance // from this instance
+	answers        uint64            // in all
+	served         bool              // this instance is a carrier of the group, or none is known
+	health         member.Health
+	failureRate    outlier.Failing
+	readSampler    outlier.Turns  // of the choices in which the member takes part
+	position       group.Position // end of its log, as its answers told
+	lag            time.Duration  // how long ago the primary was there; negative: not known
+	lagGrowing     bool           // that has become more since the answer before
+	lagAt          time.Duration  // when that was told
+	skipReadsUntil time.Duration  // before which a read that it could not serve is not tried again
+	lagRejections  int            // reads in a row that it could not serve
+	lagSince       time.Duration  // when the first of them was
+	recentStats    attemptStats
+	throttle       pacing.Window
+	spareCapacity  pacing.Room // beyond share
+	activeShare    int         // statements outside transactions that this instance may have running there
+	activeLimit    int         // that all together may
+	activeAllowed  int         // of which this instance makes use: its share and the room
+	controllers    [admission.Works][lastPriorityLevel + 1]admission.Level
+	probing        bool // a statement is on its way that will show whether the member is there
 }
 
 // tally is what came of the attempts at a member since the last report.
-type tally struct {
-	answered int
-	lagging  int
-	unheard  int           // attempts that got no answer
-	took     time.Duration // all answers together
-	longest  time.Duration
+type attemptStats struct {
+	answered    int
+	lagging     int
+	unanswered  int           // attempts that got no answer
+	totalTime   time.Duration // all answers together
+	longestTime time.Duration
 }
 
 // setShare takes in how many statements outside transactions this instance, and all
 // together, may have running at the member.
-func (up *upstream) setShare(share, most int) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	if share != up.share || most != up.most {
-		up.share, up.most, up.room, up.mayRun = share, most, pacing.Room{}, share
-		up.pool.SetMaxActive(share)
+func (u *upstreamState) setActiveLimits(share, limit int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if share != u.activeShare || limit != u.activeLimit {
+		u.activeShare, u.activeLimit, u.spareCapacity, u.activeAllowed = share, limit, pacing.Room{}, share
+		u.pool.SetMaxActive(share)
 	}
 }
 
 // noteAnswer records an answer to a question of that time.
-func (up *upstream) noteAnswer(asked, now time.Duration, p group.Position) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.health.Answered(now)
-	up.failing.Answered()
-	up.answered++
-	up.recent.answered++
-	up.recent.took += now - asked
-	up.recent.longest = max(up.recent.longest, now-asked)
+func (u *upstreamState) recordAnswer(sentAt, now time.Duration, p group.Position) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.health.Answered(now)
+	u.failureRate.Answered()
+	u.answers++
+	u.recentStats.answered++
+	u.recentStats.totalTime += now - sentAt
+	u.recentStats.longestTime = max(u.recentStats.longestTime, now-sentAt)
 	if !p.IsZero() {
-		up.position = p
+		u.position = p
 	}
 }
 
-func (up *upstream) noteMiss(now time.Duration) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.health.Missed(now)
-	up.failing.Failed()
-	up.recent.unheard++
+func (u *upstreamState) recordFailedAttempt(now time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.health.Missed(now)
+	u.failureRate.Failed()
+	u.recentStats.unanswered++
 }
 
 // takesPart reports whether the member takes part in the next choice, which it does in a share
 // of them.
-func (up *upstream) takesPart(share float64) bool {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.turns.Next(share)
+func (u *upstreamState) inRotation(share float64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.readSampler.Next(share)
 }
 
 // isCarried reports whether this instance is to hold connections to the member.
-func (up *upstream) isCarried() bool {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.carried
+func (u *upstreamState) isServed() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.served
 }
 
 // unheardFor returns how long ago the member answered, or since when it is used here.
-func (up *upstream) unheardFor(now time.Duration) time.Duration {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	if since, heard := up.health.SinceAnswer(now); heard {
+func (u *upstreamState) sinceLastAnswer(now time.Duration) time.Duration {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if since, heard := u.health.SinceAnswer(now); heard {
 		return since
 	}
-	return now - up.madeAt
+	return now - u.createdAt
 }
 
 // noteBroken closes the idle connections when one in use has gone silent: whatever
 // silenced it may have silenced them, and each would cost a statement its timeout.
-func (up *upstream) noteBroken(cause error) {
+func (u *upstreamState) handleBrokenConn(cause error) {
 	if errors.Is(cause, os.ErrDeadlineExceeded) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, syscall.ETIMEDOUT) {
-		up.pool.DropIdle()
+		u.pool.DropIdle()
 	}
 }
 
 // noteProgress records where a replica's log ends.
-func (up *upstream) noteProgress(behind time.Duration, lagging bool, now time.Duration) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.growing = behind > up.behind
-	up.behind, up.behindAt = behind, now
+func (u *upstreamState) recordLag(behind time.Duration, lagging bool, now time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.lagGrowing = behind > u.lag
+	u.lag, u.lagAt = behind, now
 	if !lagging {
-		up.lagged = 0
+		u.lagRejections = 0
 		return
 	}
-	up.recent.lagging++
-	if up.lagged == 0 {
-		up.lagSince = now
+	u.recentStats.lagging++
+	if u.lagRejections == 0 {
+		u.lagSince = now
 	}
-	up.lagUntil = now + min(minLagPause<<min(up.lagged, maxLagShift), maxLagPause)
-	up.lagged++
+	u.skipReadsUntil = now + min(minLagBackoff<<min(u.lagRejections, maxLagShift), maxLagBackoff)
+	u.lagRejections++
 }
 
 // Bounds of how long a member that was found lagging is not tried again, for
 // reads that need more than it had. Each try costs a round trip, and a connection
 // meanwhile.
 const (
-	minLagPause = 15 * time.Millisecond
-	maxLagPause = 120 * time.Millisecond
-	maxLagShift = 3
+	minLagBackoff = 15 * time.Millisecond
+	maxLagBackoff = 120 * time.Millisecond
+	maxLagShift   = 3
 )
 
 // view returns what routing needs to know of the member.
-func (up *upstream) view(now time.Duration) routing.Candidate {
-	up.mu.Lock()
-	defer up.mu.Unlock()
+func (u *upstreamState) candidate(now time.Duration) routing.Candidate {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	return routing.Candidate{
-		ID:       up.id,
-		Distance: up.distance,
-		Draining: up.draining,
-		Usable:   up.health.Usable(now),
-		Refused:  now < up.lagUntil,
-		Position: up.position,
-		Behind:   up.behind,
-		Growing:  up.growing,
-		Seen:     now - up.behindAt,
-		Failing:  up.failing.Part(),
-		Load:     up.pool.Load(),
+		ID:       u.id,
+		Distance: u.distance,
+		Draining: u.draining,
+		Usable:   u.health.Usable(now),
+		Refused:  now < u.skipReadsUntil,
+		Position: u.position,
+		Behind:   u.lag,
+		Growing:  u.lagGrowing,
+		Seen:     now - u.lagAt,
+		Failing:  u.failureRate.Part(),
+		Load:     u.pool.Load(),
 	}
 }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -39,30 +39,30 @@
 	// account only: the longer it stays, the more often the account finds it. The rest is closed
 	// so that a member has room for instances that have just started, while the
 	// connections of dead ones take their time to go.
-	unusedFor = 600 * time.Millisecond
-	keepPart  = 2 // one in so many
+	idleTimeout     = 600 * time.Millisecond
+	keepIdleDivisor = 2 // one in so many
 	// ShrinkInterval is the pause between two looks for such.
-	ShrinkInterval = unusedFor / 3
+	ShrinkInterval = idleTimeout / 3
 	// forgetAfter is for how long a member of a group that other instances carry must not have
 	// answered here before what was seen of it is dropped.
-	forgetAfter = time.Minute
+	forgetUnservedAfter = time.Minute
 	// patience is how long a request waits for a connection in use before another
 	// is opened, which itself takes a slot of the member for a while.
-	patience = 10 * time.Millisecond
+	reuseWait = 10 * time.Millisecond
 )
 
 // Upstreams holds the members of the groups that this instance carries, and of others that it
 // uses, as the leader of a group does that others carry. It is safe for concurrent use.
 type Upstreams struct {
-	dialer member.Dialer
-	now    func() time.Duration
-	places locality.Map
+	dialer     member.Dialer
+	now        func() time.Duration
+	localities locality.Map
 
 	mu         sync.Mutex         // guards the rest
 	snap       *topology.Snapshot // nil: none yet
-	placed     *Placed
+	placement  *Placed
 	dataCentre string
-	members    map[string]*upstream
+	members    map[string]*upstreamState
 	groups     map[string]*groupState
 }
 
@@ -71,7 +71,7 @@
 	return &Upstreams{
 		dialer:  dialer,
 		now:     now,
-		members: make(map[string]*upstream),
+		members: make(map[string]*upstreamState),
 		groups:  make(map[string]*groupState),
 	}
 }
@@ -81,18 +81,18 @@
 func (u *Upstreams) Update(snap *topology.Snapshot, placed *Placed, dataCentre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.snap, u.placed, u.dataCentre = snap, placed, dataCentre
-	for id, up := range u.members {
-		now, ok := snap.Member(id)
-		if !ok || now.Address != up.address || now.Born != up.born {
-			up.pool.Close()
+	u.snap, u.placement, u.dataCentre = snap, placed, dataCentre
+	for id, upstream := range u.members {
+		current, ok := snap.Member(id)
+		if !ok || current.Address != upstream.address || current.Born != upstream.born {
+			upstream.pool.Close()
 			delete(u.members, id)
 			continue
 		}
-		u.configure(up, now)
+		u.configure(upstream, current)
 	}
-	for _, group := range placed.Carried() {
-		for _, m := range snap.MembersOf(group) {
+	for _, name := range placed.Carried() {
+		for _, m := range snap.MembersOf(name) {
 			if u.members[m.ID] == nil {
 				u.add(m)
 			}
@@ -101,46 +101,46 @@
 }
 
 // add begins to use a member. The caller holds mu.
-func (u *Upstreams) add(m topology.Member) *upstream {
-	up := u.newUpstream(m)
-	u.members[m.ID] = up
-	u.configure(up, m)
-	return up
+func (u *Upstreams) add(m topology.Member) *upstreamState {
+	upstream := u.newUpstream(m)
+	u.members[m.ID] = upstream
+	u.configure(upstream, m)
+	return upstream
 }
 
 // configure takes in a member's entry and how much of it this instance may use. The caller
 // holds mu.
-func (u *Upstreams) configure(up *upstream, m topology.Member) {
-	shares, here, known := u.placed.shares(m.Group)
+func (u *Upstreams) configure(upstream *upstreamState, m topology.Member) {
+	shares, servedHere, known := u.placement.memberShares(m.Group)
 	if known {
-		up.pool.SetCapacity(shares.Connections(m.DataCentre, u.dataCentre))
-		up.setShare(shares.Active(m.Slots, m.DataCentre, u.dataCentre), placement.MostActive(m.Slots))
+		upstream.pool.SetCapacity(shares.Connections(m.DataCentre, u.dataCentre))
+		upstream.setActiveLimits(shares.Active(m.Slots, m.DataCentre, u.dataCentre), placement.MostActive(m.Slots))
 	}
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.draining, up.carried = m.Draining, here || !known
-	up.distance = u.places.Distance(m.DataCentre, u.dataCentre)
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	upstream.draining, upstream.served = m.Draining, servedHere || !known
+	upstream.distance = u.localities.Distance(m.DataCentre, u.dataCentre)
 }
 
-func (u *Upstreams) newUpstream(m topology.Member) *upstream {
-	up := &upstream{id: m.ID, group: m.Group, address: m.Address, born: m.Born, draining: m.Draining, behind: -1, madeAt: u.now()}
+func (u *Upstreams) newUpstream(m topology.Member) *upstreamState {
+	upstream := &upstreamState{id: m.ID, group: m.Group, address: m.Address, born: m.Born, draining: m.Draining, lag: -1, createdAt: u.now()}
 	cfg := connpool.Config{
 		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, Patient: true},
 		Dials:       concurrentDials,
 		DialTimeout: dialTimeout,
-		Patience:    patience,
+		Patience:    reuseWait,
 		MinBackoff:  minDialBackoff,
 		MaxBackoff:  maxDialBackoff,
 		Full:        isFull,
 	}
-	up.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.Shared, error) {
+	upstream.pool = connpool.New(cfg, func(ctx context.Context, account string) (*member.Shared, error) {
 		conn, err := u.dialer.Dial(ctx, m, account)
 		if err != nil {
 			return nil, err
 		}
 		return member.NewShared(conn), nil
 	}, u.now)
-	return up
+	return upstream
 }
 
 // isFull reports whether a member refused a connection since it has too many.
@@ -150,11 +150,11 @@
 }
 
 // get returns a member, which is used from now on; nil when there is none by that ID.
-func (u *Upstreams) get(id string) *upstream {
+func (u *Upstreams) get(id string) *upstreamState {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if up := u.members[id]; up != nil || u.snap == nil {
-		return up
+	if upstream := u.members[id]; upstream != nil || u.snap == nil {
+		return upstream
 	}
 	m, known := u.snap.Member(id)
 	if !known {
@@ -164,7 +164,7 @@
 }
 
 // find returns a member that is used, nil for any other.
-func (u *Upstreams) find(id string) *upstream {
+func (u *Upstreams) find(id string) *upstreamState {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.members[id]
@@ -175,78 +175,78 @@
 	defer u.mu.Unlock()
 	g := u.groups[name]
 	if g == nil {
-		g = &groupState{name: name, works: make(map[workKind]*pacing.Work), samples: routing.NewSamples(sampleCount, sampleSpacing)}
+		g = &groupState{name: name, baselines: make(map[statementClass]*pacing.Work), samples: routing.NewSamples(sampleCount, sampleSpacing)}
 		u.groups[name] = g
 	}
 	return g
 }
 
 // Locate tells how far data centres lie from one another. It is called before the first Update.
-func (u *Upstreams) Locate(places locality.Map) { u.places = places }
+func (u *Upstreams) Locate(places locality.Map) { u.localities = places }
 
 // Doubtful reports whether a member has left an attempt unanswered since its last
 // answer.
 func (u *Upstreams) Doubtful(id string) bool {
-	up := u.find(id)
-	if up == nil {
+	upstream := u.find(id)
+	if upstream == nil {
 		return false
 	}
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.health.Doubtful()
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	return upstream.health.Doubtful()
 }
 
 // Heard returns how long ago a member answered.
 func (u *Upstreams) Heard(id string) (time.Duration, bool) {
-	up := u.find(id)
-	if up == nil {
+	upstream := u.find(id)
+	if upstream == nil {
 		return 0, false
 	}
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.health.SinceAnswer(u.now())
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	return upstream.health.SinceAnswer(u.now())
 }
 
 // stuckReplica is for how long a replica must not have been able to serve any read
 // before it counts as stuck: longer than replicas usually lag, and than a burst lasts
 // that one primary can take.
-const stuckReplica = time.Second
+const stuckReplicaAfter = time.Second
 
 // Alone reports whether a group's primary has more than it can run while every replica
 // has fallen behind by more than its routes allow, and stays there.
 func (u *Upstreams) Alone(group, primary string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, replicas, full := u.now(), 0, false
-	for id, up := range u.members {
-		if up.group != group {
+	now, replicas, saturated := u.now(), 0, false
+	for id, upstream := range u.members {
+		if upstream.group != group {
 			continue
 		}
-		up.mu.Lock()
+		upstream.mu.Lock()
 		if id == primary {
-			full = up.window.Full()
+			saturated = upstream.throttle.Full()
 		} else {
 			replicas++
 		}
-		stuck := up.lagged > 0 && now-up.lagSince >= stuckReplica
-		up.mu.Unlock()
+		stuck := upstream.lagRejections > 0 && now-upstream.lagSince >= stuckReplicaAfter
+		upstream.mu.Unlock()
 		if id != primary && !stuck {
 			return false
 		}
 	}
-	return full && replicas > 0
+	return saturated && replicas > 0
 }
 
 // Behind returns how long ago the primary's log ended at a position, negative when
 // that is not known.
 func (u *Upstreams) Behind(name string, p group.Position) time.Duration {
-	return u.group(name).behind(u.now(), p)
+	return u.group(name).lagAt(u.now(), p)
 }
 
 // NoteAnswer records that a member answered.
 func (u *Upstreams) NoteAnswer(id string) {
-	if up := u.get(id); up != nil {
-		up.noteAnswer(u.now(), u.now(), group.Position{})
+	if upstream := u.get(id); upstream != nil {
+		upstream.recordAnswer(u.now(), u.now(), group.Position{})
 	}
 }
 
@@ -254,21 +254,21 @@
 func (u *Upstreams) Report(log *logrus.Entry) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for id, up := range u.members {
-		up.mu.Lock()
-		recent, behind, share, distance, failing, mayRun := up.recent, up.behind, up.window.Share(), up.distance, up.failing.Part(), up.mayRun
-		up.recent = tally{}
-		up.mu.Unlock()
-		if recent == (tally{}) {
+	for id, upstream := range u.members {
+		upstream.mu.Lock()
+		stats, behind, share, distance, failing, allowed := upstream.recentStats, upstream.lag, upstream.throttle.Share(), upstream.distance, upstream.failureRate.Part(), upstream.activeAllowed
+		upstream.recentStats = attemptStats{}
+		upstream.mu.Unlock()
+		if stats == (attemptStats{}) {
 			continue
 		}
-		waits := newWaits(up.pool.Waits())
+		queue := newQueueStats(upstream.pool.Waits())
 		log.WithFields(logrus.Fields{
-			"waiting_by_priority": waits.numbers(waitingNow), "overtook": waits.numbers(overtook), "overdue": waits.numbers(overdue),
-			"group": up.group, "member": id, "distance": distance.String(), "answered": recent.answered, "lagging": recent.lagging,
-			"unheard": recent.unheard, "mean_ms": (recent.took / time.Duration(max(1, recent.answered))).Milliseconds(),
-			"longest_ms": recent.longest.Milliseconds(), "behind_ms": behind.Milliseconds(),
-			"share": math.Round(100*share) / 100, "may_run": mayRun, "failing": math.Round(100*failing) / 100, "connections": up.pool.Open(), "in_use": up.pool.InUse(), "waiting": up.pool.Waiting(),
+			"waiting_by_priority": queue.perPriority(waitingNow), "overtook": queue.perPriority(overtook), "overdue": queue.perPriority(overdue),
+			"group": upstream.group, "member": id, "distance": distance.String(), "answered": stats.answered, "lagging": stats.lagging,
+			"unheard": stats.unanswered, "mean_ms": (stats.totalTime / time.Duration(max(1, stats.answered))).Milliseconds(),
+			"longest_ms": stats.longestTime.Milliseconds(), "behind_ms": behind.Milliseconds(),
+			"share": math.Round(100*share) / 100, "may_run": allowed, "failing": math.Round(100*failing) / 100, "connections": upstream.pool.Open(), "in_use": upstream.pool.InUse(), "waiting": upstream.pool.Waiting(),
 		}).Info("relay: a member since the last report")
 	}
 }
@@ -277,16 +277,16 @@
 func (u *Upstreams) WriteMetrics(w io.Writer) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for id, up := range u.members {
-		up.mu.Lock()
-		distance, answered := up.distance, up.answered
-		up.mu.Unlock()
-		labels := `{group="` + up.group + `",member="` + id + `"}`
-		metrics.WriteCounterUint64(w, `stackspindle_member_answers_total{group="`+up.group+`",member="`+id+`",distance="`+distance.String()+`"}`, answered)
-		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(up.pool.Open()))
-		metrics.WriteGaugeUint64(w, "stackspindle_member_in_use"+labels, uint64(up.pool.InUse()))
-		metrics.WriteGaugeUint64(w, "stackspindle_member_waiting"+labels, uint64(up.pool.Waiting()))
-		newWaits(up.pool.Waits()).write(w, up.group, id)
+	for id, upstream := range u.members {
+		upstream.mu.Lock()
+		distance, answered := upstream.distance, upstream.answers
+		upstream.mu.Unlock()
+		labels := `{group="` + upstream.group + `",member="` + id + `"}`
+		metrics.WriteCounterUint64(w, `stackspindle_member_answers_total{group="`+upstream.group+`",member="`+id+`",distance="`+distance.String()+`"}`, answered)
+		metrics.WriteGaugeUint64(w, "stackspindle_member_connections"+labels, uint64(upstream.pool.Open()))
+		metrics.WriteGaugeUint64(w, "stackspindle_member_in_use"+labels, uint64(upstream.pool.InUse()))
+		metrics.WriteGaugeUint64(w, "stackspindle_member_waiting"+labels, uint64(upstream.pool.Waiting()))
+		newQueueStats(upstream.pool.Waits()).write(w, upstream.group, id)
 	}
 }
 
@@ -297,14 +297,14 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.now()
-	for id, up := range u.members {
-		if up.isCarried() {
-			up.pool.Shrink(unusedFor, max(1, up.pool.Capacity()/keepPart))
+	for id, upstream := range u.members {
+		if upstream.isServed() {
+			upstream.pool.Shrink(idleTimeout, max(1, upstream.pool.Capacity()/keepIdleDivisor))
 			continue
 		}
-		up.pool.DropIdle()
-		if up.pool.Open() == 0 && up.unheardFor(now) >= forgetAfter {
-			up.pool.Close()
+		upstream.pool.DropIdle()
+		if upstream.pool.Open() == 0 && upstream.sinceLastAnswer(now) >= forgetUnservedAfter {
+			upstream.pool.Close()
 			delete(u.members, id)
 		}
 	}
@@ -314,7 +314,7 @@
 func (u *Upstreams) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, up := range u.members {
-		up.pool.Close()
+	for _, upstream := range u.members {
+		upstream.pool.Close()
 	}
 }
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -13,9 +13,9 @@
 
 // The load: a thousand groups, of which this instance carries few. A gate is made when a group is first
 // used here, and knows what the store was last heard to hold.
-func TestGateMadeLaterKnowsTheRecord(t *testing.T) {
-	b := newBench(t)
-	b.relay.known = func(group string) Known {
+func TestNewGuardHasStoredRecord(t *testing.T) {
+	b := newFixture(t)
+	b.relay.storedRecord = func(group string) Known {
 		return Known{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, Confirmed: b.relay.now()}
 	}
 	a, err := b.relay.Gate("later").Authority()
@@ -24,15 +24,15 @@
 	gates := 0
 	b.relay.Gates(func(string, *lead.Gate) { gates++ })
 	must.Eq(t, 2, gates)
-	b.relay.known = func(string) Known { return Known{} }
+	b.relay.storedRecord = func(string) Known { return Known{} }
 	_, err = b.relay.Gate("unknown").Authority()
 	must.Error(t, err)
 }
 
 // The load: groups move from instance to instance for weeks. What was seen of members that others
 // carry is kept for a while, and dropped then.
-func TestMembersThatOthersCarryAreForgotten(t *testing.T) {
-	b := newBench(t)
+func TestUnservedMembersAreForgotten(t *testing.T) {
+	b := newFixture(t)
 	upstreams, now := b.relay.upstreams, time.Hour
 	upstreams.now = func() time.Duration { return now }
 	upstreams.Update(b.snap, &Placed{
@@ -41,7 +41,7 @@
 	}, "")
 	must.NotNil(t, upstreams.find("m1"))
 	upstreams.NoteAnswer("m1")
-	now += forgetAfter - 1
+	now += forgetUnservedAfter - 1
 	upstreams.Shrink()
 	must.NotNil(t, upstreams.find("m1"))
 	now++
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -16,16 +16,16 @@
 
 // newUnconfirmedBench returns a bench whose instance has not heard of the store for
 // longer than its grant is confirmed.
-func newUnconfirmedBench(t *testing.T) *bench {
-	b := newBench(t)
+func newUnconfirmedFixture(t *testing.T) *fixture {
+	b := newFixture(t)
 	b.relay.started = b.relay.started.Add(-2 * lead.GrantValidity)
-	_, err := b.gate.Authority()
+	_, err := b.guard.Authority()
 	must.NoError(t, err)
 	return b
 }
 
 func TestUnconfirmedGrantIsVerifiedByTheMembers(t *testing.T) {
-	b := newUnconfirmedBench(t)
+	b := newUnconfirmedFixture(t)
 	s := newSession(b.relay, Start{Database: "strict"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
 	must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
@@ -38,8 +38,8 @@
 
 // A primary that has stepped down would go on reading while a member leads that this
 // instance has not heard of. What is read there is not passed on.
-func TestUnconfirmedReadNeedsAPrimaryThatLeads(t *testing.T) {
-	b := newUnconfirmedBench(t)
+func TestUnconfirmedReadNeedsPrimaryConfirmation(t *testing.T) {
+	b := newUnconfirmedFixture(t)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
 	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
@@ -51,7 +51,7 @@
 }
 
 // stepDown has a member step down as a leader asks it to.
-func (b *bench) stepDown(t *testing.T, id string, term uint64) {
+func (b *fixture) stepDown(t *testing.T, id string, term uint64) {
 	conn, err := b.group.Dial(t.Context(), b.group.Entry(id), account.Anonymous)
 	must.NoError(t, err)
 	defer conn.Close()
@@ -63,7 +63,7 @@
 // A member that does not answer might lead: nothing is sent that could not be
 // acknowledged then.
 func TestUnconfirmedGrantNeedsEveryMember(t *testing.T) {
-	b := newUnconfirmedBench(t)
+	b := newUnconfirmedFixture(t)
 	b.group.SetReach("m2", membergroup.Dead)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	a := b.run(s, statement.Write, "WRITE 1 x")
@@ -73,8 +73,8 @@
 }
 
 // What the old primary says after another member was promoted is not passed on.
-func TestUnconfirmedGrantAfterAPromotion(t *testing.T) {
-	b := newUnconfirmedBench(t)
+func TestUnconfirmedGrantAfterPromotion(t *testing.T) {
+	b := newUnconfirmedFixture(t)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
 	b.group.SetReach("m1", membergroup.Silent) // cut off, so that it does not hear of its successor
@@ -87,18 +87,18 @@
 // A read that was sent under a confirmed grant may have waited, in a queue or behind a
 // cut, until after a promotion: what counts is when its answer arrives. Found by
 // crash_cut, a day of our own, on which one read ran without an acknowledged commit.
-func TestReadThatWaitedIsVerified(t *testing.T) {
-	b := newBench(t)
-	pass, err := b.gate.Enter(func() {})
+func TestDelayedReadIsVerified(t *testing.T) {
+	b := newFixture(t)
+	permit, err := b.guard.Enter(func() {})
 	must.NoError(t, err)
-	must.Eq(t, lead.Confirmed, pass.Standing())
-	up := b.relay.upstreams.get("m1")
+	must.Eq(t, lead.Confirmed, permit.Standing())
+	upstream := b.relay.upstreams.get("m1")
 	settle := func() outcome {
-		lease, err := up.pool.Acquire(t.Context(), pool.Request{Deadline: generous}, nil)
+		lease, err := upstream.pool.Acquire(t.Context(), pool.Request{Deadline: generous}, nil)
 		must.NoError(t, err)
-		a := &attempt{s: newSession(b.relay, Start{Database: "strict"}), group: b.relay.upstreams.group("g"), gate: b.gate, reads: true}
-		_, out := a.settle(target{up: up, pass: pass}, &hold{lease: lease}, statement.Done(statement.Idle))
-		return out
+		a := &attempt{session: newSession(b.relay, Start{Database: "strict"}), group: b.relay.upstreams.group("g"), guard: b.guard, reads: true}
+		_, result := a.finish(target{upstream: upstream, permit: permit}, &leasedConn{lease: lease}, statement.Done(statement.Idle))
+		return result
 	}
 	must.Eq(t, served, settle())
 	b.relay.started = b.relay.started.Add(-2 * lead.GrantValidity)
@@ -109,36 +109,36 @@
 
 // Answers that wait for a round share the next one.
 func TestVerificationBeginsAfterTheAnswer(t *testing.T) {
-	b := newUnconfirmedBench(t)
+	b := newUnconfirmedFixture(t)
 	g := b.relay.upstreams.group("g")
-	a, err := b.gate.Authority()
+	a, err := b.guard.Authority()
 	must.NoError(t, err)
 	must.True(t, b.relay.verify(t.Context(), g, a, true))
-	must.True(t, g.verifiedLately(b.relay.now()))
-	must.False(t, g.verifiedLately(b.relay.now()+time.Minute))
+	must.True(t, g.recentlyVerified(b.relay.now()))
+	must.False(t, g.recentlyVerified(b.relay.now()+time.Minute))
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
 	must.False(t, b.relay.verify(t.Context(), g, a, false))
 }
 
 // A primary serves its group alone when no replica has served a read for a while, and
 // it answers more slowly than it usually does.
-func TestAlone(t *testing.T) {
-	b := newBench(t)
-	up := b.relay.upstreams
-	replica, g := up.get("m2"), up.group("g")
-	alone := func() bool { return up.Alone("g", "m1") }
+func TestOverloadedWithoutReplicas(t *testing.T) {
+	b := newFixture(t)
+	upstreams := b.relay.upstreams
+	replica, g := upstreams.get("m2"), upstreams.group("g")
+	alone := func() bool { return upstreams.Alone("g", "m1") }
 	answer := func(n int, took time.Duration) {
 		for range n {
-			b.relay.pace(up.get("m1"), g, topology.Route{}, took)
+			b.relay.paceMember(upstreams.get("m1"), g, topology.Route{}, took)
 		}
 	}
 	answer(100, time.Millisecond)
-	replica.noteProgress(time.Minute, true, b.relay.now())
+	replica.recordLag(time.Minute, true, b.relay.now())
 	must.False(t, alone(), must.Sprint("the primary has room"))
 	answer(100, time.Second)
 	must.False(t, alone(), must.Sprint("the replica has lagged for a moment only"))
-	replica.lagSince = up.now() - stuckReplica
+	replica.lagSince = upstreams.now() - stuckReplicaAfter
 	must.True(t, alone())
-	replica.noteProgress(0, false, up.now())
+	replica.recordLag(0, false, upstreams.now())
 	must.False(t, alone(), must.Sprint("the replica serves reads again"))
 }
--- a/internal/relay/waits.go
+++ b/internal/relay/waits.go
@@ -11,34 +11,34 @@
 
 // lowestPriority bounds how many priorities are told apart in metrics and logs: what ranks
 // lower is counted with it.
-const lowestPriority = 4
+const lastPriorityLevel = 4
 
 // waits is what the queue of one member has done by priority.
-type waits [lowestPriority + 1]pool.Waiting
+type queueStats [lastPriorityLevel + 1]pool.Waiting
 
 // newWaits sums up what a queue tells. The instance's own questions, which rank before all
 // priorities, are left out.
-func newWaits(all []pool.Waiting) waits {
-	var sums waits
-	for _, w := range all {
-		if w.Priority < 0 {
+func newQueueStats(stats []pool.Waiting) queueStats {
+	var sums queueStats
+	for _, s := range stats {
+		if s.Priority < 0 {
 			continue
 		}
-		sum := &sums[min(w.Priority, lowestPriority)]
-		sum.Now += w.Now
-		sum.Overtook += w.Overtook
-		sum.Overdue += w.Overdue
+		level := &sums[min(s.Priority, lastPriorityLevel)]
+		level.Now += s.Now
+		level.Overtook += s.Overtook
+		level.Overdue += s.Overdue
 	}
 	return sums
 }
 
 // numbers returns one figure of each priority, the highest first.
-func (w waits) numbers(of func(pool.Waiting) int) []int {
-	numbers := make([]int, len(w))
+func (w queueStats) perPriority(statistic func(pool.Waiting) int) []int {
+	values := make([]int, len(w))
 	for i, waiting := range w {
-		numbers[i] = of(waiting)
+		values[i] = statistic(waiting)
 	}
-	return numbers
+	return values
 }
 
 func waitingNow(w pool.Waiting) int { return w.Now }
@@ -46,7 +46,7 @@
 func overdue(w pool.Waiting) int    { return w.Overdue }
 
 // write writes the figures of the priorities that were seen at a member.
-func (w waits) write(out io.Writer, group, member string) {
+func (w queueStats) write(out io.Writer, group, member string) {
 	for priority, waiting := range w {
 		if waiting == (pool.Waiting{}) {
 			continue
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -10,37 +10,37 @@
 // workKind names statements that are expected to take about the same time: those of
 // routes that declare the same. They share what is learned, so that a route which is
 // new or little used is known at once.
-type workKind struct {
+type statementClass struct {
 	consistency topology.Consistency
 	staleness   time.Duration
 	objective   time.Duration
 	priority    int
 }
 
-func kindOf(route topology.Route) workKind {
-	return workKind{consistency: route.Consistency, staleness: route.MaxStaleness, objective: route.LatencyObjective, priority: route.Priority}
+func classOf(route topology.Route) statementClass {
+	return statementClass{consistency: route.Consistency, staleness: route.MaxStaleness, objective: route.LatencyObjective, priority: route.Priority}
 }
 
 // took notes how long a member took for a statement of a kind, and returns what that
 // usually takes, 0 while it is not known.
-func (g *groupState) took(kind workKind, d time.Duration) time.Duration {
+func (g *groupState) recordDuration(kind statementClass, d time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := g.works[kind]
-	if w == nil {
-		w = &pacing.Work{}
-		g.works[kind] = w
+	baseline := g.baselines[kind]
+	if baseline == nil {
+		baseline = &pacing.Work{}
+		g.baselines[kind] = baseline
 	}
-	w.Took(d)
-	return w.Usual()
+	baseline.Took(d)
+	return baseline.Usual()
 }
 
 // usual returns what a statement of a kind usually takes, 0 while that is not known.
-func (g *groupState) usual(kind workKind) time.Duration {
+func (g *groupState) typicalDuration(kind statementClass) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w := g.works[kind]; w != nil {
-		return w.Usual()
+	if baseline := g.baselines[kind]; baseline != nil {
+		return baseline.Usual()
 	}
 	return 0
 }
@@ -49,19 +49,19 @@
 // transaction, and holds further ones back for as long as the member seems to have
 // more than it can run. Statements of transactions are neither held nor counted: what
 // they wait for has begun already, and counting them paces members that are only busy.
-func (r *Relay) pace(up *upstream, g *groupState, route topology.Route, took time.Duration) {
-	usual := g.took(kindOf(route), took)
-	waiting := up.pool.Waiting() > 0
-	up.mu.Lock()
-	pause := up.window.Answered(took, usual)
-	before := up.mayRun
-	up.mayRun = up.share + up.room.Answered(&up.window, waiting, up.share, up.most)
-	if up.mayRun != before {
-		up.pool.SetMaxActive(up.mayRun)
+func (r *Relay) paceMember(upstream *upstreamState, g *groupState, route topology.Route, took time.Duration) {
+	typical := g.recordDuration(classOf(route), took)
+	waiting := upstream.pool.Waiting() > 0
+	upstream.mu.Lock()
+	pause := upstream.throttle.Answered(took, typical)
+	previous := upstream.activeAllowed
+	upstream.activeAllowed = upstream.activeShare + upstream.spareCapacity.Answered(&upstream.throttle, waiting, upstream.activeShare, upstream.activeLimit)
+	if upstream.activeAllowed != previous {
+		upstream.pool.SetMaxActive(upstream.activeAllowed)
 	}
-	up.mu.Unlock()
+	upstream.mu.Unlock()
 	if pause > 0 {
 		span := r.snapshot().Priorities[g.name]
-		up.pool.Pause(pacing.Level(route.Priority, span.Top, span.Last), pause)
+		upstream.pool.Pause(pacing.Level(route.Priority, span.Top, span.Last), pause)
 	}
 }
