--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -14,11 +14,10 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// admit returns the route to a database and the account for which a caller uses it,
-// by the configuration in force, or why the caller may not.
+// admit authenticates a client by the configuration in force. It returns the route to the database
+// and the client's account, or the refusal.
 //
-// That a database does not exist comes before the question whose key it is: without
-// a route nobody can say whether a key is needed.
+// The database is checked before the key, because the route determines whether a key is needed.
 func (r *Relay) admit(start Start) (topology.Route, string, *statement.Error) {
 	snap := r.snapshot()
 	if snap.Version == 0 {
@@ -35,9 +34,9 @@
 	return route, name, nil
 }
 
-// unauthenticated is the answer to a key that no account holds. An instance that has
-// not heard of the store for a while cannot know that, since the key may be new; its
-// caller is sent elsewhere.
+// unauthenticatedError is the refusal of a key that no account holds. An instance whose
+// configuration may be outdated cannot know that, since the key may be new; it refuses the client
+// as busy, so that the client retries elsewhere.
 func (r *Relay) unauthenticatedError() *statement.Error {
 	if !r.topologyFresh() {
 		return &statement.Error{Code: statement.Busy, Detail: "the key is not known here, and the configuration may have changed", RetryAfter: defaultRetryAfter}
@@ -45,33 +44,36 @@
 	return &statement.Error{Code: statement.Unauthenticated, Detail: "no account holds the key"}
 }
 
-// Limiter keeps client accounts within what they may ask of the whole fleet.
+// Limiter enforces the rate limits of client accounts over the whole fleet.
 type Limiter interface {
-	// Spend uses an account's right to one operation, for which it waits no longer than
-	// patience and until ctx ends. It reports false when there is none.
+	// Spend takes a token for one operation of the account. It waits no longer than patience or
+	// until ctx ends, and reports false when there is no token.
 	Spend(ctx context.Context, account string, patience time.Duration) (quota.Token, quota.Shortage, bool)
-	// Return gives back the right to an operation that has not run.
+	// Return returns the token of an operation that has not run.
 	Return(account string, t quota.Token)
-	// Admit reports whether an operation may be passed to a carrier, or after what time its
-	// caller is to come back.
+	// Admit reports whether an operation may be forwarded to a carrier, or else the delay after
+	// which the client should retry.
 	Admit(v quota.Visit) (time.Duration, bool)
-	// Refused takes in that an operation, passed on some time ago, was refused since its
-	// account has no rights for a while. It returns when its caller is to come back; 0: not known.
+	// Refused records that an operation, forwarded the given time ago, was refused because its
+	// account has no tokens for a while. It returns the delay after which the client should retry;
+	// 0: not known.
 	Refused(v quota.Visit, ago, empty time.Duration) time.Duration
-	// Ran takes in that an operation, passed on some time ago, was not refused for that.
+	// Ran records that an operation, forwarded the given time ago, was not refused for its
+	// account's limit.
 	Ran(v quota.Visit, ago time.Duration)
 }
 
-// tokenShare is the part of its objective for which a statement may wait for the right to
-// run, while nobody has said that there is none: as long as a caller that is refused then
-// can still be served in time elsewhere.
+// tokenWaitFraction is the fraction of its latency objective for which a statement may wait for a
+// token while no limit holder has answered that there is none. A client that is refused after that
+// time can still be served in time by another instance.
 const tokenWaitFraction = 0.25
 
-// leastTokenWait is what a statement waits all the same where that leaves less, as after
-// another carrier has refused it: the way to a holder and back.
+// minTokenWait is the least time that a statement waits for a token, also when little of its
+// objective is left, for example after a refusal by another carrier. It covers a round trip to a
+// limit holder.
 const minTokenWait = 25 * time.Millisecond
 
-// spend uses the account's right to one operation, or returns the refusal.
+// spendToken takes a token for one operation of the account, or returns the refusal.
 func (s *session) spendToken(ctx context.Context, account string, route topology.Route, arrived time.Duration) (quota.Token, *statement.Error) {
 	r := s.relay
 	patience := arrived + time.Duration(float64(route.LatencyObjective)*tokenWaitFraction) - answerMargin - r.now()
@@ -96,8 +98,8 @@
 	return &statement.Error{Code: statement.Busy, Detail: "not run: the account is at its limit", RetryAfter: retryAfter}
 }
 
-// refuseAtDoor returns the refusal of a statement whose account is known to be at its
-// limit, so that it is not carried for nothing; nil: it may be carried.
+// rejectFromCache returns the refusal of a statement whose account is known to be at its limit, so
+// that it is not forwarded in vain. It returns nil if the statement may be forwarded.
 func (s *session) rejectFromCache(account string, route topology.Route) *statement.Error {
 	retryAfter, ok := s.relay.limiter.Admit(s.quotaOperation(account, route))
 	if ok {
@@ -108,8 +110,8 @@
 	return atLimitError(s.rememberRetryAfter(retryAfter))
 }
 
-// noteCarried takes in what the reply to a carried statement tells of its account, and
-// puts when to come back into its refusal.
+// recordForwardedReply records what a carrier's reply says about the account's limit, and sets the
+// reply's retry delay if the limiter knows one.
 func (s *session) recordForwardedReply(route topology.Route, sent time.Duration, reply *relaypb.CarryReply) {
 	operation, ago := s.quotaOperation(s.account, route), s.relay.now()-sent
 	if reply.Code == 0 {
@@ -126,14 +128,13 @@
 	return quota.Visit{Account: account, Returning: s.retryAt > 0 && s.relay.now() >= s.retryAt, Horizon: route.Timeout}
 }
 
-// promise remembers when the caller was told to come back.
+// rememberRetryAfter records when the client may retry.
 func (s *session) rememberRetryAfter(retryAfter time.Duration) time.Duration {
 	s.retryAt = s.relay.now() + retryAfter.Truncate(time.Millisecond)
 	return retryAfter
 }
 
-// logAtLimit tells of an operation that got no token, and what those that hold the
-// account's limit had said.
+// logAtLimit logs an operation that got no token, with the answers of the limit holders.
 func (r *Relay) logAtLimit(account, database string, shortage quota.Shortage) {
 	if suppressed, ok := r.logSampler.Allow("limit" + account); ok {
 		r.log.WithFields(logrus.Fields{
@@ -143,7 +144,8 @@
 	}
 }
 
-// logAtDoor tells of an operation that was not carried, on the word of a carrier.
+// logCachedRejection logs an operation that was not forwarded because a carrier reported the
+// account's limit before.
 func (r *Relay) logCachedRejection(account, database string, retryAfter time.Duration) {
 	if suppressed, ok := r.logSampler.Allow("door" + account); ok {
 		r.log.WithFields(logrus.Fields{"account": account, "database": database, "come_back_ms": retryAfter.Milliseconds(), "left_out": suppressed}).
@@ -151,8 +153,8 @@
 	}
 }
 
-// admitFirst is admit for the first statement of a session's transaction. Of a carried
-// one the caller was admitted by its own instance, which knows the key.
+// admitTransaction is admit for the first statement of a transaction. The client of a forwarded
+// statement was authenticated by its ingress instance, which has the key.
 func (s *session) admitTransaction() (topology.Route, string, *statement.Error) {
 	if !s.forwarded {
 		return s.relay.admit(s.start)
@@ -164,21 +166,21 @@
 	return route, s.account, nil
 }
 
-// keyEnded reports whether the key under which a transaction was begun has been taken
-// away since. The transaction is rolled back then: whoever has lost a key is to get
-// nothing more, and nothing of an open transaction is kept yet.
+// keyRevoked reports whether the key under which the open transaction began was removed since. The
+// transaction is rolled back then: the holder of a revoked key must get no further answers, and the
+// transaction has not committed anything yet.
 func (s *session) keyRevoked() bool {
 	if s.forwarded {
-		return false // the caller's own instance tells
+		return false // the ingress instance checks the key
 	}
 	snap := s.relay.snapshot()
 	route, ok := snap.Databases[s.start.Database]
 	if !ok {
-		return false // a route that is gone binds from the next transaction on
+		return false // a removed route takes effect with the next transaction
 	}
 	_, ok = snap.Config.Accounts.Identify(route.Public, s.start.Key)
 	return !ok
 }
 
-// endedKey is the answer to a statement of a transaction whose key has been taken away.
+// keyRevokedDetail is the answer to a statement of a transaction whose key was removed.
 const keyRevokedDetail = "the key under which the transaction was begun has been taken away, and it was rolled back"
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -17,7 +17,8 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// declare puts a configuration with accounts in force, each with a key named like it.
+// declareAccounts puts a configuration into force that has the given accounts. The key of account
+// NAME is key-NAME.
 func (b *fixture) declareAccounts(version int64, accounts ...string) {
 	declared := make([]account.Account, 0, len(accounts))
 	for _, name := range accounts {
@@ -56,15 +57,15 @@
 		account string
 		code    statement.Code
 	}{
-		"a key of an account":             {withKey("strict", "a"), true, "a", 0},
-		"an unknown key":                  {withKey("strict", "c"), true, "", statement.Unauthenticated},
-		"no key":                          {Start{Database: "strict"}, true, "", statement.Unauthenticated},
-		"no key on a public route":        {Start{Database: "open"}, true, account.Anonymous, 0},
-		"a key on a public route":         {withKey("open", "a"), true, account.Anonymous, 0},
-		"no route":                        {withKey("none", "a"), true, "", statement.NoDatabase},
-		"neither route nor key":           {withKey("none", "c"), true, "", statement.NoDatabase},
-		"unknown while nothing was heard": {withKey("strict", "c"), false, "", statement.Busy},
-		"known while nothing was heard":   {withKey("strict", "a"), false, "a", 0},
+		"a key of an account":         {withKey("strict", "a"), true, "a", 0},
+		"an unknown key":              {withKey("strict", "c"), true, "", statement.Unauthenticated},
+		"no key":                      {Start{Database: "strict"}, true, "", statement.Unauthenticated},
+		"no key on a public route":    {Start{Database: "open"}, true, account.Anonymous, 0},
+		"a key on a public route":     {withKey("open", "a"), true, account.Anonymous, 0},
+		"no route":                    {withKey("none", "a"), true, "", statement.NoDatabase},
+		"no route and an unknown key": {withKey("none", "c"), true, "", statement.NoDatabase},
+		"an unknown key while the configuration may be outdated": {withKey("strict", "c"), false, "", statement.Busy},
+		"a known key while the configuration may be outdated":    {withKey("strict", "a"), false, "a", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b.relay.topologyFresh = func() bool { return c.current }
@@ -80,8 +81,8 @@
 	}
 }
 
-// A key that is taken away ends what its open sessions may do: the next statement is
-// refused, and an open transaction is rolled back.
+// Removing a key ends its open sessions: the next statement is refused, and an open transaction is
+// rolled back.
 func TestRevokedKeyEndsSessions(t *testing.T) {
 	b := newFixture(t)
 	b.declareAccounts(2, "a", "b")
@@ -99,7 +100,7 @@
 	must.Nil(t, b.run(newSession(b.relay, withKey("strict", "b")), statement.Write, "WRITE 4 x").Err)
 }
 
-// A key that passes to another account brings its open sessions along, from the next
+// When a key moves to another account, its open sessions use that account from their next
 // transaction on.
 func TestKeyMovesToAnotherAccount(t *testing.T) {
 	b := newFixture(t)
@@ -115,8 +116,8 @@
 	must.Eq(t, "b", runs[len(runs)-1].Account)
 }
 
-// However sessions of several accounts use the same members: each statement reaches
-// them on a connection of its own account.
+// Sessions of several accounts use the same members concurrently. Each statement must reach its
+// member on a connection of its own account.
 func TestStatementsUseConnectionsOfTheirAccount(t *testing.T) {
 	b := newFixture(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
@@ -155,7 +156,7 @@
 
 func (unlimited) Ran(quota.Visit, time.Duration) {}
 
-// fixedRights is a Limiter that gives a number of rights.
+// fixedTokens is a Limiter with a fixed number of tokens.
 type fixedTokens struct {
 	unlimited
 	left int
@@ -170,8 +171,8 @@
 
 func (r *fixedTokens) Return(string, quota.Token) { r.left++ }
 
-// An operation beyond the account's limit is refused at once, with when to come back; a
-// transaction counts once, whatever it holds.
+// An operation beyond the account's limit is refused at once, with a delay after which to retry. A
+// transaction counts as one operation.
 func TestOperationsBeyondTheLimitAreRefused(t *testing.T) {
 	b := newFixture(t)
 	b.declareAccounts(2, "a")
@@ -190,12 +191,12 @@
 	must.Len(t, ran, b.group.Runs())
 }
 
-// A read that is run again elsewhere, since a member failed it, counts again.
+// A read that is retried because a member failed it needs another token.
 func TestRetriedReadSpendsAnotherToken(t *testing.T) {
 	for _, tokens := range []int{1, 2} {
 		b := newFixture(t)
 		b.declareAccounts(2, "a")
-		must.Nil(t, b.run(newSession(b.relay, withKey("strict", "a")), statement.Read, "READ 1").Err) // brings a sample
+		must.Nil(t, b.run(newSession(b.relay, withKey("strict", "a")), statement.Read, "READ 1").Err) // adds a sample of the primary's log
 		b.group.FailStatements("m1", 1)
 		b.group.FailStatements("m2", 1)
 		before := len(b.group.Runs())
@@ -206,7 +207,7 @@
 	}
 }
 
-// The right to an operation that has not run is given back.
+// The token of an operation that has not run is returned.
 func TestTokenIsReturnedWhenNothingRan(t *testing.T) {
 	b := newFixture(t)
 	b.declareAccounts(2, "a")
@@ -218,8 +219,8 @@
 	must.Eq(t, 2, limiter.left)
 }
 
-// What was known of a member ends with it: one that was started again under its ID gets
-// new connections, and nothing of its log, its names and its usual times is remembered.
+// A member that was restarted under the same ID gets new connections. Nothing observed of the
+// earlier process, such as its log position or its prepared statements, is kept.
 func TestRestartedMemberGetsNewState(t *testing.T) {
 	b := newFixture(t)
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
@@ -244,7 +245,7 @@
 	must.ErrorIs(t, err, connpool.ErrClosed)
 }
 
-// expiring is a Limiter whose first rights have expired when they are used.
+// expiringLimiter is a Limiter whose first tokens have expired when they are used.
 type expiringLimiter struct {
 	unlimited
 	expired, spent int
@@ -258,8 +259,8 @@
 	return quota.TokenUntil(time.Hour), quota.Shortage{}, true
 }
 
-// A statement that has waited for longer than its right lasts needs another one before
-// it is sent, since rights count by when they are used.
+// A statement that was queued until its token expired needs another one before it is sent, since
+// tokens count at the time of their use.
 func TestExpiredTokenIsReplacedBeforeSending(t *testing.T) {
 	b := newFixture(t)
 	b.declareAccounts(2, "a")
--- a/internal/relay/breaker.go
+++ b/internal/relay/breaker.go
@@ -9,17 +9,17 @@
 	"github.com/stackspindle/stackspindle/internal/member"
 )
 
-// breaker breaks work on a primary off: it ends the wait for a connection, or
-// closes the one in use.
+// workCanceller cancels work on a primary: it ends the wait for a connection, or closes the
+// connection in use.
 type workCanceller struct {
 	cancelWait context.CancelFunc
 
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards the fields below
 	conn      *member.Shared
 	cancelled bool
 }
 
-// trip breaks the work off. It may be called from any goroutine.
+// cancel cancels the work. It may be called from any goroutine.
 func (b *workCanceller) cancel() {
 	b.cancelWait()
 	b.mu.Lock()
@@ -30,8 +30,8 @@
 	}
 }
 
-// guard puts a connection under the breaker. It reports false when the work was
-// broken off before. Without a breaker there is nothing to break off.
+// attach sets the connection that cancel closes. It reports false when the work was cancelled
+// before. A nil workCanceller never cancels.
 func (b *workCanceller) attach(conn *member.Shared) bool {
 	if b == nil {
 		return true
@@ -42,7 +42,7 @@
 	return !b.cancelled
 }
 
-// cause returns why work that was broken off has failed, or the error itself.
+// cause adds to err that the work was cancelled, if it was.
 func (b *workCanceller) cause(err error) error {
 	if b == nil {
 		return err
@@ -55,7 +55,7 @@
 	return err
 }
 
-// disarm takes the connection out of the breaker's reach.
+// detach removes the connection, so that cancel no longer closes it.
 func (b *workCanceller) detach() {
 	if b == nil {
 		return
@@ -65,7 +65,8 @@
 	b.conn = nil
 }
 
-// hold is a leased connection, under a breaker where it belongs to the primary.
+// leasedConn is a connection leased from a member's pool. It has a canceller if the member is the
+// primary.
 type leasedConn struct {
 	lease     *connpool.Lease[*member.Shared]
 	canceller *workCanceller
--- a/internal/relay/carrier.go
+++ b/internal/relay/carrier.go
@@ -11,7 +11,7 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// CarrierServer runs the statements of other instances' callers. It implements
+// CarrierServer runs statements that other instances forward for their clients. It implements
 // relaypb.CarrierServer.
 type CarrierServer struct {
 	relaypb.UnimplementedCarrierServer
@@ -20,12 +20,12 @@
 	once     sync.Once
 }
 
-// NewCarrierServer returns the server of an instance.
+// NewCarrierServer returns the carrier service of an instance.
 func NewCarrierServer(r *Relay) *CarrierServer {
 	return &CarrierServer{relay: r, stopping: make(chan struct{})}
 }
 
-// Stop takes no further transaction up. Those that are open go on.
+// Stop refuses new transactions. Open ones go on.
 func (c *CarrierServer) Stop() { c.once.Do(func() { close(c.stopping) }) }
 
 // Ping implements relaypb.CarrierServer.
@@ -33,23 +33,24 @@
 	return &relaypb.PingReply{}, nil
 }
 
-// Settings of the transactions that are open for other instances.
+// Heartbeats of forwarded transactions.
 const (
-	// entryBeat is the pause after which an instance says that a transaction of its
-	// caller, which rests at a carrier, goes on.
+	// heartbeatInterval is the interval at which an ingress instance confirms an idle transaction
+	// that its client has open at a carrier.
 	heartbeatInterval = time.Second
-	// entrySilence is after what time without a word the transaction is rolled back: it
-	// holds one of the few connections to a member. It leaves room for two words that are late.
+	// heartbeatTimeout is the time without a heartbeat or statement after which the carrier rolls
+	// the transaction back, because it holds one of the few connections to a member. Two heartbeats
+	// may be late.
 	heartbeatTimeout = 3 * heartbeatInterval
-	// beatKind is the kind of a request that is no statement but such a word.
+	// heartbeatKind is the kind of a request that is a heartbeat and not a statement.
 	heartbeatKind = -1
 )
 
-// carriedSession is the session of another instance's caller, on one stream.
+// forwardedSession is the session of another instance's client, on one stream.
 type forwardedSession struct {
-	mu             sync.Mutex // guards the rest; held while a statement runs
+	mu             sync.Mutex // guards the fields below; held while a statement runs
 	session        *session
-	heartbeatTimer *time.Timer // ends the open transaction; nil: none was opened yet
+	heartbeatTimer *time.Timer // rolls back the open transaction; nil: none was open yet
 }
 
 // Carry implements relaypb.CarrierServer.
@@ -59,7 +60,7 @@
 	for {
 		req, err := stream.Recv()
 		if err != nil {
-			return nil // the entry has ended the stream: what is open is rolled back
+			return nil // the ingress instance has ended the stream; an open transaction is rolled back
 		}
 		if req.Kind == heartbeatKind {
 			forwarded.recordHeartbeat()
@@ -75,7 +76,7 @@
 	}
 }
 
-// run has a statement run in its session.
+// runStatement runs a request's statement in the stream's session.
 func (c *CarrierServer) runStatement(ctx context.Context, forwarded *forwardedSession, req *relaypb.CarryRequest) *relaypb.CarryReply {
 	forwarded.mu.Lock()
 	defer forwarded.mu.Unlock()
@@ -99,7 +100,8 @@
 	return reply
 }
 
-// await bounds the silence in an open transaction. The caller holds mu.
+// resetHeartbeatTimer restarts the heartbeat timeout while a transaction is open, and stops it
+// otherwise. The caller holds mu.
 func (s *forwardedSession) resetHeartbeatTimer() {
 	switch {
 	case s.session.tx == nil && s.heartbeatTimer != nil:
@@ -112,7 +114,7 @@
 	}
 }
 
-// heard takes in a word of the entry.
+// recordHeartbeat handles a heartbeat of the ingress instance.
 func (s *forwardedSession) recordHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,14 +123,14 @@
 	}
 }
 
-// abandon rolls back the transaction of an instance that has gone silent.
+// handleHeartbeatTimeout rolls back the transaction of an unresponsive ingress instance.
 func (s *forwardedSession) handleHeartbeatTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.session.abandonTx("the instance that the caller is connected to was silent, and the transaction was rolled back")
 }
 
-// end rolls back what is open.
+// end rolls back the open transaction, if there is one.
 func (s *forwardedSession) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +151,7 @@
 	}
 }
 
-// statement decodes a request and brings the session to the caller's state.
+// decodeStatement decodes a request and applies the client's session state to the session.
 func (c *CarrierServer) decodeStatement(s *session, req *relaypb.CarryRequest) statement.Statement {
 	s.variables = req.Values
 	if s.variables == nil {
--- a/internal/relay/carrier_test.go
+++ b/internal/relay/carrier_test.go
@@ -10,18 +10,18 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// A carrier that has just started is known to others from its earlier process. It has no
-// configuration yet, and answered that databases do not exist; on a day on which 177 of 295
-// instances lost power, 579 callers were told so.
+// A carrier that was restarted gets statements from instances that know its address from the
+// earlier process, before it has a configuration. It must not answer that databases do not exist:
+// when 177 of 295 instances lost power, 579 clients got that answer.
 func TestRestartedCarrierAcceptsNothingUntilEnabled(t *testing.T) {
 	b := newFixture(t)
 	server := NewCarrierServer(b.relay)
 	read := &relaypb.CarryRequest{Database: "strict", Id: "x", Text: "READ 1", Kind: int32(statement.Read)}
-	must.True(t, server.runStatement(context.Background(), &forwardedSession{}, read).Stopping, must.Sprint("it is not registered yet"))
+	must.True(t, server.runStatement(context.Background(), &forwardedSession{}, read).Stopping, must.Sprint("the instance is not registered yet"))
 
 	b.relay.StartCarrying()
 	must.Zero(t, server.runStatement(context.Background(), &forwardedSession{}, read).Code)
 
 	read.Database = "added a moment ago"
-	must.True(t, server.runStatement(context.Background(), &forwardedSession{}, read).Stopping, must.Sprint("the one that asks knows of the database"))
+	must.True(t, server.runStatement(context.Background(), &forwardedSession{}, read).Stopping, must.Sprint("the ingress instance may know the database"))
 }
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -9,16 +9,15 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Carriers are the instances that hold connections to a group's members, as one
-// instance sees them.
+// Carriers are the instances that serve a group, as this instance computes them.
 type Carriers struct {
 	placement.Carriers
 	Here   bool            // this instance is one of them
-	Others []lead.Instance // the others
+	Others []lead.Instance // the other ones
 }
 
-// GroupOf returns what placement needs to know of a group, false when none is declared by that
-// name.
+// GroupOf returns a group's properties for placement. It reports false when no group of that name
+// is declared.
 func GroupOf(snap *topology.Snapshot, name string) (placement.Group, bool) {
 	declared, ok := snap.Groups[name]
 	g := placement.Group{Name: name, MaxConnections: declared.MaxConnections}
@@ -32,17 +31,18 @@
 	return ownership.Instance{Name: instance.Name, DataCentre: instance.DataCentre, Weight: instance.Strength.Carrying()}
 }
 
-// SetCarriers makes a placement known to the traffic.
+// SetCarriers sets the placement by which statements are routed from now on.
 func (r *Relay) SetCarriers(snapshot *Placed) { r.placement.Store(snapshot) }
 
-// Carried returns the groups that this instance carries, in order. They must not be changed.
+// Carried returns the groups that this instance serves, sorted by name. The caller must not change
+// the slice.
 func (r *Relay) Carried() []string { return r.placement.Load().Carried() }
 
-// AllShared reports whether every instance carries every group.
+// AllShared reports whether every instance serves every group.
 func (r *Relay) AllShared() bool { return r.placement.Load().AllShared() }
 
-// CarriersOf returns the carriers of a group. While nothing is known of it this
-// instance is one.
+// CarriersOf returns the carriers of a group. This instance is one while the group's carriers are
+// not known.
 func (r *Relay) CarriersOf(group string) Carriers {
 	c, ok := r.placement.Load().Of(group)
 	if !ok || len(c.Others) == 0 {
@@ -51,17 +51,17 @@
 	return c
 }
 
-// Carries reports whether this instance holds connections to a group's members.
+// Carries reports whether this instance serves a group, that is, holds connections to its members.
 func (r *Relay) Carries(group string) bool { return r.CarriersOf(group).Here }
 
-// carrierOrder returns the carriers in the order in which a statement is passed to
-// them. One that needs the primary goes to the primary's data centre, or else its region, so
-// that it crosses to another only once, and so that what waits for the primary waits at few
-// instances. Others stay in the caller's data centre, or else its region.
+// orderCarriers returns the carriers in the order in which they are asked to run a statement. A
+// statement that needs the primary goes to the primary's data centre, or else its region: it then
+// crosses data centres only once, and the statements that wait for a primary queue at few
+// instances. Other statements stay in this instance's data centre, or else its region.
 //
-// Of those in one data centre each client account has its own first, since the connections
-// that they hold belong to accounts: a carrier finds one open the more often, the
-// fewer accounts it serves.
+// Within one data centre each client account has its own preferred carrier. Connections belong to
+// accounts, so the fewer accounts a carrier serves, the more often it has an open connection for
+// one of them.
 func (r *Relay) orderCarriers(c Carriers, group, account string, needsPrimary bool) []lead.Instance {
 	preferred := r.dataCentre
 	if authority, err := r.Gate(group).Authority(); err == nil && needsPrimary {
@@ -71,13 +71,13 @@
 	return placement.Order(c.Others, ownershipCandidate, placement.Caller{Name: cmp.Or(account, r.self), DataCentre: r.dataCentre}, preferred, r.localities)
 }
 
-// StartCarrying lets this instance run statements for others. Before that it has not
-// read the store, or holds no grants, and those that still know its address from an
-// earlier process turn to other carriers.
+// StartCarrying allows this instance to run statements for other instances. Before that it has not
+// read the store, or holds no grants; instances that still know its address from an earlier process
+// get a refusal and ask other carriers.
 func (r *Relay) StartCarrying() { r.carrierEnabled.Store(true) }
 
-// canCarry reports whether this instance can run statements for a database. That it knows of
-// none by that name says nothing: the one that asks may have a newer configuration.
+// canRunForwarded reports whether this instance can run forwarded statements for a database. A
+// database unknown here may still exist, since the ingress instance may have a newer configuration.
 func (r *Relay) canRunForwarded(database string) bool {
 	_, known := r.snapshot().Databases[database]
 	return known && r.carrierEnabled.Load()
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -13,23 +13,23 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Settings of the way to carriers.
+// Limits of forwarding.
 const (
-	// carriersTried is how many carriers a statement is offered to that none has run.
+	// maxCarriersTried is how many carriers are asked to run a statement before it is refused.
 	maxCarriersTried = 3
-	// carryMargin is how much longer than the statement's own deadline an answer is
-	// awaited: the way back, and a carrier that gives up at the last moment.
+	// replyMargin is how much longer than the statement's own deadline the reply is awaited. It
+	// covers the network latency and a carrier that gives up at the last moment.
 	replyMargin = 60 * time.Millisecond
 )
 
-// remoteTransaction is an open transaction at a carrier.
+// forwardedTransaction is an open transaction at a carrier.
 type forwardedTransaction struct {
 	stream *carrierStream
 	route  topology.Route
 	wrote  bool
 }
 
-// carry has a first statement run by a carrier.
+// forward runs the first statement of a transaction at a carrier.
 func (s *session) forward(ctx context.Context, st statement.Statement, route topology.Route, carriers []lead.Instance, arrived time.Duration) statement.Answer {
 	query := s.admissionQuery(st, route, arrived)
 	carriers = s.relay.carrierConns.order(carriers, maxCarriersTried)
@@ -52,8 +52,9 @@
 	return refusal
 }
 
-// carryTo has a first statement run by one carrier. It reports true, with why, when nothing can have
-// changed and another carrier is to be asked. others says that one may have room.
+// forwardTo runs the first statement of a transaction at one carrier. tryNext reports that nothing
+// can have changed and another carrier is to be asked; answer then has the reason. others says that
+// another carrier may have capacity.
 func (s *session) forwardTo(ctx context.Context, st statement.Statement, route topology.Route, query admission.Query, carrier lead.Instance, arrived time.Duration, othersLeft bool) (answer statement.Answer, tryNext bool) {
 	remaining := arrived + route.Timeout - s.relay.now()
 	stream, err := s.relay.carrierConns.open(carrier.Address, remaining)
@@ -88,21 +89,21 @@
 	return s.finishForwarded(st, stream, route, reply), false
 }
 
-// notCarried is the answer to a statement that no carrier has run.
+// notForwarded is the answer to a statement that no carrier has run.
 func notForwarded(err error) statement.Answer {
 	answer := statement.Failure(statement.Idle, statement.Busy, "not run: %v", err)
 	answer.Err.RetryAfter = defaultRetryAfter
 	return answer
 }
 
-// refusedForWait reports whether a carrier has refused a statement since it would wait for
-// too long there.
+// refusedForLongWait reports whether a carrier has refused a statement because it would wait too
+// long there.
 func refusedForLongWait(reply *relaypb.CarryReply, query admission.Query) bool {
 	busy := statement.Code(reply.Code) == statement.Busy && statement.State(reply.State) == statement.Idle
 	return busy && reply.AccountEmptyUs <= 0 && query.WouldWait(reply.PrimaryWaitUs, reply.ReplicaWaitUs)
 }
 
-// continueCarried runs a further statement of a transaction at a carrier.
+// continueForwarded runs a further statement of a transaction at a carrier.
 func (s *session) continueForwarded(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
 	tx := s.forwardedTx
 	reply, err := tx.stream.roundTrip(ctx, s.encodeRequest(st, arrived), tx.route.Timeout+replyMargin)
@@ -118,7 +119,8 @@
 	return s.finishForwarded(st, tx.stream, tx.route, reply)
 }
 
-// noteNoAnswer records that a carrier's answer did not arrive, or was not awaited.
+// recordLostReply records that a carrier's reply did not arrive, or that the client disconnected
+// before.
 func (s *session) recordLostReply(st statement.Statement, carrier string, arrived time.Duration, cause error) {
 	if errors.Is(cause, errClientGone) {
 		s.relay.recordClientGone(s.start.Database, "carried", s.relay.now()-arrived)
@@ -127,8 +129,8 @@
 	s.relay.logLostAnswer(s, st, carrier, cause)
 }
 
-// settleCarried takes in a carrier's reply. While a transaction is open the
-// session keeps the stream.
+// finishForwarded handles a carrier's reply. The session keeps the stream while a transaction is
+// open.
 func (s *session) finishForwarded(st statement.Statement, stream *carrierStream, route topology.Route, reply *relaypb.CarryReply) statement.Answer {
 	answer := decodeReply(reply)
 	s.floor = group.Max(s.floor, decodePosition(reply.Floor))
@@ -145,7 +147,8 @@
 	return answer
 }
 
-// dropCarried rolls back what is open at a carrier.
+// abortForwarded ends the stream of a transaction that is open at a carrier, which rolls it back
+// there.
 func (s *session) abortForwarded() {
 	if s.forwardedTx != nil {
 		s.forwardedTx.stream.stopHeartbeat()
@@ -154,7 +157,7 @@
 	}
 }
 
-// carryRequest describes a statement with what the session brings to it.
+// encodeRequest encodes a statement with the session state that the carrier needs to run it.
 func (s *session) encodeRequest(st statement.Statement, arrived time.Duration) *relaypb.CarryRequest {
 	prepared := s.prepared[st.Name]
 	return &relaypb.CarryRequest{
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -14,11 +14,11 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// lostReadShare is the part of its objective after which a read that got no
-// answer is given to another member.
+// readTimeoutFraction is the fraction of its latency objective after which a read without an answer
+// is retried at another member.
 const readTimeoutFraction = 0.5
 
-// round offers the statement to each member that may serve it, once.
+// tryRound tries each member that may run the statement once.
 func (a *attempt) tryRound() (statement.Answer, outcome) {
 	if a.needsPrimary() {
 		return a.waitForPrimary()
@@ -41,7 +41,7 @@
 	last := noConnection
 	order = routing.AtOnce(order, required, positionAge)
 	for i, c := range order {
-		answer, result := a.tryCandidate(c, required, a.now(), len(order)-i > 1) // where a connection is free now
+		answer, result := a.tryCandidate(c, required, a.now(), len(order)-i > 1) // only if a connection is free now
 		if result == served || result == unknownOutcome {
 			return answer, result
 		}
@@ -51,8 +51,8 @@
 	return statement.Answer{}, last
 }
 
-// required returns the position that a read must see, or false when no sample
-// of the primary is young enough.
+// requiredPosition returns the log position that a read must see. It reports false when no sample
+// of the primary's log is recent enough.
 func (a *attempt) requiredPosition() (group.Position, bool) {
 	p, ok := a.group.requiredAt(a.arrived - a.route.MaxStaleness)
 	if !ok {
@@ -86,7 +86,8 @@
 	return candidates
 }
 
-// deferOutliers leaves members that fail more than others out of a part of the choices.
+// deprioritizeOutliers excludes members with a higher failure rate than the others from a fraction
+// of the choices.
 func (r *Relay) deprioritizeOutliers(candidates []routing.Candidate) {
 	failing := make([]float64, len(candidates))
 	for i, c := range candidates {
@@ -114,7 +115,7 @@
 	return a.runAt(a.ctx, target{upstream: upstream, minPosition: required}, waitUntil, timeout)
 }
 
-// tryPrimary offers the statement to the primary, under a pass.
+// tryPrimary runs the statement at the primary, under a permit.
 func (a *attempt) tryPrimary(waitUntil time.Duration) (statement.Answer, outcome) {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
@@ -145,8 +146,8 @@
 	return answer, result
 }
 
-// mayWrite reports whether work that may write can be sent to the primary: the
-// grant is confirmed, or the members could verify it a moment ago.
+// maySendToPrimary reports whether the statement may be sent to the primary: it only reads, the
+// grant is confirmed, or the members verified the grant a moment ago or do so now.
 func (a *attempt) maySendToPrimary(permit *lead.Pass) bool {
 	return a.reads || permit.Standing() == lead.Confirmed || a.group.recentlyVerified(a.now()) ||
 		a.session.relay.verify(a.ctx, a.group, permit.Authority, false)
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -11,8 +11,8 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// The load: a read of one region, of a group with a member in each. Where both would have it
-// wait as long, it waits for the one of its region.
+// A client in one region reads from a group with a member in each of two regions. With equal
+// queueing delays, the read must wait for the member in its own region.
 func TestReadPrefersMemberOfOwnRegion(t *testing.T) {
 	b := newFixture(t)
 	state := topology.New(0, 0)
@@ -43,8 +43,8 @@
 	}
 }
 
-// The failure: a member answers every other attempt only. It takes part in fewer choices than
-// the other one, and in some.
+// A member fails every second request. It must be a candidate for fewer reads than the other
+// member, but still for some.
 func TestFailingMemberIsDeprioritized(t *testing.T) {
 	b := newFixture(t)
 	bad := b.relay.upstreams.get("m2")
--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -8,25 +8,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// departurePause is the pause between two looks at whether a caller whose statement is
-// under way has closed its connection. Most statements are answered before the first.
+// disconnectPollInterval is the interval at which the connection of a client whose statement is
+// running is checked for a disconnect. Most statements end before the first check.
 const disconnectPollInterval = 50 * time.Millisecond
 
-// departure watches whether a caller closes its connection while its statement is under
-// way. Between two statements there is none.
+// disconnectWatch polls whether a client disconnects while its statement is running. There is none
+// between two statements.
 type disconnectWatch struct {
 	timer *time.Timer
 
-	mu     sync.Mutex // guards the rest
+	mu     sync.Mutex // guards the fields below
 	conn   Caller     // nil: the statement has ended
 	cancel context.CancelFunc
 }
 
-// departures are those that are not in use.
+// disconnectWatchPool holds the unused ones.
 var disconnectWatchPool = sync.Pool{New: func() any { return &disconnectWatch{} }}
 
-// watchDeparture returns a context that ends when a caller closes its connection. end
-// must be called when the statement has ended.
+// watchDisconnect returns a context that is cancelled when a client disconnects. end must be called
+// when the statement has ended.
 func watchDisconnect(caller Caller) (ctx context.Context, end func()) {
 	d := disconnectWatchPool.Get().(*disconnectWatch)
 	d.mu.Lock()
@@ -59,15 +59,15 @@
 	d.cancel()
 	d.conn, d.cancel = nil, nil
 	d.mu.Unlock()
-	if stopped { // else it may look at any moment, and another one is made next time
+	if stopped { // otherwise poll may still run; the watch is not reused
 		disconnectWatchPool.Put(d)
 	}
 }
 
-// goneReason tells why a statement that nobody waits for was not run.
+// clientGoneReason is the reason for not running a statement whose client has disconnected.
 const clientGoneReason = "its caller has gone"
 
-// callerGone reports whether nobody waits for the statement any more, and records that.
+// clientGone reports whether the client has disconnected, and if so sets the reason.
 func (a *attempt) clientGone() bool {
 	if a.ctx.Err() == nil {
 		return false
@@ -76,7 +76,8 @@
 	return true
 }
 
-// noteCallerGone counts and logs a statement that was given up since its caller had gone.
+// recordClientGone counts and logs a statement that was dropped because its client had
+// disconnected.
 func (r *Relay) recordClientGone(database, where string, waited time.Duration) {
 	r.metrics.GetOrCreateCounter(`stackspindle_callers_left_total{waited="` + where + `"}`).Inc()
 	if suppressed, ok := r.logSampler.Allow("left" + where); ok {
@@ -85,10 +86,11 @@
 	}
 }
 
-// noteRested counts and logs a transaction that was ended since its caller let it rest.
+// recordIdleTransaction counts and logs a transaction that was rolled back because its client left
+// it idle.
 func (r *Relay) recordIdleTransaction(database string) {
 	r.metrics.GetOrCreateCounter("stackspindle_resting_transactions_ended_total").Inc()
 	if suppressed, ok := r.logSampler.Allow("rested"); ok {
-		r.log.WithFields(logrus.Fields{"database": database, "left_out": suppressed}).Info("relay: a transaction that rested for too long was rolled back")
+		r.log.WithFields(logrus.Fields{"database": database, "left_out": suppressed}).Info("relay: a transaction that was idle for too long was rolled back")
 	}
 }
--- a/internal/relay/departure_test.go
+++ b/internal/relay/departure_test.go
@@ -15,8 +15,8 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// impatient is a Caller that sends some statements, each after the answer to the one
-// before, and closes its connection when it is told to.
+// fakeClient is a ClientConn that sends statements, each after the answer to the one before, and
+// disconnects when the test calls disconnect.
 type fakeClient struct {
 	start  Start
 	queue  chan statement.Statement
@@ -27,7 +27,7 @@
 	answers []statement.Answer
 }
 
-// call connects a caller whose session ends with done.
+// connect serves a client. done is closed when its session has ended.
 func (b *fixture) connect(t *testing.T, start Start, statements ...statement.Statement) (c *fakeClient, done <-chan struct{}) {
 	t.Helper()
 	c = &fakeClient{start: start, queue: make(chan statement.Statement, len(statements)), closed: make(chan struct{})}
@@ -79,7 +79,7 @@
 
 func (c *fakeClient) Close() error { return nil }
 
-// tokenBook is a Limiter that notes what was used and returned.
+// recordingLimiter is a Limiter that records the tokens that were used and returned.
 type recordingLimiter struct {
 	unlimited
 	used, returned chan struct{}
@@ -98,8 +98,8 @@
 
 var write = statement.Statement{ID: "w", Kind: statement.Write, Text: "WRITE 1 x"}
 
-// A caller leaves while its write waits for a connection here, behind one that the member
-// works on: the write leaves the queue, its right is returned, and it never runs.
+// A client disconnects while its write waits here for a connection that is in use. The write must
+// leave the queue, its token must be returned, and it must never run.
 func TestClientDisconnectsWhileStatementIsQueued(t *testing.T) {
 	b := newFixture(t)
 	reached, release := b.group.Hold("m1")
@@ -123,14 +123,14 @@
 	must.SliceEmpty(t, b.group.Log())
 }
 
-// awaitWaiting waits until a number of requests wait for a member's connections.
+// awaitWaiting waits until n requests wait for connections to a member.
 func awaitWaiting(upstream *upstreamState, n int) {
 	for upstream.pool.Waiting() != n {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A caller leaves while its write is held for the next primary: it is held no longer.
+// A client disconnects while its write waits for the next primary. The write must be dropped.
 func TestClientDisconnectsWhileWaitingForPrimary(t *testing.T) {
 	b := newFixture(t)
 	must.NoError(t, b.guard.Release(t.Context(), 2, 0))
@@ -144,8 +144,8 @@
 	must.SliceEmpty(t, b.group.Log())
 }
 
-// A caller leaves while its write waits at a carrier: there too it leaves the queue, and
-// the right is returned; the carrier is not taken for silent.
+// A client disconnects while its write is queued at a carrier. The write must leave the carrier's
+// queue, its token must be returned, and the carrier must not count as unresponsive.
 func TestClientDisconnectsWhileStatementIsQueuedAtCarrier(t *testing.T) {
 	b := newFixture(t)
 	reached, release := b.group.Hold("m1")
@@ -176,8 +176,8 @@
 	}
 }
 
-// A caller leaves while the member is at work on its write, here or at a carrier: the write
-// ends as it would have, once, and its right stays used.
+// A client disconnects while the member runs its write, directly or for a carrier. The write must
+// complete exactly once, and its token must stay used.
 func TestClientDisconnectsWhileMemberRunsStatement(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
 		b := newFixture(t)
@@ -206,8 +206,8 @@
 	}
 }
 
-// A caller leaves inside a transaction, while the member is at work on a statement of it:
-// the transaction is rolled back when that has ended.
+// A client disconnects while the member runs a statement of its transaction. The transaction must
+// be rolled back when the statement has ended.
 func TestClientDisconnectsInsideTransaction(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
 		b := newFixture(t)
@@ -240,7 +240,7 @@
 	return c.answers
 }
 
-// What the watch of a caller adds to a statement that is answered at once.
+// Measures what watching the client's connection adds to a statement that is answered at once.
 func BenchmarkWatchDisconnect(b *testing.B) {
 	c := &fakeClient{}
 	b.ReportAllocs()
--- a/internal/relay/entry_test.go
+++ b/internal/relay/entry_test.go
@@ -22,8 +22,8 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// newEntry returns a relay without connections to members, whose statements another one
-// carries over loopback.
+// newIngress returns a relay without connections to members, which forwards its statements to the
+// carrier over loopback.
 func newIngress(t *testing.T, carrier *fixture) *Relay {
 	t.Helper()
 	carrier.relay.StartCarrying()
@@ -54,7 +54,7 @@
 	return ingress
 }
 
-// limiterOf returns a limiter that knows a relay's accounts, and whose clock stands still.
+// limiterOf returns a limiter with a relay's accounts and a fixed clock.
 func limiterOf(r *Relay) *limits.Limiter {
 	return limits.New(limits.Config{
 		Rules:    quota.Rules{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20},
@@ -63,7 +63,8 @@
 	})
 }
 
-// hotLimiter is a carrier's Limiter that has no tokens for a while. It counts who asks.
+// emptyLimiter is a carrier's Limiter that has no tokens for the account "hot". It counts the
+// requests of that account.
 type emptyLimiter struct {
 	unlimited
 	shortage quota.Shortage
@@ -78,9 +79,9 @@
 	return quota.Token{}, h.shortage, false
 }
 
-// An account that asks on beyond its limit is refused where its callers are connected,
-// each told a later time to come back; its carrier hears of the first of them only, and
-// others are served as before.
+// Clients go on sending statements of an account that is at its limit. The ingress instance must
+// refuse them itself, each with a longer retry delay; only the first may reach the carrier, and
+// other accounts must not be affected.
 func TestIngressRefusesAccountAtItsLimit(t *testing.T) {
 	b := newFixture(t)
 	limit := account.Limit{Rate: 10, Burst: 10}
@@ -104,8 +105,8 @@
 	must.Eq(t, 1, carrier.asked)
 }
 
-// A carrier that could not ask those that hold the limit tells nothing, and the entry goes
-// on asking it; so it does where the carrier tells what cannot be.
+// A carrier that could not ask all limit holders reports no shortage, and one may report values
+// that are impossible. The ingress instance must then go on forwarding.
 func TestIngressForwardsWhenShortageIsUnknown(t *testing.T) {
 	for _, shortage := range []quota.Shortage{
 		{ComeBack: time.Second, Silent: 1}, {ComeBack: time.Second, Silent: 1, Without: 5}, {ComeBack: time.Second, Gone: 6}, {ComeBack: time.Second, Without: 2, Gone: 4},
--- a/internal/relay/failures.go
+++ b/internal/relay/failures.go
@@ -8,34 +8,33 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Bounds of the lines that name requests which did not succeed. With IDs of 16 bytes a
-// line has up to 4.4 kB; more than a few causes a second would come from a fault.
+// Limits of the log lines that list failed requests. With IDs of 16 bytes a line has up to 4.4 kB;
+// more than a few causes a second indicate a fault.
 const (
 	failureLogInterval = time.Second
-	maxFailureCauses   = 64  // lines in a period; further causes share the last
-	maxLoggedIDs       = 256 // named in a line, the others are counted
+	maxFailureCauses   = 64  // lines per interval; further causes share the last line
+	maxLoggedIDs       = 256 // listed per line; the others are counted
 )
 
-// cause is what requests that did not succeed have in common.
+// failureCause is what the failed requests of one log line have in common.
 type failureCause struct {
 	group   string
-	outcome string // the code that the caller got
+	outcome string // code of the answer to the client
 	detail  string
 }
 
-// otherCauses stands for what is beyond the bound.
+// otherCauses collects the causes beyond maxFailureCauses.
 var otherCauses = failureCause{outcome: "various", detail: "more causes in a second than are told apart"}
 
-// failures collects the requests that did not succeed, so that each can be found in
-// the logs by its ID, at one line a second for each cause. It is safe for concurrent
-// use and never waits for the log.
+// failureLog collects failed requests so that each can be found in the logs by its ID, with one log
+// line per second and cause. It is safe for concurrent use and never blocks on the log.
 type failureLog struct {
-	mu      sync.Mutex // guards the rest
+	mu      sync.Mutex // guards the fields below
 	since   time.Duration
 	byCause map[failureCause]*failedRequests
 }
 
-// failed are the requests of one cause in a period.
+// failedRequests are the failed requests of one cause in one interval.
 type failedRequests struct {
 	ids     strings.Builder
 	listed  int
@@ -44,7 +43,7 @@
 
 func newFailureLog() *failureLog { return &failureLog{byCause: make(map[failureCause]*failedRequests)} }
 
-// note adds a request.
+// add adds a failed request.
 func (f *failureLog) add(c failureCause, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,7 +66,8 @@
 	batch.listed++
 }
 
-// take returns what a period has brought once it is over, nil before.
+// takeBatch returns and clears the collected requests once failureLogInterval has passed; it
+// returns nil before.
 func (f *failureLog) takeBatch(now time.Duration) map[failureCause]*failedRequests {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,8 +79,8 @@
 	return batch
 }
 
-// ReportFailures logs the requests that did not succeed since the last report, once a
-// second has passed. At the end of the process the last are logged at once.
+// ReportFailures logs the requests that failed since the last report, if failureLogInterval has
+// passed. At the end of the process (last) it logs them at once.
 func (r *Relay) ReportFailures(last bool) {
 	now := r.now()
 	if last {
--- a/internal/relay/failures_test.go
+++ b/internal/relay/failures_test.go
@@ -19,10 +19,11 @@
 	taken := f.takeBatch(failureLogInterval)
 	must.MapLen(t, 2, taken)
 	must.Eq(t, "a c", taken[busy].ids.String())
-	must.MapEmpty(t, f.takeBatch(time.Hour), must.Sprint("nothing failed since"))
+	must.MapEmpty(t, f.takeBatch(time.Hour), must.Sprint("no further failures"))
 }
 
-// However much fails, lines and memory are bounded, and what is not named is counted.
+// The number of lines and the memory in use are bounded, and requests that are not listed are
+// counted.
 func TestFailuresAreBounded(t *testing.T) {
 	f := newFailureLog()
 	for n := range 10 * maxFailureCauses {
@@ -41,7 +42,8 @@
 	must.Eq(t, 10*maxFailureCauses*2*maxLoggedIDs, count)
 }
 
-// A thousand failures a second cost some tenth of a millisecond of processor time.
+// Measures the cost of recording failed requests, with a report every 1000. A thousand failures a
+// second should cost some tenth of a millisecond of processor time.
 func BenchmarkFailureLog(b *testing.B) {
 	f := newFailureLog()
 	b.ReportAllocs()
--- a/internal/relay/first.go
+++ b/internal/relay/first.go
@@ -13,51 +13,52 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// attempt is the work on one first statement.
+// attempt is the execution of the first statement of a transaction. All times are relative to the
+// start of the instance.
 type attempt struct {
-	ctx        context.Context // ends when nobody waits for the answer any more
+	ctx        context.Context // ends when the client no longer waits for the answer
 	session    *session
 	st         statement.Statement
 	prepared   *member.Prepared
 	route      topology.Route
-	account    string // whose connections it may use
+	account    string // client account whose connections are used
 	token      quota.Token
 	group      *groupState
 	guard      *lead.Gate
 	arrived    time.Duration
-	deadline   time.Duration // for the whole answer
+	deadline   time.Duration // for the complete answer
 	reads      bool
 	offered    bool // a member that could run it was asked
-	mayHaveRun bool // a member may have run it, without an answer that could be passed on
-	atLimit    bool // it may not be sent again, since the account is at its limit
+	mayHaveRun bool // a member may have run it, but no answer could be passed on
+	atLimit    bool // the account has no token for sending it again
 	rounds     int
-	reason     string // the last refusal, for the caller and the log
+	reason     string // of the last failed try, for the client and the log
 
-	verdict          admission.Verdict // on the wait for the member that was chosen last
-	hasVerdict       bool              // there is a verdict, which stands until the statement has run
-	queuedAt         time.Duration     // since when it waits in queues; 0: it does not
-	unavailable      *unavailability   // why no member could be asked in this round, other than that all are full
-	saturated        bool              // a member that can be reached had no room in this round
-	waitsForRecovery bool              // it was found worth holding although there is an obstacle
+	verdict          admission.Verdict // on waiting for the member that was chosen last
+	hasVerdict       bool              // verdict is set; it holds until the statement has run
+	queuedAt         time.Duration     // start of the wait in queues; 0: it is not queued
+	unavailable      *unavailability   // why no member could be asked in this round, other than full queues
+	saturated        bool              // a reachable member had no free connection in this round
+	waitsForRecovery bool              // it was admitted to wait until the unavailability ends
 
 	readFailures int              // members that ran the read and failed
-	lastFailure  statement.Answer // of the last of them
+	lastFailure  statement.Answer // answer of the last of them
 
-	lastMember      string         // that was tried last
-	lastMinPosition group.Position // what its log had to hold
+	lastMember      string         // member that was tried last
+	lastMinPosition group.Position // log position that it had to have reached
 }
 
-// outcome is how one try at a member ended.
+// outcome is the result of trying one member.
 type outcome int
 
 const (
-	served         outcome = iota // the answer is the caller's
-	notRun                        // nothing ran; try elsewhere
-	noConnection                  // no connection came free; nothing was sent
+	served         outcome = iota // the answer is final
+	notRun                        // it has not run, or may be retried; try another member
+	noConnection                  // no connection became free; nothing was sent
 	unknownOutcome                // it may have run
 )
 
-// first runs a statement outside a transaction, or opens one.
+// executeFirst runs a statement outside a transaction, or the one that begins a transaction.
 func (s *session) executeFirst(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
 	route, account, refusal := s.admitTransaction()
 	if refusal != nil {
@@ -90,7 +91,7 @@
 	return answer
 }
 
-// run tries members until one has served the statement or time is up.
+// run tries members until one has served the statement or its time is up.
 func (a *attempt) run() statement.Answer {
 	for {
 		a.unavailable, a.saturated = nil, false
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -9,40 +9,41 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// Settings of how long a first statement is held.
+// Limits of how long the first statement of a transaction waits for a member.
 const (
-	// answerMargin is kept of the time that a statement has, for the answer to leave.
+	// answerMargin is the part of the deadline that is reserved for returning the answer.
 	answerMargin = 8 * time.Millisecond
-	// retryPause is the pause after all members have refused.
+	// retryDelay is the pause between two rounds in which no member could run the statement.
 	retryDelay = 6 * time.Millisecond
-	// stayTimes is how many times its predicted wait a read stays in the queue of one
-	// member before the members are compared again.
+	// maxWaitMultiple is how many times its predicted wait a read stays in one member's queue
+	// before the members are compared again.
 	maxWaitMultiple = 2
-	// comeBack is the advice of a refusal when nothing better is known.
+	// defaultRetryAfter is the delay that a refusal advises when no better estimate is known.
 	defaultRetryAfter = 50 * time.Millisecond
 )
 
-// obstacle is why a member could not be asked, other than that it is full.
+// unavailability is a reason, other than a full queue, why no member could run the statement.
 type unavailability struct {
 	reason    admission.Reason
-	remaining time.Duration // for which it is expected to last
+	remaining time.Duration // expected duration until it ends
 }
 
-// unreachable is the obstacle of a member to which no connection can be had.
+// unreachableMember returns the unavailability of a member to which no connection can be obtained.
 func unreachableMember(upstream *upstreamState, now time.Duration) *unavailability {
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
 	return &unavailability{reason: admission.Unreachable, remaining: admission.Silence(upstream.unresponsiveFor(now))}
 }
 
-// silent returns for how long the member has not answered although it was asked. The
-// caller holds mu.
+// unresponsiveFor returns for how long requests to the member have got no answer. The caller holds
+// mu.
 func (u *upstreamState) unresponsiveFor(now time.Duration) time.Duration {
 	return u.health.SilentFor(now)
 }
 
-// request returns what admission needs to know of the statement. One that arrives late,
-// since others could not run it, is treated as its caller's next attempt would be.
+// admissionRequest describes the statement to admission control. The time left counts from now, so
+// a statement that arrives late because other carriers could not run it is treated like a retry by
+// its client.
 func (a *attempt) admissionRequest() admission.Request {
 	timeLeft := max(0, a.deadline-a.now())
 	return admission.Request{
@@ -50,10 +51,11 @@
 	}
 }
 
-// level returns the priority of the statement among those that are told apart.
+// priorityLevel returns the priority of the statement, bounded to the levels that are tracked
+// separately.
 func (a *attempt) priorityLevel() int { return min(max(a.route.Priority, 0), lastPriorityLevel) }
 
-// work returns what the statement needs.
+// queueTarget returns whether the statement waits for the primary only or for any member.
 func (a *attempt) queueTarget() admission.Work {
 	if a.needsPrimary() {
 		return admission.OnPrimary
@@ -61,7 +63,8 @@
 	return admission.OnReplica
 }
 
-// decide returns whether the wait for a member is worth it.
+// decideAdmission decides whether the statement may wait for the member, or is refused because the
+// wait would be too long.
 func (u *upstreamState) decideAdmission(now time.Duration, level int, r admission.Request, target admission.Work) admission.Verdict {
 	backlog := u.backlog(level, target)
 	u.mu.Lock()
@@ -72,11 +75,11 @@
 	return u.controllers[target][level].Decide(now, r, u.withSlowdown(now, backlog))
 }
 
-// slowed returns a backlog with how slow the member is. The caller holds mu.
+// withSlowdown adds the member's current slowdown to a backlog. The caller holds mu.
 func (u *upstreamState) withSlowdown(now time.Duration, b admission.Backlog) admission.Backlog {
 	b.Slowdown = u.throttle.Slowdown()
 	if b.Paused -= now; b.Paused > 0 {
-		b.Slowdown = max(1, b.Slowdown) / u.throttle.Share() // it works for this instance for a share of the time
+		b.Slowdown = max(1, b.Slowdown) / u.throttle.Share() // the throttle lets this instance send only for this share of the time
 	}
 	return b
 }
@@ -86,13 +89,13 @@
 	if target == admission.OnReplica {
 		b.Slots = b.Flexible
 	} else {
-		b.PausedUntil = 0 // a pause holds flexible requests only
+		b.PausedUntil = 0 // a pause applies only to requests that another member could run
 	}
 	return admission.Backlog{Ahead: b.Ahead, Work: b.Work, Active: b.Active, Slots: b.Slots, Held: b.Held, Paused: b.PausedUntil}
 }
 
-// waitForPrimary has the statement wait for the primary if that is worth it. A statement that
-// was admitted once stays so.
+// waitForPrimary queues the statement for the primary if admission control allows it. The decision
+// is made once: an admitted statement stays admitted.
 func (a *attempt) waitForPrimary() (statement.Answer, outcome) {
 	if authority, err := a.guard.Authority(); err == nil && !a.hasVerdict {
 		if upstream := a.session.relay.upstreams.get(authority.Primary); upstream != nil {
@@ -107,7 +110,7 @@
 	return a.tryPrimary(a.queueDeadline())
 }
 
-// waitAtBest has a read wait for the member at which it is expected to run first.
+// waitAtFastest queues a read for the member where it is expected to run first.
 func (a *attempt) waitAtFastest(order []routing.Candidate, required group.Position, positionAge time.Duration) (statement.Answer, outcome) {
 	if len(order) == 0 {
 		a.reason = "no member is known that could serve it"
@@ -125,8 +128,8 @@
 	return a.tryCandidate(fastest, required, min(a.now()+maxWait, a.queueDeadline()), len(order) > 1)
 }
 
-// best returns the member at which a read is expected to run first, of those that are
-// fit to serve it where there are such. The first of equals is the one that routing prefers.
+// fastest returns the member where a read is expected to run first, among the eligible ones (the
+// first candidate counts as eligible). Ties go to the one that routing prefers.
 func (a *attempt) fastest(order []routing.Candidate, required group.Position, positionAge time.Duration) (routing.Candidate, admission.Verdict) {
 	now, req := a.now(), a.admissionRequest()
 	fastest, verdict, soonest := order[0], admission.Verdict{Admit: true}, time.Duration(0)
@@ -143,14 +146,15 @@
 	return fastest, verdict
 }
 
-// place is a statement's place in the queue before a member.
+// queueEntry is a statement in a member's queue.
 type queueEntry struct {
 	attempt  *attempt
 	upstream *upstreamState
-	probe    bool // it shows whether a member is there that has not answered
+	probe    bool // its outcome shows whether an unresponsive member answers again
 }
 
-// enterQueue notes that the statement may wait for a member until a time; nil: it does not.
+// enterQueue records that the statement may wait for a member until the given time. It returns nil
+// if that time has passed.
 func (a *attempt) enterQueue(upstream *upstreamState, until time.Duration) *queueEntry {
 	now := a.now()
 	if until <= now {
@@ -169,12 +173,13 @@
 	return entry
 }
 
-// level returns what is known of statements like this one. The caller holds mu.
+// controllerFor returns the admission controller for statements of this priority and target. The
+// caller holds mu.
 func (u *upstreamState) controllerFor(a *attempt) *admission.Level {
 	return &u.controllers[a.queueTarget()][a.priorityLevel()]
 }
 
-// leave notes that the statement waits no longer.
+// leaveQueue records that the statement no longer waits.
 func (e *queueEntry) leaveQueue(granted bool) {
 	if e == nil {
 		return
@@ -191,7 +196,8 @@
 	}
 }
 
-// shown notes that what the statement was to show of the member is known.
+// finishProbe records that the outcome of a probe is known, so that another statement may probe the
+// member.
 func (e *queueEntry) finishProbe() {
 	if e == nil || !e.probe {
 		return
@@ -201,8 +207,8 @@
 	e.upstream.probing = false
 }
 
-// learnWait compares how long the statement has waited with what was predicted when it was
-// admitted. The caller holds up.mu.
+// recordQueueWait feeds the statement's queueing delay, and the delay predicted at admission, to
+// the admission controller. The caller holds the upstream's mu.
 func (a *attempt) recordQueueWait(upstream *upstreamState, now time.Duration) {
 	if a.queuedAt == 0 {
 		return
@@ -212,7 +218,7 @@
 	a.queuedAt = 0
 }
 
-// worthHolding reports whether the statement is held for another round.
+// shouldRetry reports whether the statement waits for another round.
 func (a *attempt) shouldRetry() bool {
 	if a.hasVerdict && !a.verdict.Admit {
 		return false
@@ -228,9 +234,10 @@
 	return a.now()+retryDelay < a.queueDeadline()
 }
 
-// holdUntil returns until when the statement may be held: for its objective, and beyond that
-// until its deadline is near if it was admitted and its queue is not overloaded. Where
-// others are refused, one that is late takes the room of one that would be in time.
+// queueDeadline returns until when the statement may wait: until its latency objective or, if it
+// was admitted and its queue is not overloaded, until shortly before its deadline. In an overloaded
+// queue, where others are refused, a late statement would take the place of one that can still meet
+// its objective.
 func (a *attempt) queueDeadline() time.Duration {
 	objective := min(a.deadline, a.arrived+a.route.LatencyObjective)
 	if !a.hasVerdict || a.offered || a.waitsForRecovery || a.now()+retryDelay < objective || a.overloaded() {
@@ -239,8 +246,8 @@
 	return a.deadline - answerMargin - a.group.typicalDuration(classOf(a.route))
 }
 
-// overloaded reports whether statements like this one are refused at the member that it
-// waits for.
+// overloaded reports whether the member that the statement waits for refuses statements of this
+// priority and target.
 func (a *attempt) overloaded() bool {
 	upstream := a.session.relay.upstreams.get(a.lastMember)
 	if upstream == nil {
@@ -251,7 +258,8 @@
 	return upstream.controllerFor(a).Overloaded(a.now())
 }
 
-// pause waits for a moment, or until the group's primary changes or nobody waits any more.
+// waitBeforeRetry waits for retryDelay, or until the group's primary changes or the client has
+// disconnected.
 func (a *attempt) waitBeforeRetry() {
 	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
@@ -262,8 +270,8 @@
 	}
 }
 
-// refuse gives the statement up. Nothing of it has run, but for a read that failed, or
-// whose answer was lost.
+// refuse gives up the statement. It has not run, except for a read that failed or whose answer was
+// lost.
 func (a *attempt) refuse() statement.Answer {
 	if !a.mayHaveRun {
 		a.session.relay.limiter.Return(a.account, a.token)
@@ -282,11 +290,12 @@
 	return answer
 }
 
-// waitedInVain reports whether the statement has waited for longer than was predicted. One that
-// ended before, since its caller left or its account is at its limit, tells nothing.
+// waitExceededPrediction reports whether the statement waited longer than predicted. A shorter
+// wait, cut short because the client disconnected or its account is at its limit, says nothing
+// about the queue.
 func (a *attempt) waitExceededPrediction() bool { return a.now()-a.queuedAt > a.verdict.Predicted }
 
-// comeBack returns after what time the caller is told to try again.
+// retryAfter returns the delay after which the client should retry.
 func (a *attempt) retryAfter() time.Duration {
 	switch {
 	case a.verdict.ComeBack > 0:
--- a/internal/relay/hold_test.go
+++ b/internal/relay/hold_test.go
@@ -20,7 +20,8 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// fill takes all slots of the primary, and has further requests of some work wait.
+// fillSlots takes all slots of the primary, and queues further requests with the given expected
+// duration.
 func fillSlots(t *testing.T, b *fixture, waiting int, work time.Duration) []*connpool.Lease[*member.Shared] {
 	t.Helper()
 	p := b.relay.upstreams.get("m1").pool
@@ -37,7 +38,7 @@
 	return leases
 }
 
-// learn makes known what a statement of a database usually takes.
+// learnDuration sets the typical duration of a database's statements.
 func learnDuration(b *fixture, database string, usual time.Duration) {
 	for range 100 {
 		b.relay.paceMember(b.relay.upstreams.get("m1"), b.relay.upstreams.group("g"), b.snap.Databases[database], usual)
@@ -49,9 +50,8 @@
 	return b.relay.metrics.GetOrCreateCounter(`stackspindle_refusals_total{reason="` + reason + `",priority="0"}`).Get()
 }
 
-// The load: a primary with more before it than it can run in the statement's time. What
-// cannot run in time is refused before it waits, and told to come back when the queue has
-// drained; what can is held.
+// The primary's queue is longer than a statement can wait. The statement must be refused before it
+// is queued, with a retry delay that covers the time in which the queue drains.
 func TestStatementIsRefusedBeforeLongQueue(t *testing.T) {
 	b := newFixture(t)
 	const waiting, work = 20, 100 * time.Millisecond
@@ -65,8 +65,8 @@
 	must.SliceEmpty(t, b.group.Ran("m1"))
 }
 
-// The load: all slots are taken in the first second after a start, when nothing usual is
-// known. A statement is held past its objective while its deadline leaves it time.
+// All slots are taken shortly after a start, when no typical duration is known. A statement must
+// stay queued past its objective while its deadline allows.
 func TestAdmittedStatementIsQueuedPastItsObjective(t *testing.T) {
 	b := newFixture(t)
 	route := b.snap.Databases["strict"]
@@ -85,8 +85,8 @@
 	must.Nil(t, (<-answered).Err)
 }
 
-// The failure: the primary is being changed. A statement whose time is over before the next
-// one can be there is refused at once and told when that should be; one that has the time waits.
+// The primary is being changed. A statement whose time ends before the next primary is expected
+// must be refused at once, with a retry delay; one with more time must wait.
 func TestStatementsDuringChangeOfPrimary(t *testing.T) {
 	b := newFixture(t)
 	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
@@ -104,7 +104,7 @@
 	must.Nil(t, (<-answered).Err)
 }
 
-// How long a change took is learned by the statements that it kept waiting.
+// The duration of a change of primary is learned from the statements that waited for its end.
 func TestOutageDurationIsLearned(t *testing.T) {
 	g := &groupState{}
 	gate := lead.NewGate(func() time.Duration { return 300 * time.Millisecond })
@@ -114,10 +114,10 @@
 	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true))
 	g.recordOutage(400*time.Millisecond, gate)
 	g.recordPrimary(time.Hour)
-	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true), must.Sprint("no statement saw its end"))
+	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true), must.Sprint("no statement met the end of the outage"))
 }
 
-// A carrier tells in its replies how long statements wait there, and nothing while none do.
+// A carrier's replies contain the queueing delays there, and nothing when no statement would wait.
 func TestCarrierReportsQueueingDelays(t *testing.T) {
 	b := newFixture(t)
 	b.relay.StartCarrying()
@@ -133,10 +133,10 @@
 	fillSlots(t, b, 20, 100*time.Millisecond)
 	b.relay.addWaitForecast(reply, "g")
 	must.Positive(t, reply.PrimaryWaitUs[0])
-	must.SliceEmpty(t, reply.ReplicaWaitUs, must.Sprint("the replica has room"))
+	must.SliceEmpty(t, reply.ReplicaWaitUs, must.Sprint("the replica has free slots"))
 }
 
-// fakeCarrier answers all statements alike and counts them.
+// fakeCarrier gives the same reply to all statements and counts them.
 type fakeCarrier struct {
 	*CarrierServer
 	reply *relaypb.CarryReply
@@ -166,8 +166,8 @@
 	return carrier, lead.Instance{Name: l.Addr().String(), Address: l.Addr().String()}
 }
 
-// The load: one carrier has more than it can run, or cannot reach the primary, and another can. The statement
-// that the first refuses is run by the second, and further ones are not offered to the first.
+// One carrier is overloaded, or cannot reach the primary, and another is not. A statement that the
+// first refuses must run at the second, and later statements must not be sent to the first.
 func TestStatementGoesToCarrierWithCapacity(t *testing.T) {
 	b := newFixture(t)
 	full, first := newFakeCarrier(t, &relaypb.CarryReply{
@@ -187,18 +187,18 @@
 	must.Eq(t, 3, free.asked.Load())
 
 	a := s.forward(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
-	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("let through once, to learn"))
+	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("one is let through to update the forecast"))
 	asked := full.asked.Load()
 	for refusals(b, admission.AllRefuse.String()) == 0 { // one is let through now and then
 		asked = full.asked.Load()
 		a = s.forward(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
 		must.Eq(t, statement.Busy, a.Err.Code)
 	}
-	must.Eq(t, asked, full.asked.Load(), must.Sprint("refused at the door"))
+	must.Eq(t, asked, full.asked.Load(), must.Sprint("refused without asking the carrier"))
 }
 
-// The failure: a member does not answer. One statement finds out whether it does again; others whose time is
-// shorter than its silence are refused meanwhile.
+// A member is unresponsive. One statement is sent to find out whether it answers again; meanwhile,
+// statements with less time than the member has been unresponsive must be refused.
 func TestOneStatementProbesUnresponsiveMember(t *testing.T) {
 	b := newFixture(t)
 	upstream := b.relay.upstreams.get("m1")
@@ -208,13 +208,13 @@
 	decide := func() admission.Verdict {
 		return upstream.decideAdmission(time.Second, 0, hurried, admission.OnPrimary)
 	}
-	must.True(t, decide().Admit, must.Sprint("nobody asks it"))
+	must.True(t, decide().Admit, must.Sprint("no statement probes it"))
 	a := &attempt{session: &session{relay: b.relay}, reads: true}
 	probe := a.enterQueue(upstream, b.relay.now()+generous)
 	must.Eq(t, admission.Unreachable, decide().Reason)
 	second := a.enterQueue(upstream, b.relay.now()+generous)
 	second.leaveQueue(false)
-	must.Eq(t, admission.Unreachable, decide().Reason, must.Sprint("the first still asks"))
+	must.Eq(t, admission.Unreachable, decide().Reason, must.Sprint("the first statement still probes it"))
 	probe.leaveQueue(false)
 	must.True(t, decide().Admit)
 }
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -14,24 +14,25 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Settings of the work of a member on a statement.
+// Limits of a statement's execution at a member.
 const (
-	// patienceTimes is how many times its usual time a statement may take before it
-	// does not count as work of its member any more, so that a lost answer does not
-	// keep others away, and the least that a member gets for a read that others could
-	// serve. Statements of one kind differ in their work, and wait for others.
+	// maxWorkMultiple is how many times its typical duration a statement may take before its
+	// connection no longer counts towards the member's concurrent statements, so that a lost answer
+	// doesn't block others. It is also the least time that a member gets for a read that another
+	// member could serve. The factor is large because statements of one class differ in their work,
+	// and wait for others.
 	maxWorkMultiple = 8
-	// defaultPatience stands for that while nothing usual is known.
+	// defaultMaxWork replaces it while the typical duration is not known.
 	defaultMaxWork = 150 * time.Millisecond
-	// maxFailures is how many members may fail a read before its failure is the
-	// caller's: the statement itself may be at fault.
+	// maxReadFailures is how many members may fail a read before the client gets the failure: the
+	// fault may be in the statement itself.
 	maxReadFailures = 2
 )
 
-// patience returns for how long a member is expected to work on the statement at most.
+// maxWorkTime returns how long a member is expected to work on the statement at most.
 func (a *attempt) maxWorkTime() time.Duration { return a.group.maxWorkTime(a.route) }
 
-// patience returns for how long a member is expected to work on a statement of a route at most.
+// maxWorkTime returns how long a member is expected to work on a statement of the route at most.
 func (g *groupState) maxWorkTime(route topology.Route) time.Duration {
 	if typical := g.typicalDuration(classOf(route)); typical > 0 {
 		return maxWorkMultiple * typical
@@ -39,16 +40,16 @@
 	return defaultMaxWork
 }
 
-// target is a member that is to run a statement.
+// target is the member that is to run a statement.
 type target struct {
 	upstream    *upstreamState
-	permit      *lead.Pass     // for the primary; nil: a replica
-	canceller   *workCanceller // with a pass only
-	minPosition group.Position // that its log must hold; zero: any
+	permit      *lead.Pass     // of the primary; nil: a replica
+	canceller   *workCanceller // set with a permit only
+	minPosition group.Position // position that the member's log must have reached; zero: any
 }
 
-// tryAt has one member run the statement. A connection is waited for until
-// waitUntil, the answer until timeout.
+// runAt runs the statement at one member. It waits for a connection until waitUntil and for the
+// answer until timeout.
 func (a *attempt) runAt(ctx context.Context, t target, waitUntil, timeout time.Duration) (statement.Answer, outcome) {
 	relay, upstream := a.session.relay, t.upstream
 	if a.clientGone() || !a.maySend() {
@@ -85,7 +86,7 @@
 		return statement.Answer{}, noConnection
 	}
 	if a.clientGone() || a.token.Expired(a.now()) && !a.spendAnotherToken() {
-		conn.release() // nobody waits for it, or it has waited for longer than the right to it lasts
+		conn.release() // the client has disconnected, or the token expired in the queue and there is no other
 		return statement.Answer{}, noConnection
 	}
 	sentAt := a.now()
@@ -104,7 +105,7 @@
 		relay.paceMember(upstream, a.group, a.route, took)
 	}
 	if answer.Err != nil && answer.Err.Code.NotRun() && answer.Err.Code != statement.Malformed {
-		// One that has no room could run it; one that lags or does not lead could not.
+		// A busy member could run the statement; one that lags or is not the primary could not.
 		a.offered = a.offered || answer.Err.Code == statement.Busy
 		return a.handleRefusal(upstream, conn, answer)
 	}
@@ -115,14 +116,14 @@
 	return a.finish(t, conn, answer)
 }
 
-// mayRepeat reports whether the statement may be sent to a member: for the first time, or
-// once more when the account has the right to another operation, since one that may
-// have run counts.
+// maySend reports whether the statement may be sent to a member. If it may have run before, sending
+// it again needs another token, since an operation that may have run counts against the account's
+// limit.
 func (a *attempt) maySend() bool {
 	return !a.mayHaveRun || a.spendAnotherToken()
 }
 
-// spendAgain uses the account's right to another operation.
+// spendAnotherToken spends a further token of the account for the statement.
 func (a *attempt) spendAnotherToken() bool {
 	var ok bool
 	patience := min(a.deadline, a.arrived+a.route.LatencyObjective) - a.now()
@@ -134,7 +135,7 @@
 	return true
 }
 
-// noteNoRoom records why no connection could be had.
+// recordNoConnection records why no connection could be obtained.
 func (a *attempt) recordNoConnection(upstream *upstreamState, err error) {
 	a.reason = "member " + upstream.id + ": " + err.Error()
 	var refusal *statement.Error
@@ -153,8 +154,8 @@
 	a.unavailable = unreachableMember(upstream, a.now())
 }
 
-// lostAnswer decides about a statement whose answer did not arrive. What cannot
-// have changed anything may run again: a read, and a transaction's beginning.
+// handleLostAnswer handles a statement whose answer did not arrive. It may be retried if it cannot
+// have changed anything: a read, or a BEGIN.
 func (a *attempt) handleLostAnswer(upstream *upstreamState, err error) (statement.Answer, outcome) {
 	a.session.relay.logLostAnswer(a.session, a.st, upstream.id, err)
 	a.reason, a.mayHaveRun = err.Error(), true
@@ -164,7 +165,7 @@
 	return statement.Answer{}, unknownOutcome
 }
 
-// refusedBy handles a member's word that it did not run the statement.
+// handleRefusal handles a member's answer that it did not run the statement.
 func (a *attempt) handleRefusal(upstream *upstreamState, conn *leasedConn, answer statement.Answer) (statement.Answer, outcome) {
 	conn.release()
 	a.reason = "member " + upstream.id + ": " + answer.Err.Error()
@@ -174,14 +175,14 @@
 	return statement.Answer{}, notRun
 }
 
-// mayRunAgain reports whether a read that a member ran and failed is to be given to
-// another: a member may fail part of what it runs while all else about it is well.
+// mayRetryElsewhere reports whether a read that failed at a member is retried at another: a member
+// may fail some statements and otherwise work normally.
 func (a *attempt) mayRetryElsewhere(answer statement.Answer) bool {
 	return a.reads && answer.State == statement.Idle && answer.Err != nil &&
 		answer.Err.Code == statement.StatementFailed && a.readFailures < maxReadFailures
 }
 
-// failedAt passes over a member that has failed a read.
+// handleFailedRead records that a member failed a read, which is then retried.
 func (a *attempt) handleFailedRead(upstream *upstreamState, conn *leasedConn, answer statement.Answer) (statement.Answer, outcome) {
 	conn.release()
 	upstream.recordFailedAttempt(a.now())
@@ -191,7 +192,8 @@
 	return statement.Answer{}, notRun
 }
 
-// settle passes an answer on. A transaction keeps its connection.
+// finish handles a member's final answer. An answer of the primary is passed on only while the
+// permit allows it; see mayPassOn. An open transaction keeps its connection.
 func (a *attempt) finish(t target, conn *leasedConn, answer statement.Answer) (statement.Answer, outcome) {
 	permit := t.permit
 	if answer.State != statement.Idle {
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -7,20 +7,21 @@
 	"github.com/stackspindle/stackspindle/internal/lead"
 )
 
-// outages is what the traffic of a group has seen of the times without a primary.
+// outageTracker is what this instance has observed of a group's outages, the times without a usable
+// primary.
 type outageTracker struct {
 	durations    admission.Outages
-	startedAt    time.Duration // when the one under way began
-	lastSeenAt   time.Duration // when a statement last met it; 0: none has
-	duringChange bool          // a change of primary was known of
+	startedAt    time.Duration // start of the current outage
+	lastSeenAt   time.Duration // when a statement last met it; 0: no outage was met
+	duringChange bool          // a change of primary was in progress during it
 }
 
-// outageSeen is how long before the end of an outage a statement must have met it, for its
-// length to be known.
+// maxOutageEndGap is the longest time between the last statement that met an outage and its end.
+// With a longer gap the outage's duration is not known precisely enough to learn from.
 const maxOutageEndGap = 50 * time.Millisecond
 
-// outage notes that a statement met no primary, and returns for how much longer there
-// is expected to be none.
+// recordOutage records that a statement found no usable primary, and returns the expected remaining
+// duration.
 func (g *groupState) recordOutage(now time.Duration, guard *lead.Gate) time.Duration {
 	unusableFor := guard.LostFor()
 	record, _ := guard.Record()
@@ -35,7 +36,7 @@
 	return tracker.durations.Left(unusableFor, tracker.duringChange)
 }
 
-// outageLeft returns for how much longer the group, which has no primary, is expected to have none.
+// remainingOutage returns the expected remaining duration of the group's current outage.
 func (g *groupState) remainingOutage(guard *lead.Gate) time.Duration {
 	record, _ := guard.Record()
 	g.mu.Lock()
@@ -43,7 +44,7 @@
 	return g.outages.durations.Left(guard.LostFor(), record.Change != nil)
 }
 
-// noteAuthority notes that the group has a primary.
+// recordPrimary records that the group has a usable primary.
 func (g *groupState) recordPrimary(now time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,7 +55,7 @@
 	tracker.lastSeenAt = 0
 }
 
-// lapse returns how long it usually takes until the grant of a primary is confirmed again.
+// typicalLapse returns how long it typically takes until the grant of a primary is confirmed again.
 func (g *groupState) typicalLapse() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -13,20 +13,20 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// tellPause is for how long what a carrier tells of a group is the same for all replies.
+// forecastMaxAge is how long a group's forecast is reused for further replies.
 const forecastMaxAge = 5 * time.Millisecond
 
-// forecast is what a carrier tells of a group: its waits by priority.
+// cachedForecast is a group's expected queueing delays by priority, as a carrier reports them.
 type cachedForecast struct {
-	mu      sync.Mutex // guards the rest
+	mu      sync.Mutex // guards the fields below
 	at      time.Duration
 	known   bool
 	primary []uint32
 	replica []uint32
 }
 
-// tell adds to a reply how long further statements of its group would wait here. Where
-// nobody waits nothing is added.
+// addWaitForecast adds to a reply the expected queueing delays of the group's statements at this
+// instance. It adds nothing when no delay is expected.
 func (r *Relay) addWaitForecast(reply *relaypb.CarryReply, group string) {
 	f, now := &r.upstreams.group(group).forecast, r.now()
 	f.mu.Lock()
@@ -43,8 +43,8 @@
 	r.metrics.GetOrCreateCounter(`stackspindle_forecast_bytes_total`).Add(proto.Size(reply) - size)
 }
 
-// foresee returns how long statements of a group would wait, by priority: those that need
-// the primary, and reads that a replica may serve.
+// forecastWaits returns the expected queueing delays of a group by priority, for statements that
+// need the primary and for reads that a replica may serve.
 func (r *Relay) forecastWaits(name string, now time.Duration) (primary, replica []uint32) {
 	var onPrimary, onReplica [lastPriorityLevel + 1]time.Duration
 	primaryID := ""
@@ -78,7 +78,7 @@
 	return admission.Shorten(onPrimary[:]), admission.Shorten(onReplica[:])
 }
 
-// wait returns how long a statement of a priority would wait for the member.
+// expectedWait returns the expected queueing delay of a statement of a priority at the member.
 func (u *upstreamState) expectedWait(now time.Duration, level int, target admission.Work) time.Duration {
 	backlog := u.backlog(level, target)
 	u.mu.Lock()
@@ -90,9 +90,10 @@
 	return wait
 }
 
-// outlook is what this instance knows of its carriers. It is safe for concurrent use.
+// waitForecasts are the queueing delays that carriers have reported to this instance. It is safe
+// for concurrent use.
 type waitForecasts struct {
-	mu        sync.Mutex // guards what
+	mu        sync.Mutex // guards forecasts
 	forecasts admission.Outlook
 }
 
@@ -124,7 +125,7 @@
 	return o.forecasts.Choose(now, q, ranked)
 }
 
-// query describes a statement that is to be passed on.
+// admissionQuery describes a statement that is about to be forwarded.
 func (s *session) admissionQuery(st statement.Statement, route topology.Route, arrived time.Duration) admission.Query {
 	q := admission.Query{Group: route.Group, Work: admission.OnReplica, Priority: route.Priority}
 	if !s.readsOnly(st) || route.Consistency == topology.Strict {
@@ -135,7 +136,7 @@
 	return q
 }
 
-// refuseForAll refuses a statement that all carriers would refuse.
+// refuseAtAllCarriers refuses a statement that all carriers are expected to refuse.
 func (s *session) refuseAtAllCarriers(st statement.Statement, route topology.Route, c admission.Choice) statement.Answer {
 	r := s.relay
 	level := min(max(route.Priority, 0), lastPriorityLevel)
@@ -143,7 +144,7 @@
 	if leftOut, ok := r.logSampler.Allow("refusal carriers " + route.Group); ok {
 		r.log.WithField("request", st.ID).WithField("group", route.Group).WithField("priority", route.Priority).
 			WithField("reason", c.Verdict.Reason.String()).WithField("wait_ms", c.Verdict.Wait.Milliseconds()).WithField("age_ms", c.Age.Milliseconds()).
-			WithField("come_back_ms", c.Verdict.ComeBack.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, since all carriers would refuse it")
+			WithField("come_back_ms", c.Verdict.ComeBack.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, because all carriers are expected to refuse it")
 	}
 	answer := statement.Failure(statement.Idle, statement.Busy, "not run: what waits at all carriers already takes longer than the statement can wait")
 	answer.Err.RetryAfter = c.Verdict.ComeBack
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -11,17 +11,17 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// Placed is the carriers of all groups at one moment, as one instance sees them. It is not changed
-// after it was made; nil: none are known yet.
+// Placed is an immutable snapshot of the carriers of all groups, as this instance computes them. A
+// nil Placed means that none are known yet.
 type Placed struct {
 	self             string
 	carriers         *immutable.Map[string, placement.Carriers] // by group
 	instances        map[string]lead.Instance
-	servedGroups     []string // groups that this instance carries, in order
-	servedByAllCount int      // groups that every instance carries
+	servedGroups     []string // groups that this instance serves, sorted by name
+	servedByAllCount int      // number of groups that every instance serves
 }
 
-// Of returns the carriers of a group, false when it is not known.
+// Of returns the carriers of a group. It reports false when they are not known.
 func (p *Placed) Of(group string) (Carriers, bool) {
 	if p == nil {
 		return Carriers{}, false
@@ -36,8 +36,8 @@
 	return c, known
 }
 
-// shares returns how the carriers of a group share its members, and whether this instance is one of
-// them; false last when the group is not known.
+// memberShares returns how the carriers of a group share its members, whether this instance is one
+// of them, and whether the carriers are known.
 func (p *Placed) memberShares(group string) (shares placement.Carriers, servedHere, known bool) {
 	if p == nil {
 		return placement.Carriers{}, false, false
@@ -46,7 +46,8 @@
 	return shares, shares.Includes(p.self), known
 }
 
-// Carried returns the groups that this instance carries, in order. They must not be changed.
+// Carried returns the groups that this instance serves, sorted by name. The caller must not change
+// the slice.
 func (p *Placed) Carried() []string {
 	if p == nil {
 		return nil
@@ -54,10 +55,10 @@
 	return p.servedGroups
 }
 
-// AllShared reports whether every instance carries every group.
+// AllShared reports whether every instance serves every group.
 func (p *Placed) AllShared() bool { return p == nil || p.servedByAllCount == p.carriers.Len() }
 
-// set takes in other carriers of a group, and returns those before.
+// set replaces the carriers of a group, and returns the previous ones.
 func (p *Placed) set(group string, c placement.Carriers) placement.Carriers {
 	previous := p.remove(group)
 	p.carriers = p.carriers.Set(group, c)
@@ -71,7 +72,7 @@
 	return previous
 }
 
-// remove drops a group, and returns its carriers.
+// remove removes a group, and returns its carriers.
 func (p *Placed) remove(group string) placement.Carriers {
 	previous, known := p.carriers.Get(group)
 	if !known {
@@ -87,16 +88,16 @@
 	return previous
 }
 
-// Placements keeps the carriers of all groups, as one instance sees them, while the fleet
-// changes. It belongs to one goroutine; what Placed returns may be read by all.
+// Placements computes the carriers of all groups and updates them as the fleet changes. It is not
+// safe for concurrent use; the snapshots that Placed returns are.
 type Placements struct {
 	localities locality.Map
 	table      *placement.Table
-	next       Placed // as the next update is to show it
+	next       Placed // working copy of the next snapshot
 	published  *Placed
 }
 
-// NewPlacements returns the placements of an instance, of which none is known.
+// NewPlacements returns the placements of an instance, without any group.
 func NewPlacements(self lead.Instance, places locality.Map) *Placements {
 	return &Placements{
 		localities: places, table: placement.NewTable(),
@@ -104,19 +105,19 @@
 	}
 }
 
-// Placed returns the carriers as of the last update, nil before the first.
+// Placed returns the carriers as of the last Update, nil before the first.
 func (p *Placements) Placed() *Placed { return p.published }
 
-// Set takes in a group that is new or has changed.
+// Set adds or changes a group.
 func (p *Placements) Set(g placement.Group) { p.table.Set(g) }
 
-// Remove drops a group.
+// Remove removes a group.
 func (p *Placements) Remove(group string) {
 	p.table.Remove(group)
 	p.next.remove(group)
 }
 
-// SetInstances takes in the instances whose lease holds.
+// SetInstances sets the instances whose lease is valid.
 func (p *Placements) SetInstances(alive []lead.Instance) {
 	candidates := make([]ownership.Instance, 0, len(alive))
 	p.next.instances = make(map[string]lead.Instance, len(alive))
@@ -127,9 +128,9 @@
 	p.table.SetInstances(candidates)
 }
 
-// Update takes in how many instances may use connections; where all of them can, this instance
-// does whether its lease holds or not. It calls changed with each group that has other carriers
-// than before.
+// Update recomputes the carriers and publishes a new snapshot. registered is the number of
+// instances that may use connections; where all of them serve a group, this instance does so even
+// without a valid lease. It calls changed for each group whose carriers changed.
 func (p *Placements) Update(registered int, changed func(group string, before, now placement.Carriers)) {
 	p.table.Update(registered, p.localities, func(group string, c placement.Carriers) {
 		changed(group, p.next.set(group, c), c)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,3 +1,17 @@
+// Package relay routes the statements of clients to database members. It keeps the state of each
+// client's session, chooses a member for each statement or transaction, and runs it on a connection
+// that the sessions of one client account share.
+//
+// Server accepts the clients that connect to this instance, the ingress instance of their
+// statements. An instance that serves a group holds connections to the group's members and runs
+// statements there. Where the ingress instance doesn't serve the group, it forwards the statement
+// over gRPC to a carrier, which is an instance that does (CarrierServer).
+//
+// Invariants: a statement reaches a member only on a connection of its own account, and a write is
+// sent at most once unless it is certain that it has not run. Work on a primary holds a permit; an
+// answer obtained under a grant that is no longer confirmed is passed on only after the group's
+// members have verified it. A read is served by a member whose log contains everything that its
+// consistency level requires.
 package relay
 
 import (
@@ -17,59 +31,59 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Relay is what the sessions of an instance share. It is safe for concurrent use.
+// Relay is the state that all sessions of an instance share. It is safe for concurrent use.
 type Relay struct {
 	started       time.Time
-	self          string // the instance's name
-	dataCentre    string // its data centre
+	self          string // name of this instance
+	dataCentre    string // data centre of this instance
 	localities    locality.Map
 	topology      func() *topology.Snapshot
-	topologyFresh func() bool // the store was heard of lately enough to know what does not exist
+	topologyFresh func() bool // reports whether the topology is recent enough to conclude that a missing entry does not exist
 	upstreams     *Upstreams
 	log           *logrus.Entry
 	metrics       *metrics.Set
-	logSampler    *logs.Limiter // of log lines
+	logSampler    *logs.Limiter // limits the rate of log lines
 	failureLog    *failureLog
 	limiter       Limiter
 
 	placement      atomic.Pointer[Placed]
 	carrierConns   *carrierConns
-	waitForecasts  waitForecasts // on the waits at the carriers
-	carrierEnabled atomic.Bool   // statements of other instances may be run here
+	waitForecasts  waitForecasts // expected queueing delays at the carriers
+	carrierEnabled atomic.Bool   // this instance runs statements for other instances
 
 	storedRecord func(group string) Known
 
-	mu        sync.Mutex // guards gates and named
+	mu        sync.Mutex // guards guards and guardList
 	guards    map[string]*lead.Gate
-	guardList []groupGuard // the same, only added to
+	guardList []groupGuard // the same guards; append-only, so that it is read without a copy
 }
 
-// Config is what a relay works with.
+// Config holds the dependencies of a Relay.
 type Config struct {
-	Started  time.Time     // from which the relay's times count, on the steady clock
+	Started  time.Time     // origin of the relay's timestamps, on the monotonic clock
 	Self     lead.Instance // this instance
-	Places   locality.Map  // how far data centres lie from one another
+	Places   locality.Map  // the region of each data centre
 	Topology func() *topology.Snapshot
-	// Current reports whether the topology was confirmed lately enough that what it does
-	// not hold does not exist.
+	// Current reports whether the topology was confirmed recently enough to conclude that an entry
+	// missing from it does not exist.
 	Current func() bool
-	// Known returns what the store holds of a group, as far as this instance knows.
+	// Known returns the record of a group as this instance last read it from the store.
 	Known     func(group string) Known
-	Limiter   Limiter // keeps accounts within their limits
+	Limiter   Limiter // enforces the rate limits of client accounts
 	Upstreams *Upstreams
-	Conns     *peerconn.Conns // to other instances
+	Conns     *peerconn.Conns // connections to other instances
 	Log       *logrus.Entry
 	Metrics   *metrics.Set
 }
 
-// Known is what an instance knows of a group's record.
+// Known is a group's record as this instance last read it from the store.
 type Known struct {
 	Record    lead.Record
-	Revision  int64         // of the record, 0: there is none
-	Confirmed time.Duration // when a call of the store was sent that showed nothing newer; 0: none was
+	Revision  int64         // store revision of the record; 0: the group has none
+	Confirmed time.Duration // when the store was last asked and had no newer record; 0: never
 }
 
-// New returns a relay.
+// New returns a Relay.
 func New(cfg Config) *Relay {
 	r := &Relay{
 		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Places, topology: cfg.Topology, topologyFresh: cfg.Current, storedRecord: cfg.Known,
@@ -82,14 +96,16 @@
 	return r
 }
 
-// Gate returns the gate of a group's primary. The first use of a group here makes it.
+// Gate returns the guard of a group's primary, and creates it when the group is first used on this
+// instance.
 func (r *Relay) Gate(group string) *lead.Gate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	guard := r.guards[group]
 	if guard == nil {
 		guard = lead.NewGate(r.now)
-		// Under the lock: whoever learns more afterwards finds the gate and tells it.
+		// The record is read while mu is held, so that an update arriving later finds the new
+		// guard.
 		if stored := r.storedRecord(group); stored.Revision > 0 {
 			guard.Learn(stored.Record, stored.Revision)
 			if stored.Confirmed > 0 {
@@ -102,13 +118,13 @@
 	return guard
 }
 
-// namedGate is the gate of a group.
+// groupGuard is the primary guard of a group.
 type groupGuard struct {
 	group string
 	guard *lead.Gate
 }
 
-// Gates calls f with the gate of every group that was used here.
+// Gates calls f with the guard of every group that was used on this instance.
 func (r *Relay) Gates(f func(group string, g *lead.Gate)) {
 	r.mu.Lock()
 	guards := r.guardList
@@ -120,13 +136,14 @@
 
 func (r *Relay) now() time.Duration { return time.Since(r.started) }
 
-// wall turns a time of the relay into one for deadlines. It keeps the steady clock.
+// timeAt converts a timestamp of the relay to a time.Time for deadlines, which keeps the monotonic
+// clock reading.
 func (r *Relay) timeAt(at time.Duration) time.Time { return r.started.Add(at) }
 
 func (r *Relay) snapshot() *topology.Snapshot { return r.topology() }
 
-// noteAnswer takes in what an answer tells of its member. Under a pass the
-// member is the primary, and its position is a sample.
+// recordAnswer updates the state of the member that answered, and of its group. An answer obtained
+// under a permit comes from the primary, so its log position is added to the samples.
 func (r *Relay) recordAnswer(upstream *upstreamState, g *groupState, permit *lead.Pass, sentAt time.Duration, answer statement.Answer) {
 	upstream.recordAnswer(sentAt, r.now(), answer.Position)
 	if permit == nil && !answer.Position.IsZero() {
@@ -138,8 +155,8 @@
 	}
 }
 
-// observe counts and logs the end of a first statement. What succeeded is logged
-// where the level asks for it.
+// recordOutcome counts and logs the outcome of the first statement of a transaction. Successes are
+// logged at debug level only.
 func (r *Relay) recordOutcome(a *attempt, answer statement.Answer) {
 	outcome := "ok"
 	if answer.Err != nil {
@@ -160,8 +177,8 @@
 	}
 }
 
-// noteRefusal counts and logs that a statement was refused, with what was known: whether
-// that was at once, for what reason, and what was predicted.
+// recordRefusal counts and logs a refused statement, with the reason, how long it was queued, and
+// the predicted wait.
 func (r *Relay) recordRefusal(a *attempt, retryAfter time.Duration) {
 	waited, reason := r.now()-a.arrived, "held"
 	switch {
@@ -182,8 +199,8 @@
 	}
 }
 
-// observeWait records how long a statement waited, and what was predicted for it, where
-// any wait was.
+// recordWait records the queueing delay of a statement and its ratio to the predicted delay.
+// Statements for which no delay was predicted are left out.
 func (r *Relay) recordWait(a *attempt, waited time.Duration) {
 	if a.verdict.Wait == 0 {
 		return
@@ -197,14 +214,14 @@
 	r.metrics.GetOrCreateCounter(`stackspindle_refusals_total{reason="` + reason + `",priority="` + strconv.Itoa(level) + `"}`).Inc()
 }
 
-// consistencyNames name the kinds of routes in logs and metrics.
+// consistencyNames are the names of consistency levels in logs and metrics.
 var consistencyNames = map[topology.Consistency]string{
 	topology.Strict: "strict", topology.BoundedStaleness: "bounded", topology.ReadYourWrites: "own_writes",
 }
 
-// line returns a log line with what decided about a statement: the account, the route and the
-// version that it is of, the authority with the record that it rests on, and the
-// member that was used last.
+// logEntry returns a log entry with the inputs of the routing decision: account, route,
+// configuration version, the primary with the record that names it, and the member that was tried
+// last.
 func (r *Relay) logEntry(a *attempt, outcome string, took time.Duration, suppressed int) *logrus.Entry {
 	fields := logrus.Fields{
 		"request": a.st.ID, "account": a.account, "database": a.route.Database, "group": a.route.Group, "kind": consistencyNames[a.route.Consistency],
@@ -223,7 +240,7 @@
 	return r.log.WithFields(fields)
 }
 
-// logLost records a statement whose answer did not arrive.
+// logLostAnswer counts and logs a statement whose answer did not arrive.
 func (r *Relay) logLostAnswer(s *session, st statement.Statement, memberID string, cause error) {
 	r.metrics.GetOrCreateCounter(`stackspindle_lost_answers_total{member="` + memberID + `"}`).Inc()
 	if suppressed, ok := r.logSampler.Allow("lost" + memberID); ok {
--- a/internal/relay/samples.go
+++ b/internal/relay/samples.go
@@ -9,19 +9,20 @@
 	"github.com/stackspindle/stackspindle/internal/routing"
 )
 
-// Samples of a primary's log, from which the position that a bounded read must
-// see is taken. They reach back further than any route's staleness is used for.
+// Size of the history of a primary's log positions, from which the position that a
+// bounded-staleness read must see is taken. It covers a longer time than the staleness bounds that
+// routes use.
 const (
 	sampleSpacing = 20 * time.Millisecond
 	sampleCount   = 256
 )
 
-// groupState is what the instance has seen of one group.
+// groupState is what this instance has observed of one group.
 type groupState struct {
 	name     string
 	forecast cachedForecast
 
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards the fields below
 	term      uint64
 	samples   *routing.Samples
 	verifier  verifier
@@ -29,8 +30,8 @@
 	outages   outageTracker
 }
 
-// note takes a sample of the primary's log: everything acknowledged before the
-// question was asked lies at or below the position.
+// addSample adds a sample of the primary's log. Everything that was acknowledged before the request
+// was sent (asked) is at or below the position.
 func (g *groupState) addSample(sentAt time.Duration, p group.Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,25 +39,26 @@
 		if p.Term < g.term {
 			return
 		}
-		// The log of a new term: what was sampled in the old one may lie beyond it.
+		// The primary of the new term may have a shorter log, so positions of the old term may not
+		// exist in it.
 		g.term = p.Term
 		g.samples.Reset()
 	}
 	if newest, ok := g.samples.Newest(); ok && sentAt < newest {
-		return // answers overtake one another; the newer question says more
+		return // answers may arrive out of order; the sample of the later request is better
 	}
 	g.samples.Add(sentAt, p)
 }
 
-// required returns a position that holds everything acknowledged up to a time.
+// requiredAt returns a position that covers everything acknowledged up to the given time.
 func (g *groupState) requiredAt(at time.Duration) (group.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.samples.RequiredAt(at)
 }
 
-// behind returns how long ago the primary's log ended at a position, negative
-// when the samples do not tell.
+// lagAt returns the time since the primary's log ended at a position, or a negative value when the
+// samples don't show it.
 func (g *groupState) lagAt(now time.Duration, p group.Position) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,7 +68,7 @@
 	return g.samples.Behind(now, p)
 }
 
-// sampleAge returns how old the newest sample is, negative without one.
+// sampleAge returns the age of the newest sample, negative without one.
 func (g *groupState) sampleAge(now time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +79,7 @@
 	return now - at
 }
 
-// age returns how long ago a position was the end of the primary's log.
+// positionAge returns the time since a position was the end of the primary's log.
 func (g *groupState) positionAge(now time.Duration, p group.Position) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,8 +87,9 @@
 	return age
 }
 
-// floor translates a session's floor into the current term: commits beyond the
-// start of a new term are gone, and those before it are in every log of the term.
+// currentFloor translates a session's floor into the current term. Of an earlier term's commits,
+// those that the new term's log did not include are lost, and the others are in every log of the
+// new term.
 func (g *groupState) currentFloor(p group.Position) group.Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/relay/samples_test.go
+++ b/internal/relay/samples_test.go
@@ -20,16 +20,15 @@
 	}
 }
 
-// statementInFlight was asked of the primary and will be answered.
+// statementInFlight was sent to the primary and will be answered.
 type statementInFlight struct {
 	asked    time.Duration
 	position group.Position // end of the log when it ran
 }
 
-// TestRequiredCoversWhatWasAcknowledged runs statements on a primary whose log
-// grows, through changes of term, with answers that overtake one another. A read
-// that may be some time old must be sent to a log that holds everything which
-// was acknowledged before that time and is still part of the group's log.
+// Statements run on a primary whose log grows, through changes of term, with answers that arrive
+// out of order. A read with a staleness bound must require a log position that covers everything
+// which was acknowledged before that bound and is still part of the group's log.
 func TestRequiredPositionCoversAcknowledgedWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &groupState{samples: routing.NewSamples(sampleCount, sampleSpacing)}
@@ -56,21 +55,21 @@
 					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				}
 			case "promote":
-				// What is under way at the old primary is broken off, and its last writes
-				// may be gone.
+				// Statements in progress at the old primary are cancelled, and its last writes may
+				// be lost.
 				inFlight = nil
 				lost := rapid.Uint64Range(0, min(2, end.Index)).Draw(t, "lost")
 				end = group.Position{Term: end.Term + 1, Index: end.Index - lost}
 				for i := range acks {
 					if acks[i].position.Index > end.Index {
-						acks[i].position = group.Position{} // gone with the old log
+						acks[i].position = group.Position{} // lost with the old log
 					}
 				}
 			case "read":
 				at := now - time.Duration(rapid.IntRange(0, 500).Draw(t, "staleness"))*time.Millisecond
 				required, ok := g.requiredAt(at)
 				if !ok {
-					continue // to the primary
+					continue // goes to the primary
 				}
 				for _, ack := range acks {
 					if ack.at <= at && ack.position.Index > required.Index {
@@ -89,5 +88,5 @@
 	must.Eq(t, group.Position{Term: 2, Index: 9}, g.currentFloor(group.Position{Term: 2, Index: 9}))
 	g.addSample(2*time.Second, group.Position{Term: 1, Index: 50})
 	_, ok := g.requiredAt(time.Second)
-	must.False(t, ok, must.Sprint("a sample of an older term is not taken"))
+	must.False(t, ok, must.Sprint("a sample of an older term is ignored"))
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,82 +16,81 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// Start is what a caller asks for when its session begins.
+// Start is what a client asks for when its session begins.
 type Start struct {
 	Database string
-	Key      account.Key // that shows its account
+	Key      account.Key // identifies the client's account
 }
 
-// Caller is the connection of one caller, in whatever protocol it speaks.
+// Caller is the connection of one client; implementations speak a particular protocol.
 type Caller interface {
-	// Start reads the beginning.
+	// Start reads the startup request.
 	Start() (Start, error)
-	// Accept tells the caller that its session has begun.
+	// Accept tells the client that its session has begun.
 	Accept() error
-	// Next reads the next statement. io.EOF means a good end. An error of type
-	// *statement.Error is the caller's fault: with the statement's ID it is
-	// answered, without it the connection ends.
+	// Next reads the next statement. It returns io.EOF when the client closed the connection in an
+	// orderly way. A *statement.Error is a protocol error by the client: if the statement's ID is
+	// known the error is sent as its answer, otherwise the connection is closed.
 	Next() (statement.Statement, error)
-	// Answer sends an answer whole.
+	// Answer sends a complete answer.
 	Answer(a statement.Answer) error
-	// Refuse sends an error after which the connection ends.
+	// Refuse sends an error; the connection is closed afterwards.
 	Refuse(e *statement.Error) error
-	// Quiet reports whether the caller has sent nothing that was not read yet.
+	// Quiet reports whether no unread input from the client is pending.
 	Quiet() bool
-	// Gone reports whether the caller has closed the connection, with nothing left to be
-	// read. It takes nothing from what the caller has sent, and may be called beside all else
-	// but Start and Next.
+	// Gone reports whether the client has closed the connection and no input is left to read. It
+	// consumes no input, and may be called concurrently with all methods but Start and Next.
 	Gone() bool
-	// SetReadDeadline bounds the wait in Next.
+	// SetReadDeadline sets the deadline of Next.
 	SetReadDeadline(t time.Time) error
-	// Close ends the connection.
+	// Close closes the connection.
 	Close() error
 }
 
-// Settings of the server.
+// Timeouts and intervals of the server.
 const (
-	startupTimeout         = 5 * time.Second        // for the first message; callers send it at once
-	acceptRetryDelay       = 5 * time.Millisecond   // after a failed accept, as when descriptors run out
-	keepAliveIdle          = 5 * time.Second        // after which a silent caller's far end is checked
-	keepAliveInterval      = 2 * time.Second        // between two checks
-	keepAliveProbes        = 3                      // checks without an answer
-	drainPollInterval      = 20 * time.Millisecond  // between two looks at what is still open
-	drainInterruptInterval = 100 * time.Millisecond // between two attempts to end idle sessions
+	startupTimeout         = 5 * time.Second        // for the startup request, which clients send at once
+	acceptRetryDelay       = 5 * time.Millisecond   // after a failed accept, for example when file descriptors run out
+	keepAliveIdle          = 5 * time.Second        // idle time after which TCP probes whether the client is still reachable
+	keepAliveInterval      = 2 * time.Second        // between two probes
+	keepAliveProbes        = 3                      // unanswered probes until the connection is closed
+	drainPollInterval      = 20 * time.Millisecond  // between two checks whether clients are still connected
+	drainInterruptInterval = 100 * time.Millisecond // between two interruptions of idle sessions
 )
 
-// Server accepts callers.
+// Server accepts client connections and serves their statements.
 type Server struct {
 	relay         *Relay
 	newClientConn func(net.Conn) Caller
 	pool          *ants.Pool
 
-	mu       sync.Mutex // guards the rest
+	mu       sync.Mutex // guards the fields below
 	clients  map[*clientHandler]struct{}
 	draining bool // sessions end as soon as they are idle
 	listener net.Listener
 }
 
-// callerConn is one caller with its session.
+// clientHandler serves the connection of one client.
 type clientHandler struct {
 	server  *Server
 	conn    Caller
 	session *session
 
-	mu   sync.Mutex // guards the rest
+	mu   sync.Mutex // guards the fields below
 	busy bool       // a statement is being served
 	inTx bool
 }
 
-// NewServer returns a server of at most maxCallers callers at once.
+// NewServer returns a server for at most maxCallers concurrent clients.
 func NewServer(relay *Relay, newClientConn func(net.Conn) Caller, maxClients int) (*Server, error) {
 	pool, err := ants.NewPool(maxClients, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, fmt.Errorf("callers: %w", err)
+		return nil, fmt.Errorf("client pool: %w", err)
 	}
 	return &Server{relay: relay, newClientConn: newClientConn, pool: pool, clients: make(map[*clientHandler]struct{})}, nil
 }
 
-// Serve accepts callers until the listener is closed.
+// Serve accepts clients until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -102,7 +101,7 @@
 			return nil
 		}
 		if err != nil {
-			s.relay.log.WithError(err).Warn("relay: a caller could not be accepted")
+			s.relay.log.WithError(err).Warn("relay: accepting a client connection failed")
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -114,18 +113,19 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		err := tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes})
 		if err != nil {
-			s.relay.log.WithError(err).Debug("relay: keep-alive could not be set")
+			s.relay.log.WithError(err).Debug("relay: setting TCP keep-alive failed")
 		}
 	}
 	handler := &clientHandler{server: s, conn: s.newClientConn(conn)}
 	if err := s.pool.Submit(handler.serve); err != nil {
-		// The caller's first message is not awaited: it can go elsewhere at once.
+		// Refused without waiting for the startup request, so that the client can connect to
+		// another instance at once.
 		_ = handler.conn.Refuse(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: defaultRetryAfter})
 		_ = handler.conn.Close()
 	}
 }
 
-// serve runs a caller's connection until its end.
+// serve runs the session until the connection ends.
 func (c *clientHandler) serve() {
 	defer c.conn.Close()
 	if !c.startSession() {
@@ -136,7 +136,8 @@
 	}
 }
 
-// begin answers the first message.
+// startSession reads the startup request and accepts or refuses it. It reports whether the session
+// has begun.
 func (c *clientHandler) startSession() bool {
 	relay := c.server.relay
 	if c.conn.SetReadDeadline(time.Now().Add(startupTimeout)) != nil {
@@ -147,7 +148,7 @@
 	switch {
 	case errors.As(err, &refusal):
 	case err != nil:
-		return false // the caller has gone, or says nothing
+		return false // the client disconnected, or sent nothing in time
 	default:
 		_, _, refusal = relay.admit(start)
 	}
@@ -169,7 +170,7 @@
 	c.session.endTx()
 }
 
-// next serves one statement and reports whether the connection goes on.
+// serveNext serves one statement and reports whether the session goes on.
 func (c *clientHandler) serveNext() bool {
 	if !c.setReadDeadline() {
 		return false
@@ -187,7 +188,7 @@
 		return c.handleIdleTimeout()
 	case err != nil:
 		if !errors.Is(err, io.EOF) {
-			c.server.relay.log.WithError(err).Debug("relay: a caller's connection ended")
+			c.server.relay.log.WithError(err).Debug("relay: a client connection failed")
 		}
 		return false
 	}
@@ -201,8 +202,8 @@
 	return ok
 }
 
-// noteFailure remembers a request that did not succeed, or whose answer the caller
-// was not there to take.
+// recordFailure adds a failed statement, or one whose answer could not be delivered, to the failure
+// log.
 func (c *clientHandler) recordFailure(st statement.Statement, answer statement.Answer, delivered bool) {
 	relay := c.server.relay
 	cause := failureCause{group: relay.snapshot().Databases[c.session.start.Database].Group}
@@ -219,7 +220,8 @@
 
 func (c *clientHandler) sendAnswer(a statement.Answer) bool { return c.conn.Answer(a) == nil }
 
-// await sets the bound of the wait for the next statement.
+// setReadDeadline sets the deadline for the next statement. It reports false when the session is to
+// end.
 func (c *clientHandler) setReadDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +231,7 @@
 	}
 	var deadline time.Time
 	if closing && !c.inTx {
-		deadline = time.Now().Add(drainInterruptInterval) // for the rest of what has begun to arrive
+		deadline = time.Now().Add(drainInterruptInterval) // lets the client finish a statement that it has begun to send
 	}
 	if limit := c.server.relay.snapshot().Config.IdleInTransaction; c.inTx && limit > 0 {
 		deadline = time.Now().Add(limit)
@@ -237,7 +239,8 @@
 	return c.conn.SetReadDeadline(deadline) == nil
 }
 
-// idleTooLong ends a transaction that rests, or a session that is to end.
+// handleIdleTimeout rolls back the open transaction, if there is one, after the client sent nothing
+// until the read deadline. It reports whether the session goes on.
 func (c *clientHandler) handleIdleTimeout() bool {
 	if c.session.tx != nil || c.session.forwardedTx != nil {
 		c.session.abandonTx("the transaction rested for too long and was rolled back")
@@ -245,7 +248,7 @@
 		c.setBusy(false)
 		return true
 	}
-	return true // await tells whether the session ends
+	return true // setReadDeadline ends the session while the server is draining
 }
 
 func (c *clientHandler) setBusy(busy bool) {
@@ -261,15 +264,15 @@
 	return s.draining
 }
 
-// Callers returns how many callers are connected.
+// Callers returns the number of connected clients.
 func (s *Server) Callers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)
 }
 
-// Stop lets callers go: sessions end between two statements, and open
-// transactions may end by themselves until the context does.
+// Stop drains the server. Idle sessions end at once, others after their statement; open
+// transactions may go on until they end or ctx is done.
 func (s *Server) Stop(ctx context.Context) {
 	s.mu.Lock()
 	s.draining = true
@@ -291,8 +294,8 @@
 	}
 }
 
-// endIdle interrupts the wait of sessions that have nothing to do, so that they
-// end themselves: a statement that was read whole is always answered.
+// interruptIdle expires the read deadline of idle sessions, so that they end. A statement that was
+// read completely is always answered.
 func (s *Server) interruptIdle(includeTransactions bool) {
 	s.mu.Lock()
 	clients := make([]*clientHandler, 0, len(s.clients))
@@ -309,11 +312,11 @@
 	}
 }
 
-// CloseListener stops accepting.
+// CloseListener stops accepting connections.
 func (s *Server) CloseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener != nil {
-		_ = s.listener.Close() // no caller depends on it
+		_ = s.listener.Close() // the listener is not used any more
 	}
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -12,35 +12,35 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// prepared is a statement that the session has named.
+// preparedStatement is a statement that the client has prepared in its session.
 type preparedStatement struct {
 	writes bool
 	shape  string
 }
 
-// session is what belongs to one caller. It is used by one goroutine.
+// session is the state of one client's session. It is used by one goroutine.
 type session struct {
 	relay       *Relay
 	start       Start
-	account     string // whose work it is, as the caller's own instance found
+	account     string // client account of a forwarded statement, as the ingress instance identified it
 	variables   map[string]string
 	prepared    map[string]preparedStatement
-	floor       group.Position // of the session's last acknowledged commit
+	floor       group.Position // lower bound of the log position that reads must see: the session's last acknowledged commit
 	state       statement.State
-	tx          *transaction          // nil outside one, in one that was lost, and in one at a carrier
-	forwardedTx *forwardedTransaction // at a carrier; nil: none
-	forwarded   bool                  // the session is another instance's, which this one carries for
-	lostReason  string                // why the open transaction is gone; empty: it is not
+	tx          *transaction          // open transaction at a member; nil: none is open, it was lost, or it runs at a carrier
+	forwardedTx *forwardedTransaction // open transaction at a carrier; nil: none
+	forwarded   bool                  // a client of another instance forwards its statements here
+	lostReason  string                // why the open transaction was lost; empty: it was not
 
-	retryAt         time.Duration // when the caller was told to come back last, for its account's limit
-	accountEmptyFor time.Duration // for how long the account has no tokens, as the last refusal told
+	retryAt         time.Duration // when the client may retry by the last refusal for its account's limit; 0: none is pending
+	accountEmptyFor time.Duration // remaining time without tokens for the account, by the last refusal
 }
 
 // transaction is an open transaction on a member's connection.
 type transaction struct {
 	upstream *upstreamState
 	conn     *leasedConn
-	permit   *lead.Pass // nil on a replica
+	permit   *lead.Pass // of the primary; nil on a replica
 	group    *groupState
 	route    topology.Route
 	wrote    bool
@@ -56,8 +56,8 @@
 	}
 }
 
-// handle returns the answer to a statement that arrived at a time. ctx ends when nobody
-// waits for the answer any more.
+// handle runs a statement that arrived at the given time and returns its answer. ctx ends when the
+// client no longer waits for the answer.
 func (s *session) handle(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
 	answer := s.dispatch(ctx, st, arrived)
 	s.state = answer.State
@@ -93,8 +93,8 @@
 	return s.executeFirst(ctx, st, arrived)
 }
 
-// afterLoss tells the caller that its transaction is gone. Nothing of it is kept,
-// since its end was never sent.
+// reportLostTx tells the client that its transaction was lost. None of its writes persist, since no
+// COMMIT was sent for it.
 func (s *session) reportLostTx(endsTx bool) statement.Answer {
 	reason := s.lostReason
 	s.lostReason = ""
@@ -104,7 +104,8 @@
 	return statement.Failure(statement.Idle, statement.Aborted, "%s", reason)
 }
 
-// needed returns what must be prepared at a member before the statement runs.
+// preparedFor returns what must be prepared at a member before the statement runs. It reports false
+// when the session has not prepared the statement.
 func (s *session) preparedFor(st statement.Statement) (*member.Prepared, bool) {
 	if st.Kind != statement.Execute {
 		return nil, true
@@ -116,7 +117,7 @@
 	return &member.Prepared{Name: member.PreparedName(p.writes, p.shape), Writes: p.writes, Shape: p.shape}, true
 }
 
-// reads reports whether a first statement only reads.
+// readsOnly reports whether the first statement of a transaction makes it read-only.
 func (s *session) readsOnly(st statement.Statement) bool {
 	switch st.Kind {
 	case statement.Read, statement.BeginRead:
@@ -127,7 +128,7 @@
 	return false
 }
 
-// request returns the request that has a member run the statement.
+// memberRequest builds the request that runs a statement at a member.
 func memberRequest(st statement.Statement, prepared *member.Prepared, after group.Position, deadline time.Time) member.Request {
 	req := member.Request{Statement: st, After: after, Deadline: deadline}
 	if prepared != nil {
@@ -136,12 +137,12 @@
 	return req
 }
 
-// busyPause is the pause before a statement of an open transaction, which its
-// member had no room for, is sent again.
+// busyRetryDelay is the delay before a statement of an open transaction is sent again after its
+// member answered that it is busy.
 const busyRetryDelay = 5 * time.Millisecond
 
-// continueTx runs a further statement of the open transaction. One that its member has no
-// room for is sent again until ctx ends.
+// continueTx runs a further statement of the open transaction. While the member answers that it is
+// busy, the statement is sent again until its deadline or until ctx ends.
 func (s *session) continueTx(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
 	prepared, ok := s.preparedFor(st)
 	if !ok {
@@ -149,7 +150,7 @@
 	}
 	tx, deadline := s.tx, s.relay.timeAt(arrived+s.tx.route.Timeout)
 	tx.conn.lease.Resume()
-	defer tx.conn.lease.Park() // without effect when the transaction has ended
+	defer tx.conn.lease.Park() // no effect when the transaction has ended
 	parkTimer := time.AfterFunc(tx.group.maxWorkTime(tx.route), tx.conn.lease.Park)
 	defer parkTimer.Stop()
 	for {
@@ -170,8 +171,8 @@
 	}
 }
 
-// retriableInTx reports whether a statement of a transaction did not run and may
-// be sent again, while the transaction goes on.
+// retriableInTx reports whether a statement of a transaction did not run and may be sent again in
+// the same transaction.
 func retriableInTx(a statement.Answer) bool {
 	if a.Err == nil || a.State != statement.InTransaction {
 		return false
@@ -179,7 +180,8 @@
 	return a.Err.Code == statement.Busy || a.Err.Code == statement.Unprepared
 }
 
-// settleTx passes an answer on and lets go of the connection at the end.
+// finishTxStatement handles a member's answer inside a transaction. It releases the connection when
+// the transaction has ended.
 func (s *session) finishTxStatement(st statement.Statement, answer statement.Answer) statement.Answer {
 	tx := s.tx
 	if answer.Err == nil && (st.Kind == statement.Write || st.Kind == statement.Execute && s.prepared[st.Name].writes) {
@@ -202,8 +204,8 @@
 	return answer
 }
 
-// settleRead passes the answer to a statement inside a transaction on. What was read
-// from a primary whose grant is not confirmed is verified first.
+// finishTxRead handles the answer to a statement that leaves the transaction open. What a read
+// returned from a primary whose grant is not confirmed is verified before it is passed on.
 func (s *session) finishTxRead(st statement.Statement, answer statement.Answer) statement.Answer {
 	tx := s.tx
 	if tx.permit == nil || answer.Err != nil || !s.readsOnly(st) || s.relay.mayPassOn(tx.group, tx.permit, true) {
@@ -213,7 +215,7 @@
 	return statement.Failure(statement.Idle, statement.Aborted, "the primary may have been replaced before what was read could be passed on")
 }
 
-// loseTx ends a transaction whose connection cannot be used any more.
+// handleLostConn ends a transaction whose connection cannot be used any more.
 func (s *session) handleLostConn(st statement.Statement, cause error, sent bool) statement.Answer {
 	tx := s.tx
 	cause = tx.conn.canceller.cause(cause)
@@ -229,8 +231,8 @@
 	return statement.Failure(statement.Idle, statement.Aborted, "the connection to the member was lost: %v", cause)
 }
 
-// endTx returns the transaction's connection. What is still open on it is rolled
-// back, or the connection is closed.
+// endTx ends the open transaction, if there is one, and returns its connection to the pool.
+// Uncommitted work is rolled back, or the connection is closed.
 func (s *session) endTx() {
 	s.abortForwarded()
 	if s.tx == nil {
@@ -243,8 +245,8 @@
 	s.tx = nil
 }
 
-// abandonTx rolls the open transaction back although its caller has not asked
-// for that. The caller hears of it with its next statement.
+// abandonTx rolls back the open transaction without a request by the client, which gets reason as
+// the answer to its next statement.
 func (s *session) abandonTx(reason string) {
 	if s.tx == nil && s.forwardedTx == nil {
 		return
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -20,7 +20,7 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// bench is a relay before one group, without a fleet.
+// fixture is a relay with one group of two members, without other instances.
 type fixture struct {
 	relay *Relay
 	group *membergroup.Group
@@ -36,7 +36,7 @@
 	return b.snap
 }
 
-const generous = time.Minute // a bound that no test reaches
+const generous = time.Minute // a timeout that no test reaches
 
 func newFixture(t *testing.T) *fixture {
 	group := membergroup.New("g", "m1", "m2")
@@ -67,7 +67,7 @@
 	return b
 }
 
-// placedFor returns the placement before a number of registered instances.
+// placedFor returns the placement for a number of registered instances.
 func placedFor(snap *topology.Snapshot, registered int) *Placed {
 	placements := NewPlacements(lead.Instance{}, locality.Map{})
 	for name := range snap.Groups {
@@ -78,7 +78,7 @@
 	return placements.Placed()
 }
 
-// run has a session answer a statement that arrives now.
+// run runs a statement that arrives now in a session.
 func (b *fixture) run(s *session, kind statement.Kind, text string) statement.Answer {
 	return s.handle(context.Background(), statement.Statement{ID: "x", Kind: kind, Text: text}, b.relay.now())
 }
@@ -97,8 +97,8 @@
 	must.Len(t, 1, b.group.Log())
 }
 
-// A change of primary breaks off a transaction that does not end in its time, and
-// releases only when nothing of it is under way any more.
+// A release of the primary cancels a transaction that doesn't end in time, and completes only when
+// nothing of it is in progress.
 func TestReleaseEndsOpenTransactions(t *testing.T) {
 	b := newFixture(t)
 	s := newSession(b.relay, Start{Database: "strict"})
@@ -120,7 +120,7 @@
 	must.SliceEmpty(t, b.group.Log())
 }
 
-// What a released session was told to be done is done: the release waits.
+// A release waits for an open transaction that ends in time, so that its commit is acknowledged.
 func TestReleaseWaitsForOpenTransaction(t *testing.T) {
 	b := newFixture(t)
 	s := newSession(b.relay, Start{Database: "strict"})
@@ -153,21 +153,21 @@
 	permit, err := b.guard.Enter(func() {})
 	must.NoError(t, err)
 	must.True(t, permit.Valid())
-	must.Error(t, b.guard.Release(cancelled(t), 2, 0), must.Sprint("the pass is still out"))
+	must.Error(t, b.guard.Release(cancelled(t), 2, 0), must.Sprint("a permit is still in use"))
 	must.False(t, permit.Valid())
 	permit.Done()
 	permit.Done()
 	must.NoError(t, b.guard.Release(t.Context(), 2, 0))
 }
 
-// The members change while statements run; the race detector watches.
+// The members change while statements run; relies on the race detector.
 func TestMembersChangeUnderTraffic(t *testing.T) {
 	b := newFixture(t)
 	served, done := make(chan struct{}, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		for n := range 50 {
-			<-served // so that a statement runs before each change, and others beside it
+			<-served // so that a statement runs before each change, and others concurrently
 			state := topology.New(0, 0)
 			state.SetConfig(b.relay.snapshot().Config)
 			for _, id := range []string{"m1", "m2"} {
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -8,7 +8,7 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// openTwo opens two connections to the primary and leaves them idle.
+// openTwoConns opens two connections to the primary and leaves them idle.
 func openTwoConns(t *testing.T, b *fixture) {
 	s, other := newSession(b.relay, Start{Database: "strict"}), newSession(b.relay, Start{Database: "strict"})
 	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
@@ -18,8 +18,8 @@
 	must.Eq(t, 2, b.relay.upstreams.get("m1").pool.Open())
 }
 
-// All open connections to a member go silent for good, and new ones work: one
-// statement waits for its timeout, and none after it.
+// All open connections to a member become unresponsive, and new ones work. Only one statement may
+// wait for its timeout.
 func TestUnresponsiveConnectionsCostOneStatement(t *testing.T) {
 	b := newFixture(t)
 	openTwoConns(t, b)
@@ -35,7 +35,7 @@
 	openTwoConns(t, b)
 	b.group.SilenceOpen("m1")
 	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Read, "READ 1")
-	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("it reads, so that nothing is kept"))
+	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("a read has no effect, so its outcome is not unknown"))
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Read, "READ 1").Err)
 }
 
@@ -45,9 +45,9 @@
 		kind  statement.Kind
 		want  statement.Code
 	}{
-		"a read inside":       {false, statement.Read, statement.Aborted},
-		"a commit that wrote": {true, statement.Commit, statement.Unknown},
-		"one that only read":  {false, statement.Commit, statement.Aborted},
+		"a read in the transaction": {false, statement.Read, statement.Aborted},
+		"a commit that wrote":       {true, statement.Commit, statement.Unknown},
+		"a commit that only read":   {false, statement.Commit, statement.Aborted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFixture(t)
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -17,50 +17,49 @@
 	"github.com/stackspindle/stackspindle/internal/relay/relaypb"
 )
 
-// Settings of the streams to carriers.
+// Limits of the streams to carriers.
 const (
-	// idleStreams bounds the streams to one carrier that are kept for the next use.
+	// maxIdleStreams limits the idle streams that are kept per carrier.
 	maxIdleStreams = 64
-	// openTimeout bounds the wait for a new stream: links have delays of
-	// milliseconds, and other carriers can be asked.
+	// openTimeout limits the wait for a new stream. Network latencies are milliseconds, and other
+	// carriers can be asked.
 	openTimeout = 200 * time.Millisecond
-	// pingAfter is for how long a carrier may leave an answer open, and say nothing
-	// else, before it is asked whether it is there. A question costs it less than a
-	// statement, and asking too early does no harm.
+	// pingAfter is the time without any answer from a carrier after which it is pinged while a
+	// reply is pending. A ping costs the carrier less than a statement, and pinging too early does
+	// no harm.
 	pingAfter = 100 * time.Millisecond
-	// pingTimeout bounds that question. A machine whose share of the processor is
-	// spent stands still for up to 0.1 s.
+	// pingTimeout limits the wait for a ping. A machine that has used up its CPU quota is throttled
+	// for up to 0.1 s.
 	pingTimeout = 250 * time.Millisecond
 )
 
-// errCallerLeft says that the answer is not awaited, since nobody wants it any more.
+// errClientGone means that the reply is no longer awaited because the client has disconnected.
 var errClientGone = errors.New("the caller has gone")
 
-// errNotTaken says that a carrier has not taken a statement up.
+// errNotAccepted means that a carrier did not accept a statement, so it has not run.
 var errNotAccepted = errors.New("the carrier has not taken the statement up")
 
-// carrierConns holds the streams to carriers and what was seen of these. It is
-// safe for concurrent use.
+// carrierConns holds the streams to carriers and the health of each. It is safe for concurrent use.
 type carrierConns struct {
 	conns       *peerconn.Conns
 	now         func() time.Duration
 	pingTimeout time.Duration
-	pings       singleflight.Group // by address
+	pings       singleflight.Group // deduplicated by address
 
 	mu     sync.Mutex // guards the maps
 	idle   map[string][]*carrierStream
 	health map[string]*member.Health // by address
 }
 
-// carrierStream carries the transactions of one caller at a time.
+// carrierStream is a stream to a carrier. It is used for the transactions of one client at a time.
 type carrierStream struct {
 	owner   *carrierConns
 	address string
 	rpc     grpc.BidiStreamingClient[relaypb.CarryRequest, relaypb.CarryReply]
 	cancel  context.CancelFunc
 
-	mu        sync.Mutex  // guards what is sent, and beat
-	heartbeat *time.Timer // says that the open transaction goes on; nil: none is open
+	mu        sync.Mutex  // serializes sends; guards heartbeat
+	heartbeat *time.Timer // sends heartbeats for the open transaction; nil: none is open
 }
 
 func newCarrierConns(conns *peerconn.Conns, now func() time.Duration) *carrierConns {
@@ -70,8 +69,8 @@
 	}
 }
 
-// order returns up to n carriers in the order in which they are to be tried: one
-// that left us without an answer a moment ago after all others.
+// order returns up to n carriers in the order in which they are tried. Carriers that recently left
+// a request unanswered come last.
 func (c *carrierConns) order(carriers []lead.Instance, n int) []lead.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +86,7 @@
 	return slices.Concat(usable, unresponsive)[:min(n, len(carriers))]
 }
 
-// note records whether a carrier answered.
+// recordResult records whether a carrier answered a request.
 func (c *carrierConns) recordResult(address string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,15 +100,16 @@
 		return
 	}
 	h.Missed(c.now())
-	// What waits on its streams is told by their own watch; those that wait for
-	// nothing may hang on a connection that is dead.
+	// Pending requests have a watch of their own that aborts them. Idle streams have none, and may
+	// belong to a dead connection.
 	for _, s := range c.idle[address] {
 		s.cancel()
 	}
 	delete(c.idle, address)
 }
 
-// heard returns how long ago a carrier answered, and whether it ever did.
+// sinceLastAnswer returns the time since a carrier's last answer. It reports false if there was
+// none.
 func (c *carrierConns) sinceLastAnswer(address string) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,8 +120,8 @@
 	return h.SinceAnswer(c.now())
 }
 
-// watch asks a carrier whether it is there while an answer of it is awaited, and
-// calls giveUp when it is not. It ends with done.
+// pingWhileWaiting pings a carrier while a reply is pending and nothing else was heard from it. It
+// calls giveUp when a ping fails, and returns when done is closed.
 func (c *carrierConns) pingWhileWaiting(address string, done <-chan struct{}, giveUp func()) {
 	for {
 		if since, ok := c.sinceLastAnswer(address); !ok || since >= pingAfter {
@@ -152,8 +152,8 @@
 	return err
 }
 
-// open returns an idle stream to a carrier, or a new one, which it waits for no
-// longer than a while.
+// open returns an idle stream to a carrier, or opens one, for which it waits at most openTimeout
+// and no longer than left.
 func (c *carrierConns) open(address string, remaining time.Duration) (*carrierStream, error) {
 	c.mu.Lock()
 	if idle := c.idle[address]; len(idle) > 0 {
@@ -181,7 +181,7 @@
 	return &carrierStream{owner: c, address: address, rpc: run, cancel: cancel}, nil
 }
 
-// send sends a request. A stream takes one at a time.
+// send sends a request. Only one send may be in progress on a stream.
 func (s *carrierStream) send(req *relaypb.CarryRequest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,8 +191,7 @@
 	return s.rpc.Send(req)
 }
 
-// keep has the carrier told again and again that the transaction goes on, until the
-// stream is released or ends.
+// startHeartbeat sends heartbeats for the open transaction until the stream is released or ends.
 func (s *carrierStream) startHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,12 +200,12 @@
 	}
 	s.heartbeat = time.AfterFunc(heartbeatInterval, func() {
 		if s.send(&relaypb.CarryRequest{Kind: heartbeatKind}) != nil {
-			s.stopHeartbeat() // the next statement finds the stream gone
+			s.stopHeartbeat() // the next statement gets the stream's error
 		}
 	})
 }
 
-// rest ends what keep began.
+// stopHeartbeat stops the heartbeats.
 func (s *carrierStream) stopHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,8 +230,8 @@
 	s.owner.idle[s.address] = append(s.owner.idle[s.address], s)
 }
 
-// asking is a question under way. Once it has ended nothing breaks its stream off any more,
-// since the stream may serve another caller.
+// pendingRequest is a request that waits for its reply. Once it is finished, abort has no effect,
+// since the stream may be in use for another client.
 type pendingRequest struct {
 	stream *carrierStream
 
@@ -240,7 +239,7 @@
 	ended bool
 }
 
-// breakOff ends the stream, unless the question has ended.
+// abort ends the stream, unless the request is finished.
 func (a *pendingRequest) abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -255,9 +254,9 @@
 	a.ended = true
 }
 
-// ask sends a request and returns the reply. An error that wraps errNotTaken means
-// that nothing of it was run; after any error the stream is gone. With ctx the stream
-// ends, and the carrier gives up what waits there.
+// roundTrip sends a request and returns the reply. An error that wraps errNotAccepted means that
+// the statement has not run. After any error the stream cannot be used any more. When ctx ends the
+// stream is ended too, so that the carrier drops a queued statement.
 func (s *carrierStream) roundTrip(ctx context.Context, req *relaypb.CarryRequest, timeout time.Duration) (*relaypb.CarryReply, error) {
 	pending := &pendingRequest{stream: s}
 	defer pending.finish()
--- a/internal/relay/streams_test.go
+++ b/internal/relay/streams_test.go
@@ -14,7 +14,7 @@
 	"github.com/stackspindle/stackspindle/internal/standin/faultproxy"
 )
 
-// echo is a carrier that answers a request with its text, once it may.
+// echoCarrier is a carrier that answers a request with its text once hold is closed.
 type echoCarrier struct {
 	*CarrierServer
 	hold chan struct{}
@@ -33,7 +33,7 @@
 	}
 }
 
-// newEcho starts a carrier behind a proxy.
+// newEchoCarrier starts a carrier behind a proxy.
 func newEchoCarrier(t *testing.T) (*carrierConns, *echoCarrier, *faultproxy.Proxy) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,10 +52,10 @@
 	return newCarrierConns(conns, func() time.Duration { return time.Since(started) }), carrier, proxy
 }
 
-// long is a bound on an answer that only a fault reaches.
+// long is a timeout that is reached only in case of a fault.
 const long = time.Hour
 
-// openSoon opens a stream, over and over while the machine is busy.
+// openWithRetries opens a stream, with retries because opening may time out on a busy machine.
 func openWithRetries(t *testing.T, c *carrierConns, address string) *carrierStream {
 	t.Helper()
 	for range 100 {
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// A carrier that is gone without a trace is given up long before the statement's
-// own time is over, and later ones go elsewhere. On days with cuts of the grown
-// sites statements were held for it until their callers gave up.
+// A carrier becomes unreachable without closing its connections. A request must be aborted long
+// before the statement's deadline, and later ones must prefer other carriers. Otherwise, during
+// network partitions, statements waited there until their clients gave up.
 func TestUnresponsiveCarrierIsAbandoned(t *testing.T) {
 	c, carrier, proxy := newEchoCarrier(t)
 	close(carrier.hold)
@@ -85,8 +85,7 @@
 	must.Eq(t, []lead.Instance{other, silent}, c.order([]lead.Instance{silent, other}, 2))
 }
 
-// A connection that has gone silent for good does not keep the carrier from being
-// used over a new one.
+// A connection that has become unresponsive must not prevent reaching the carrier over a new one.
 func TestCarrierIsReachableAfterConnectionBecameUnresponsive(t *testing.T) {
 	c, carrier, proxy := newEchoCarrier(t)
 	close(carrier.hold)
@@ -99,10 +98,10 @@
 	must.Eq(t, "again", reply.Receipt)
 }
 
-// A carrier that works on a statement for long is not given up.
+// A carrier that takes long for a statement, but answers pings, is not abandoned.
 func TestSlowCarrierAnswerIsAwaited(t *testing.T) {
 	c, carrier, proxy := newEchoCarrier(t)
-	c.pingTimeout = long // however busy the machine is
+	c.pingTimeout = long // independent of the machine's load
 	stream := openWithRetries(t, c, proxy.Addr())
 	go func() {
 		time.Sleep(3 * pingAfter)
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -18,51 +18,51 @@
 	"github.com/stackspindle/stackspindle/internal/routing"
 )
 
-// upstream is one member with its connections and what was seen of it.
+// upstreamState is one member with its connection pool and what this instance has observed of it.
 type upstreamState struct {
 	id        string
 	group     string
 	address   string
-	born      int64 // the member's start that all this is of
+	born      int64 // start of the member that this state belongs to; a restarted member gets a new state
 	createdAt time.Duration
 	pool      *connpool.Pool[*member.Shared]
 
-	mu             sync.Mutex // guards the rest
+	mu             sync.Mutex // guards the fields below
 	draining       bool
-	distance       locality.Distance // from this instance
-	answers        uint64            // in all
-	served         bool              // this instance is a carrier of the group, or none is known
+	distance       locality.Distance // network distance from this instance
+	answers        uint64            // total
+	served         bool              // this instance serves the group, or the carriers are not known yet
 	health         member.Health
 	failureRate    outlier.Failing
-	readSampler    outlier.Turns  // of the choices in which the member takes part
-	position       group.Position // end of its log, as its answers told
-	lag            time.Duration  // how long ago the primary was there; negative: not known
-	lagGrowing     bool           // that has become more since the answer before
-	lagAt          time.Duration  // when that was told
-	skipReadsUntil time.Duration  // before which a read that it could not serve is not tried again
-	lagRejections  int            // reads in a row that it could not serve
-	lagSince       time.Duration  // when the first of them was
+	readSampler    outlier.Turns  // selects the reads for which a failing member is a candidate
+	position       group.Position // end of its log, by its last answer
+	lag            time.Duration  // replication lag; negative: not known
+	lagGrowing     bool           // the lag is larger than at the answer before
+	lagAt          time.Duration  // when the lag was observed
+	skipReadsUntil time.Duration  // end of the backoff after a read was rejected because of the lag
+	lagRejections  int            // reads rejected in a row because of the lag
+	lagSince       time.Duration  // time of the first of them
 	recentStats    attemptStats
 	throttle       pacing.Window
-	spareCapacity  pacing.Room // beyond share
-	activeShare    int         // statements outside transactions that this instance may have running there
-	activeLimit    int         // that all together may
-	activeAllowed  int         // of which this instance makes use: its share and the room
+	spareCapacity  pacing.Room // statements that may run beyond activeShare
+	activeShare    int         // this instance's share of the member's concurrent statements outside transactions
+	activeLimit    int         // limit of the concurrent statements of all instances together
+	activeAllowed  int         // activeShare plus the spare capacity in use
 	controllers    [admission.Works][lastPriorityLevel + 1]admission.Level
-	probing        bool // a statement is on its way that will show whether the member is there
+	probing        bool // a statement is being sent that will show whether the member answers again
 }
 
-// tally is what came of the attempts at a member since the last report.
+// attemptStats are the results of requests to a member since the last report.
 type attemptStats struct {
 	answered    int
 	lagging     int
-	unanswered  int           // attempts that got no answer
-	totalTime   time.Duration // all answers together
+	unanswered  int           // requests without an answer
+	totalTime   time.Duration // sum over all answers
 	longestTime time.Duration
 }
 
-// setShare takes in how many statements outside transactions this instance, and all
-// together, may have running at the member.
+// setActiveLimits sets how many statements outside transactions this instance, and all instances
+// together, may run concurrently at the member.
 func (u *upstreamState) setActiveLimits(share, limit int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// noteAnswer records an answer to a question of that time.
+// recordAnswer records an answer to a request sent at asked.
 func (u *upstreamState) recordAnswer(sentAt, now time.Duration, p group.Position) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -95,22 +95,23 @@
 	u.recentStats.unanswered++
 }
 
-// takesPart reports whether the member takes part in the next choice, which it does in a share
-// of them.
+// inRotation reports whether the member is a candidate for the next read, which it is for the given
+// share of them.
 func (u *upstreamState) inRotation(share float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.readSampler.Next(share)
 }
 
-// isCarried reports whether this instance is to hold connections to the member.
+// isServed reports whether this instance should hold connections to the member.
 func (u *upstreamState) isServed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.served
 }
 
-// unheardFor returns how long ago the member answered, or since when it is used here.
+// sinceLastAnswer returns the time since the member's last answer, or since this state was created
+// if there was none.
 func (u *upstreamState) sinceLastAnswer(now time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -120,15 +121,16 @@
 	return now - u.createdAt
 }
 
-// noteBroken closes the idle connections when one in use has gone silent: whatever
-// silenced it may have silenced them, and each would cost a statement its timeout.
+// handleBrokenConn closes the idle connections after a timeout on a connection in use. The same
+// fault, such as a network partition, may have affected them too, and each would cost a statement
+// its timeout.
 func (u *upstreamState) handleBrokenConn(cause error) {
 	if errors.Is(cause, os.ErrDeadlineExceeded) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, syscall.ETIMEDOUT) {
 		u.pool.DropIdle()
 	}
 }
 
-// noteProgress records where a replica's log ends.
+// recordLag records the replication lag of a replica, and whether it rejected a read because of it.
 func (u *upstreamState) recordLag(behind time.Duration, lagging bool, now time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -146,16 +148,15 @@
 	u.lagRejections++
 }
 
-// Bounds of how long a member that was found lagging is not tried again, for
-// reads that need more than it had. Each try costs a round trip, and a connection
-// meanwhile.
+// Backoff after a replica rejected a read because it lags. Each attempt costs a round trip, and
+// occupies a connection meanwhile.
 const (
 	minLagBackoff = 15 * time.Millisecond
 	maxLagBackoff = 120 * time.Millisecond
 	maxLagShift   = 3
 )
 
-// view returns what routing needs to know of the member.
+// candidate returns the member's state for routing.
 func (u *upstreamState) candidate(now time.Duration) routing.Candidate {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -1,6 +1,3 @@
-// Package relay serves the statements of callers: it keeps what belongs to a
-// session, chooses a member for each statement or transaction, and has it run
-// on a connection that all sessions of the instance share.
 package relay
 
 import (
@@ -26,47 +23,48 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Settings of the pools.
+// Limits of the connection pools.
 const (
-	concurrentDials = 2                      // a connection that opens takes a slot of the member
+	concurrentDials = 2                      // an opening connection takes one of the member's slots
 	dialTimeout     = 400 * time.Millisecond // the handshake may wait behind a full queue of the member
-	minDialBackoff  = 50 * time.Millisecond  // refused connections are priced like served ones
+	minDialBackoff  = 50 * time.Millisecond  // members charge refused connections like served ones
 	maxDialBackoff  = 400 * time.Millisecond
-	maxQueue        = 64 // requests of one account and priority that wait for a connection of one member
+	maxQueue        = 64 // requests of one account and priority that wait for a connection to one member
 
-	// unusedFor is after what time a connection that nobody has used is closed, but for the
-	// part that an instance keeps of those that it may use, at least one. A connection serves its
-	// account only: the longer it stays, the more often the account finds it. The rest is closed
-	// so that a member has room for instances that have just started, while the
-	// connections of dead ones take their time to go.
+	// idleTimeout is the time after which an unused connection is closed. A fraction of the pool's
+	// capacity, at least one connection, is kept: a connection serves one account only, and the
+	// longer it stays the more often its account can reuse it. The others are closed so that the
+	// member has capacity for instances that have just started, while the connections of crashed
+	// instances take time to disappear.
 	idleTimeout     = 600 * time.Millisecond
-	keepIdleDivisor = 2 // one in so many
-	// ShrinkInterval is the pause between two looks for such.
+	keepIdleDivisor = 2 // the kept fraction is 1/keepIdleDivisor
+	// ShrinkInterval is the interval at which idle connections are checked.
 	ShrinkInterval = idleTimeout / 3
-	// forgetAfter is for how long a member of a group that other instances carry must not have
-	// answered here before what was seen of it is dropped.
+	// forgetUnservedAfter is the time without an answer after which the state of a member is
+	// dropped if other instances serve its group.
 	forgetUnservedAfter = time.Minute
-	// patience is how long a request waits for a connection in use before another
-	// is opened, which itself takes a slot of the member for a while.
+	// reuseWait is how long a request waits for a connection in use before another is opened, since
+	// opening takes one of the member's slots for a while.
 	reuseWait = 10 * time.Millisecond
 )
 
-// Upstreams holds the members of the groups that this instance carries, and of others that it
-// uses, as the leader of a group does that others carry. It is safe for concurrent use.
+// Upstreams holds the members of the groups that this instance serves, and other members in use:
+// the leader of a group uses the group's members also where other instances serve it. It is safe
+// for concurrent use.
 type Upstreams struct {
 	dialer     member.Dialer
 	now        func() time.Duration
 	localities locality.Map
 
-	mu         sync.Mutex         // guards the rest
-	snap       *topology.Snapshot // nil: none yet
+	mu         sync.Mutex         // guards the fields below
+	snap       *topology.Snapshot // nil before the first Update
 	placement  *Placed
 	dataCentre string
 	members    map[string]*upstreamState
 	groups     map[string]*groupState
 }
 
-// NewUpstreams returns an empty set.
+// NewUpstreams returns a set without members.
 func NewUpstreams(dialer member.Dialer, now func() time.Duration) *Upstreams {
 	return &Upstreams{
 		dialer:  dialer,
@@ -76,8 +74,8 @@
 	}
 }
 
-// Update takes in the members as they are now, how much of each an instance in a
-// data centre may use, and how far they are from it.
+// Update applies the current members, the share of each that an instance in the given data centre
+// may use, and their network distance from there.
 func (u *Upstreams) Update(snap *topology.Snapshot, placed *Placed, dataCentre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -100,7 +98,7 @@
 	}
 }
 
-// add begins to use a member. The caller holds mu.
+// add creates the state of a member. The caller holds mu.
 func (u *Upstreams) add(m topology.Member) *upstreamState {
 	upstream := u.newUpstream(m)
 	u.members[m.ID] = upstream
@@ -108,8 +106,7 @@
 	return upstream
 }
 
-// configure takes in a member's entry and how much of it this instance may use. The caller
-// holds mu.
+// configure applies a member's entry and this instance's share of the member. The caller holds mu.
 func (u *Upstreams) configure(upstream *upstreamState, m topology.Member) {
 	shares, servedHere, known := u.placement.memberShares(m.Group)
 	if known {
@@ -143,13 +140,13 @@
 	return upstream
 }
 
-// isFull reports whether a member refused a connection since it has too many.
+// isFull reports whether a member refused a connection because it has too many.
 func isFull(err error) bool {
 	var refusal *statement.Error
 	return errors.As(err, &refusal) && refusal.Code == statement.TooMany
 }
 
-// get returns a member, which is used from now on; nil when there is none by that ID.
+// get returns a member's state and creates it if needed. It returns nil if no member has that ID.
 func (u *Upstreams) get(id string) *upstreamState {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -163,7 +160,7 @@
 	return u.add(m)
 }
 
-// find returns a member that is used, nil for any other.
+// find returns a member's state, or nil if the member is not in use.
 func (u *Upstreams) find(id string) *upstreamState {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -181,11 +178,10 @@
 	return g
 }
 
-// Locate tells how far data centres lie from one another. It is called before the first Update.
+// Locate sets the region of each data centre. It must be called before the first Update.
 func (u *Upstreams) Locate(places locality.Map) { u.localities = places }
 
-// Doubtful reports whether a member has left an attempt unanswered since its last
-// answer.
+// Doubtful reports whether a request to the member since its last answer got no answer.
 func (u *Upstreams) Doubtful(id string) bool {
 	upstream := u.find(id)
 	if upstream == nil {
@@ -196,7 +192,7 @@
 	return upstream.health.Doubtful()
 }
 
-// Heard returns how long ago a member answered.
+// Heard returns the time since a member's last answer. It reports false if there was none.
 func (u *Upstreams) Heard(id string) (time.Duration, bool) {
 	upstream := u.find(id)
 	if upstream == nil {
@@ -207,13 +203,13 @@
 	return upstream.health.SinceAnswer(u.now())
 }
 
-// stuckReplica is for how long a replica must not have been able to serve any read
-// before it counts as stuck: longer than replicas usually lag, and than a burst lasts
-// that one primary can take.
+// stuckReplicaAfter is how long a replica must have been unable to serve any read before it counts
+// as stuck. It is longer than replicas usually lag, and longer than a burst that a primary can
+// absorb alone.
 const stuckReplicaAfter = time.Second
 
-// Alone reports whether a group's primary has more than it can run while every replica
-// has fallen behind by more than its routes allow, and stays there.
+// Alone reports whether a group's primary is saturated while every replica is stuck with more lag
+// than the routes allow.
 func (u *Upstreams) Alone(group, primary string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -237,8 +233,8 @@
 	return saturated && replicas > 0
 }
 
-// Behind returns how long ago the primary's log ended at a position, negative when
-// that is not known.
+// Behind returns the replication lag of a log that ends at the position: the time since the
+// primary's log ended there. It is negative when not known.
 func (u *Upstreams) Behind(name string, p group.Position) time.Duration {
 	return u.group(name).lagAt(u.now(), p)
 }
@@ -250,7 +246,7 @@
 	}
 }
 
-// Report logs what came of the attempts at each member since the last report.
+// Report logs the results of the requests to each member since the last report.
 func (u *Upstreams) Report(log *logrus.Entry) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -273,7 +269,7 @@
 	}
 }
 
-// WriteMetrics writes the state of the pools.
+// WriteMetrics writes the metrics of the members and their connection pools.
 func (u *Upstreams) WriteMetrics(w io.Writer) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -290,9 +286,9 @@
 	}
 }
 
-// Shrink closes connections that have not been used for a while, and all that are idle
-// to members of groups that other instances carry now. Members of those that have not been
-// used for long are forgotten.
+// Shrink closes connections that have been idle for idleTimeout, and all idle connections to
+// members of groups that this instance no longer serves. The state of such a member is dropped once
+// it has been unused for forgetUnservedAfter.
 func (u *Upstreams) Shrink() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -310,7 +306,7 @@
 	}
 }
 
-// Close breaks all connections.
+// Close closes all connections.
 func (u *Upstreams) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -11,8 +11,8 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// The load: a thousand groups, of which this instance carries few. A gate is made when a group is first
-// used here, and knows what the store was last heard to hold.
+// Of many groups, an instance serves few. A guard is created when a group is first used there, and
+// must start with the record that was last read from the store.
 func TestNewGuardHasStoredRecord(t *testing.T) {
 	b := newFixture(t)
 	b.relay.storedRecord = func(group string) Known {
@@ -29,8 +29,8 @@
 	must.Error(t, err)
 }
 
-// The load: groups move from instance to instance for weeks. What was seen of members that others
-// carry is kept for a while, and dropped then.
+// Groups move between instances for weeks. The state of a member whose group this instance no
+// longer serves must be dropped after a while.
 func TestUnservedMembersAreForgotten(t *testing.T) {
 	b := newFixture(t)
 	upstreams, now := b.relay.upstreams, time.Hour
@@ -50,7 +50,7 @@
 	must.NotNil(t, upstreams.get("m1"), must.Sprint("used again"))
 }
 
-// carriedElsewhere returns carriers of a group among which "here" is not.
+// carriedElsewhere returns carriers of a group that do not include the instance "here".
 func carriedElsewhere(t *testing.T) placement.Carriers {
 	t.Helper()
 	c := placement.Place([]placement.Group{{Name: "g", MaxConnections: 10, Homes: []string{"a"}}}, placement.Fleet{Registered: 100})["g"]
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -14,47 +14,48 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Settings of the verification of a grant that is not confirmed.
+// Limits of the verification of a grant that is not confirmed.
 const (
-	// verifyTimeout bounds one round of questions. A member may have a queue of
-	// statements before the question; one that takes longer is of no use to callers
-	// who wait for an answer already.
+	// verifyTimeout limits one verification round. A member may have statements queued before the
+	// status request; a member that takes longer than this is of no use to the clients that already
+	// wait for an answer.
 	verifyTimeout = 250 * time.Millisecond
-	// verifiedFor is for how long after a round that succeeded a write is sent before
-	// it is verified. Its answer is verified in any case; that the members answer at
-	// all is known by then, so that few writes end with an outcome that is not known.
+	// verificationValidity is how long after a successful round a write may be sent without a new
+	// verification. Its answer is verified in any case. A recent success shows that the members
+	// answer, so that few writes end with an unknown outcome.
 	verificationValidity = 500 * time.Millisecond
-	// roundPause is the pause between two rounds: answers that come meanwhile share the
-	// next. Each question is charged, and takes a slot of a member for a moment.
+	// verificationPause is the pause between two rounds, in which further answers collect for the
+	// next round. Each status request is charged by the member, and takes one of its slots for a
+	// moment.
 	verificationPause = 20 * time.Millisecond
 )
 
-// round is a round of questions to the members of a group, shared by all who wait
-// for one that begins after they asked.
+// verificationRound asks the members of a group for their status. All answers that arrived before
+// it began share its result.
 type verificationRound struct {
 	authority        lead.Authority
-	done             chan struct{} // closed at the end
-	askPrimary       bool          // an answer to a read waits for it; guarded by the group's mu until it begins
-	noNewerPrimary   bool          // no other member leads; valid once done is closed
-	primaryConfirmed bool          // the primary says that it leads; valid once done is closed, where reads was set
+	done             chan struct{} // closed when the round has ended
+	askPrimary       bool          // the primary is asked too, because an answer to a read waits; guarded by the group's mu until the round begins
+	noNewerPrimary   bool          // no other member is primary; valid once done is closed
+	primaryConfirmed bool          // the primary confirmed its role; valid once done is closed, if askPrimary was set
 }
 
-// verifier verifies that no other member leads a group. The group's mu guards it.
+// verifier runs the verification rounds of a group. It is guarded by the group's mu.
 type verifier struct {
 	running     bool
-	next        *verificationRound // begins when the running one ends; nil: nobody waits
-	lastSuccess time.Duration      // when the last round that succeeded ended; 0: none did
+	next        *verificationRound // begins after the running one; nil: no answer waits
+	lastSuccess time.Duration      // end of the last successful round; 0: none
 }
 
-// ownPriority is that of questions which the instance itself asks members. They are few,
-// cost a member no work, and callers wait for what they tell.
+// probePriority is the priority of the instance's own status requests, ahead of all statements.
+// They are few, cost a member little, and clients wait for their result.
 const probePriority = -1
 
-// errGone says that nothing is known of a member.
+// errMemberGone means that a member has no entry.
 var errMemberGone = errors.New("the member's entry is gone")
 
-// stands reports whether an answer of the primary, to a read or to what writes, may be
-// passed on. Where the grant is not confirmed the members are asked.
+// mayPassOn reports whether an answer of the primary may be passed on to the client. If the grant
+// is not confirmed the members are asked; reads tells that the answer is to a read.
 func (r *Relay) mayPassOn(g *groupState, permit *lead.Pass, reads bool) bool {
 	switch permit.Standing() {
 	case lead.Confirmed:
@@ -65,11 +66,11 @@
 	return false
 }
 
-// verify reports whether no other member led the group in a newer term at some
-// moment after the call. It asks every member that this instance knows of but the
-// primary; one that does not answer might lead. For a read it asks the primary as well: one
-// that has stepped down refuses to write, and would go on reading while a member leads of
-// which this instance does not know. Once ctx has ended it is not waited for.
+// verify reports whether, at some moment after the call, no other member was primary of the group
+// in a newer term. It asks every known member except the primary; a member that doesn't answer
+// might be primary. For a read it asks the primary as well: a primary that has stepped down refuses
+// writes, but goes on serving reads while a member unknown to this instance is primary. verify
+// returns false when ctx ends.
 func (r *Relay) verify(ctx context.Context, g *groupState, primary lead.Authority, reads bool) bool {
 	g.mu.Lock()
 	pending := g.verifier.next
@@ -79,7 +80,7 @@
 	}
 	if pending.authority != primary {
 		g.mu.Unlock()
-		return false // the primary has been replaced, or is known to have been elsewhere here
+		return false // the primary has been replaced, or was a different one for the pending round
 	}
 	pending.askPrimary = pending.askPrimary || reads
 	if !g.verifier.running {
@@ -95,7 +96,7 @@
 	}
 }
 
-// runRounds runs rounds, one after another, while somebody waits for one.
+// runVerificationRounds runs one round after another while answers wait for one.
 func (r *Relay) runVerificationRounds(g *groupState) {
 	for {
 		g.mu.Lock()
@@ -118,18 +119,18 @@
 	}
 }
 
-// verifiedLately reports whether a round has succeeded a moment ago.
+// recentlyVerified reports whether a round succeeded within verificationValidity.
 func (g *groupState) recentlyVerified(now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.verifier.lastSuccess > 0 && now-g.verifier.lastSuccess < verificationValidity
 }
 
-// ask asks the members at once, the primary only where a read waits.
+// askMembers asks all members concurrently, the primary only when an answer to a read waits.
 func (r *Relay) askMembers(round *verificationRound, group string) {
 	primary, snap := round.authority, r.snapshot()
 	if len(snap.DepartedFrom(group)) > 0 {
-		return // one of them may have come back and been promoted, and cannot be asked
+		return // a member whose entry is gone may have returned and been promoted, and cannot be asked
 	}
 	var asked sync.WaitGroup
 	replies := make(map[string]*bool) // by member; each is written by the goroutine that asks it
@@ -151,7 +152,7 @@
 	}
 }
 
-// leads reports whether the primary of an authority says that it leads.
+// confirmsPrimary reports whether the primary confirms that it is primary in the term of a.
 func (r *Relay) confirmsPrimary(primary lead.Authority) bool {
 	status, err := r.upstreams.status(primary.Primary, verifyTimeout)
 	if err == nil && status.Primary && status.Term == primary.Term {
@@ -160,13 +161,13 @@
 	if suppressed, ok := r.logSampler.Allow("verify" + primary.Primary); ok {
 		r.log.WithError(err).WithFields(logrus.Fields{
 			"primary": primary.Primary, "term": primary.Term, "record": primary.Revision, "leads": status.Primary, "its_term": status.Term, "left_out": suppressed,
-		}).Info("relay: the grant is not confirmed, and the primary does not say that it leads; what was read there is not passed on")
+		}).Info("relay: the grant is not confirmed, and the primary does not confirm its role; reads from it are not passed on")
 	}
 	return false
 }
 
-// follows reports whether a member says that it does not lead, in the term of an
-// authority or before.
+// confirmsFollower reports whether a member confirms that it is not primary, and knows no newer
+// term than that of a.
 func (r *Relay) confirmsFollower(m topology.Member, primary lead.Authority) bool {
 	entry := func() *logrus.Entry {
 		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": primary.Primary, "term": primary.Term, "record": primary.Revision})
@@ -181,14 +182,14 @@
 	case status.Primary || status.Term > primary.Term:
 		if suppressed, ok := r.logSampler.Allow("verify" + m.ID); ok {
 			entry().WithFields(logrus.Fields{"leads": status.Primary, "its_term": status.Term, "left_out": suppressed}).
-				Info("relay: the grant is not confirmed, and a member leads in a newer term")
+				Info("relay: the grant is not confirmed, and another member is primary or knows a newer term")
 		}
 		return false
 	}
 	return true
 }
 
-// status asks a member about itself on a connection of the pool.
+// status asks a member for its status on a pooled connection.
 func (u *Upstreams) status(id string, timeout time.Duration) (member.Status, error) {
 	upstream := u.get(id)
 	if upstream == nil {
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -14,8 +14,8 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// newUnconfirmedBench returns a bench whose instance has not heard of the store for
-// longer than its grant is confirmed.
+// newUnconfirmedFixture returns a fixture whose instance has not reached the store for longer than
+// its grant stays confirmed.
 func newUnconfirmedFixture(t *testing.T) *fixture {
 	b := newFixture(t)
 	b.relay.started = b.relay.started.Add(-2 * lead.GrantValidity)
@@ -36,8 +36,8 @@
 	must.Len(t, 2, b.group.Log())
 }
 
-// A primary that has stepped down would go on reading while a member leads that this
-// instance has not heard of. What is read there is not passed on.
+// A primary that has stepped down goes on serving reads while another member is primary that this
+// instance doesn't know of. What is read from it must not be passed on.
 func TestUnconfirmedReadNeedsPrimaryConfirmation(t *testing.T) {
 	b := newUnconfirmedFixture(t)
 	s := newSession(b.relay, Start{Database: "hurried"})
@@ -46,11 +46,11 @@
 	b.stepDown(t, "m1", 2)
 	must.Eq(t, statement.Aborted, b.run(s, statement.Read, "READ 1").Err.Code)
 	must.Eq(t, statement.Busy, b.run(s, statement.Read, "READ 1").Err.Code)
-	must.Eq(t, statement.Busy, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("the member itself refuses"))
+	must.Eq(t, statement.Busy, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("the member refuses writes"))
 	must.SliceEmpty(t, b.group.Log())
 }
 
-// stepDown has a member step down as a leader asks it to.
+// stepDown has a member step down, like the leader of its group does.
 func (b *fixture) stepDown(t *testing.T, id string, term uint64) {
 	conn, err := b.group.Dial(t.Context(), b.group.Entry(id), account.Anonymous)
 	must.NoError(t, err)
@@ -60,8 +60,8 @@
 	must.False(t, status.Primary)
 }
 
-// A member that does not answer might lead: nothing is sent that could not be
-// acknowledged then.
+// A member that doesn't answer might be primary. Nothing may be sent that could not be acknowledged
+// then.
 func TestUnconfirmedGrantNeedsEveryMember(t *testing.T) {
 	b := newUnconfirmedFixture(t)
 	b.group.SetReach("m2", membergroup.Dead)
@@ -72,21 +72,21 @@
 	must.NotNil(t, b.run(s, statement.Read, "READ 1").Err)
 }
 
-// What the old primary says after another member was promoted is not passed on.
+// Answers of the old primary that arrive after another member was promoted must not be passed on.
 func TestUnconfirmedGrantAfterPromotion(t *testing.T) {
 	b := newUnconfirmedFixture(t)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
-	b.group.SetReach("m1", membergroup.Silent) // cut off, so that it does not hear of its successor
+	b.group.SetReach("m1", membergroup.Silent) // partitioned, so that it doesn't learn of its successor
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
 	b.group.SetReach("m1", membergroup.Open)
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 2 x").Err.Code, must.Sprint("the members verified the grant a moment ago"))
 	must.NotNil(t, b.run(s, statement.Read, "READ 1").Err)
 }
 
-// A read that was sent under a confirmed grant may have waited, in a queue or behind a
-// cut, until after a promotion: what counts is when its answer arrives. Found by
-// crash_cut, a day of our own, on which one read ran without an acknowledged commit.
+// A read that was sent under a confirmed grant may be delayed, in a queue or by a network
+// partition, until after a promotion. The grant must be checked when the answer arrives; otherwise
+// a read can miss an acknowledged commit, as happened in a simulated crash with a partition.
 func TestDelayedReadIsVerified(t *testing.T) {
 	b := newFixture(t)
 	permit, err := b.guard.Enter(func() {})
@@ -102,12 +102,12 @@
 	}
 	must.Eq(t, served, settle())
 	b.relay.started = b.relay.started.Add(-2 * lead.GrantValidity)
-	must.Eq(t, served, settle(), must.Sprint("the members verify it"))
+	must.Eq(t, served, settle(), must.Sprint("the members verify the grant"))
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
 	must.Eq(t, notRun, settle())
 }
 
-// Answers that wait for a round share the next one.
+// Answers that wait for a verification round share the next one, which begins after they arrived.
 func TestVerificationBeginsAfterTheAnswer(t *testing.T) {
 	b := newUnconfirmedFixture(t)
 	g := b.relay.upstreams.group("g")
@@ -120,8 +120,7 @@
 	must.False(t, b.relay.verify(t.Context(), g, a, false))
 }
 
-// A primary serves its group alone when no replica has served a read for a while, and
-// it answers more slowly than it usually does.
+// A saturated primary counts as alone when no replica has served a read for a while.
 func TestOverloadedWithoutReplicas(t *testing.T) {
 	b := newFixture(t)
 	upstreams := b.relay.upstreams
@@ -134,9 +133,9 @@
 	}
 	answer(100, time.Millisecond)
 	replica.recordLag(time.Minute, true, b.relay.now())
-	must.False(t, alone(), must.Sprint("the primary has room"))
+	must.False(t, alone(), must.Sprint("the primary is not saturated"))
 	answer(100, time.Second)
-	must.False(t, alone(), must.Sprint("the replica has lagged for a moment only"))
+	must.False(t, alone(), must.Sprint("the replica has been lagging too briefly"))
 	replica.lagSince = upstreams.now() - stuckReplicaAfter
 	must.True(t, alone())
 	replica.recordLag(0, false, upstreams.now())
--- a/internal/relay/waits.go
+++ b/internal/relay/waits.go
@@ -9,15 +9,15 @@
 	"github.com/stackspindle/stackspindle/internal/pool"
 )
 
-// lowestPriority bounds how many priorities are told apart in metrics and logs: what ranks
-// lower is counted with it.
+// lastPriorityLevel is the last priority that is tracked separately; lower priorities are counted
+// with it. It limits the labels of metrics and logs.
 const lastPriorityLevel = 4
 
-// waits is what the queue of one member has done by priority.
+// queueStats are the statistics of one member's queue by priority.
 type queueStats [lastPriorityLevel + 1]pool.Waiting
 
-// newWaits sums up what a queue tells. The instance's own questions, which rank before all
-// priorities, are left out.
+// newQueueStats sums up a queue's statistics. The instance's own status requests, which rank above
+// all priorities, are left out.
 func newQueueStats(stats []pool.Waiting) queueStats {
 	var sums queueStats
 	for _, s := range stats {
@@ -32,7 +32,7 @@
 	return sums
 }
 
-// numbers returns one figure of each priority, the highest first.
+// perPriority returns one statistic for each priority, the highest first.
 func (w queueStats) perPriority(statistic func(pool.Waiting) int) []int {
 	values := make([]int, len(w))
 	for i, waiting := range w {
@@ -45,7 +45,7 @@
 func overtook(w pool.Waiting) int   { return w.Overtook }
 func overdue(w pool.Waiting) int    { return w.Overdue }
 
-// write writes the figures of the priorities that were seen at a member.
+// write writes the metrics of the priorities that occurred at a member.
 func (w queueStats) write(out io.Writer, group, member string) {
 	for priority, waiting := range w {
 		if waiting == (pool.Waiting{}) {
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -9,7 +9,7 @@
 	"github.com/stackspindle/stackspindle/internal/pool"
 )
 
-// However many priorities the settings name, the figures have a bounded number of labels.
+// However many priorities the configuration has, the metrics have a bounded number of labels.
 func TestQueueMetricsHaveBoundedLabels(t *testing.T) {
 	var all []pool.Waiting
 	for priority := -1; priority < 100; priority++ {
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -7,9 +7,8 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// workKind names statements that are expected to take about the same time: those of
-// routes that declare the same. They share what is learned, so that a route which is
-// new or little used is known at once.
+// statementClass groups statements that are expected to take about the same time: those of routes
+// with equal settings. They share one baseline, so that a new or little-used route has one at once.
 type statementClass struct {
 	consistency topology.Consistency
 	staleness   time.Duration
@@ -21,8 +20,8 @@
 	return statementClass{consistency: route.Consistency, staleness: route.MaxStaleness, objective: route.LatencyObjective, priority: route.Priority}
 }
 
-// took notes how long a member took for a statement of a kind, and returns what that
-// usually takes, 0 while it is not known.
+// recordDuration records how long a member took for a statement of a class, and returns the class's
+// typical duration, 0 while that is not known.
 func (g *groupState) recordDuration(kind statementClass, d time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -35,7 +34,7 @@
 	return baseline.Usual()
 }
 
-// usual returns what a statement of a kind usually takes, 0 while that is not known.
+// typicalDuration returns the typical duration of a class, 0 while it is not known.
 func (g *groupState) typicalDuration(kind statementClass) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -45,10 +44,10 @@
 	return 0
 }
 
-// pace takes in how long a member took for a statement that does not belong to a
-// transaction, and holds further ones back for as long as the member seems to have
-// more than it can run. Statements of transactions are neither held nor counted: what
-// they wait for has begun already, and counting them paces members that are only busy.
+// paceMember records how long a member took for a statement outside a transaction, adjusts the
+// number of concurrent statements there, and pauses further ones while the member seems overloaded.
+// Statements of transactions are neither paused nor counted: the transaction has already begun, and
+// counting them would throttle members that are merely busy.
 func (r *Relay) paceMember(upstream *upstreamState, g *groupState, route topology.Route, took time.Duration) {
 	typical := g.recordDuration(classOf(route), took)
 	waiting := upstream.pool.Waiting() > 0
