--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -18,16 +18,16 @@
 // and the client's account, or the refusal.
 //
 // The database is checked before the key, because the route determines whether a key is needed.
-func (r *Relay) admit(start Start) (topology.Route, string, *statement.Error) {
+func (r *Relay) admit(startup Start) (topology.Route, string, *statement.Error) {
 	snap := r.snapshot()
 	if snap.Version == 0 {
 		return topology.Route{}, "", &statement.Error{Code: statement.Busy, Detail: "no configuration is known yet", RetryAfter: defaultRetryAfter}
 	}
-	route, ok := snap.Databases[start.Database]
+	route, ok := snap.Databases[startup.Database]
 	if !ok {
-		return topology.Route{}, "", &statement.Error{Code: statement.NoDatabase, Detail: fmt.Sprintf("no route leads to database %q", start.Database)}
+		return topology.Route{}, "", &statement.Error{Code: statement.NoDatabase, Detail: fmt.Sprintf("no route leads to database %q", startup.Database)}
 	}
-	name, ok := snap.Config.Accounts.Identify(route.Public, start.Key)
+	name, ok := snap.Config.Accounts.Identify(route.Public, startup.Key)
 	if !ok {
 		return topology.Route{}, "", r.unauthenticatedError()
 	}
@@ -57,7 +57,7 @@
 	// Refused records that an operation, forwarded the given time ago, was refused because its
 	// account has no tokens for a while. It returns the delay after which the client should retry;
 	// 0: not known.
-	Refused(v quota.Visit, ago, empty time.Duration) time.Duration
+	Refused(v quota.Visit, ago, emptyFor time.Duration) time.Duration
 	// Ran records that an operation, forwarded the given time ago, was not refused for its
 	// account's limit.
 	Ran(v quota.Visit, ago time.Duration)
@@ -112,8 +112,8 @@
 
 // recordForwardedReply records what a carrier's reply says about the account's limit, and sets the
 // reply's retry delay if the limiter knows one.
-func (s *session) recordForwardedReply(route topology.Route, sent time.Duration, reply *relaypb.CarryReply) {
-	operation, ago := s.quotaOperation(s.account, route), s.relay.now()-sent
+func (s *session) recordForwardedReply(route topology.Route, sentAt time.Duration, reply *relaypb.CarryReply) {
+	operation, ago := s.quotaOperation(s.account, route), s.relay.now()-sentAt
 	if reply.Code == 0 {
 		s.relay.limiter.Ran(operation, ago)
 		return
@@ -157,11 +157,11 @@
 // statement was authenticated by its ingress instance, which has the key.
 func (s *session) admitTransaction() (topology.Route, string, *statement.Error) {
 	if !s.forwarded {
-		return s.relay.admit(s.start)
+		return s.relay.admit(s.startup)
 	}
-	route, ok := s.relay.snapshot().Databases[s.start.Database]
+	route, ok := s.relay.snapshot().Databases[s.startup.Database]
 	if !ok {
-		return topology.Route{}, "", &statement.Error{Code: statement.NoDatabase, Detail: fmt.Sprintf("no route leads to database %q", s.start.Database)}
+		return topology.Route{}, "", &statement.Error{Code: statement.NoDatabase, Detail: fmt.Sprintf("no route leads to database %q", s.startup.Database)}
 	}
 	return route, s.account, nil
 }
@@ -174,11 +174,11 @@
 		return false // the ingress instance checks the key
 	}
 	snap := s.relay.snapshot()
-	route, ok := snap.Databases[s.start.Database]
+	route, ok := snap.Databases[s.startup.Database]
 	if !ok {
 		return false // a removed route takes effect with the next transaction
 	}
-	_, ok = snap.Config.Accounts.Identify(route.Public, s.start.Key)
+	_, ok = snap.Config.Accounts.Identify(route.Public, s.startup.Key)
 	return !ok
 }
 
--- a/internal/relay/breaker.go
+++ b/internal/relay/breaker.go
@@ -20,49 +20,49 @@
 }
 
 // cancel cancels the work. It may be called from any goroutine.
-func (b *workCanceller) cancel() {
-	b.cancelWait()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.cancelled = true
-	if b.conn != nil {
-		b.conn.Kill()
+func (c *workCanceller) cancel() {
+	c.cancelWait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelled = true
+	if c.conn != nil {
+		c.conn.Kill()
 	}
 }
 
 // attach sets the connection that cancel closes. It reports false when the work was cancelled
 // before. A nil workCanceller never cancels.
-func (b *workCanceller) attach(conn *member.Shared) bool {
-	if b == nil {
+func (c *workCanceller) attach(conn *member.Shared) bool {
+	if c == nil {
 		return true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.conn = conn
-	return !b.cancelled
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn = conn
+	return !c.cancelled
 }
 
 // cause adds to err that the work was cancelled, if it was.
-func (b *workCanceller) cause(err error) error {
-	if b == nil {
+func (c *workCanceller) cause(err error) error {
+	if c == nil {
 		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.cancelled {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cancelled {
 		return fmt.Errorf("broken off, since the primary is being changed: %w", err)
 	}
 	return err
 }
 
 // detach removes the connection, so that cancel no longer closes it.
-func (b *workCanceller) detach() {
-	if b == nil {
+func (c *workCanceller) detach() {
+	if c == nil {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.conn = nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn = nil
 }
 
 // leasedConn is a connection leased from a member's pool. It has a canceller if the member is the
@@ -73,7 +73,7 @@
 }
 
 // release returns the connection to its pool.
-func (h *leasedConn) release() {
-	h.canceller.detach()
-	h.lease.Release()
+func (l *leasedConn) release() {
+	l.canceller.detach()
+	l.lease.Release()
 }
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -64,8 +64,8 @@
 // one of them.
 func (r *Relay) orderCarriers(c Carriers, group, account string, needsPrimary bool) []lead.Instance {
 	preferred := r.dataCentre
-	if authority, err := r.Gate(group).Authority(); err == nil && needsPrimary {
-		primary, _ := r.snapshot().Member(authority.Primary)
+	if ref, err := r.Gate(group).Authority(); err == nil && needsPrimary {
+		primary, _ := r.snapshot().Member(ref.Primary)
 		preferred = primary.DataCentre
 	}
 	return placement.Order(c.Others, ownershipCandidate, placement.Caller{Name: cmp.Or(account, r.self), DataCentre: r.dataCentre}, preferred, r.localities)
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -53,7 +53,7 @@
 }
 
 // forwardTo runs the first statement of a transaction at one carrier. tryNext reports that nothing
-// can have changed and another carrier is to be asked; answer then has the reason. others says that
+// can have changed and another carrier is to be asked; answer then has the reason. othersLeft says that
 // another carrier may have capacity.
 func (s *session) forwardTo(ctx context.Context, st statement.Statement, route topology.Route, query admission.Query, carrier lead.Instance, arrived time.Duration, othersLeft bool) (answer statement.Answer, tryNext bool) {
 	remaining := arrived + route.Timeout - s.relay.now()
@@ -123,7 +123,7 @@
 // before.
 func (s *session) recordLostReply(st statement.Statement, carrier string, arrived time.Duration, cause error) {
 	if errors.Is(cause, errClientGone) {
-		s.relay.recordClientGone(s.start.Database, "carried", s.relay.now()-arrived)
+		s.relay.recordClientGone(s.startup.Database, "carried", s.relay.now()-arrived)
 		return
 	}
 	s.relay.logLostAnswer(s, st, carrier, cause)
@@ -161,7 +161,7 @@
 func (s *session) encodeRequest(st statement.Statement, arrived time.Duration) *relaypb.CarryRequest {
 	prepared := s.prepared[st.Name]
 	return &relaypb.CarryRequest{
-		Database: s.start.Database, Account: s.account, Id: st.ID, Text: st.Text, Kind: int32(st.Kind), Name: st.Name, Args: st.Args,
+		Database: s.startup.Database, Account: s.account, Id: st.ID, Text: st.Text, Kind: int32(st.Kind), Name: st.Name, Args: st.Args,
 		Writes: prepared.writes, Shape: prepared.shape, Values: s.variables, Floor: encodePosition(s.floor),
 		ElapsedUs: (s.relay.now() - arrived).Microseconds(),
 	}
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -67,7 +67,7 @@
 // candidates returns the members that might serve a read.
 func (a *attempt) candidates() []routing.Candidate {
 	relay := a.session.relay
-	authority, err := a.guard.Authority()
+	ref, err := a.guard.Authority()
 	typical := a.group.typicalDuration(classOf(a.route))
 	var candidates []routing.Candidate
 	for _, m := range relay.snapshot().MembersOf(a.route.Group) {
@@ -77,7 +77,7 @@
 		}
 		c := upstream.candidate(a.now())
 		c.Slots, c.Work = m.Slots/placement.PerMember, typical
-		if err == nil && m.ID == authority.Primary {
+		if err == nil && m.ID == ref.Primary {
 			c.Primary = true
 		}
 		candidates = append(candidates, c)
--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -12,8 +12,8 @@
 // running is checked for a disconnect. Most statements end before the first check.
 const disconnectPollInterval = 50 * time.Millisecond
 
-// disconnectWatch polls whether a client disconnects while its statement is running. There is none
-// between two statements.
+// disconnectWatch polls whether a client disconnects while its statement is running. No watch is
+// active between two statements.
 type disconnectWatch struct {
 	timer *time.Timer
 
@@ -27,40 +27,40 @@
 
 // watchDisconnect returns a context that is cancelled when a client disconnects. end must be called
 // when the statement has ended.
-func watchDisconnect(caller Caller) (ctx context.Context, end func()) {
-	d := disconnectWatchPool.Get().(*disconnectWatch)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	ctx, d.cancel = context.WithCancel(context.Background())
-	d.conn = caller
-	if d.timer == nil {
-		d.timer = time.AfterFunc(disconnectPollInterval, d.poll)
+func watchDisconnect(conn Caller) (ctx context.Context, end func()) {
+	w := disconnectWatchPool.Get().(*disconnectWatch)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	ctx, w.cancel = context.WithCancel(context.Background())
+	w.conn = conn
+	if w.timer == nil {
+		w.timer = time.AfterFunc(disconnectPollInterval, w.poll)
 	} else {
-		d.timer.Reset(disconnectPollInterval)
+		w.timer.Reset(disconnectPollInterval)
 	}
-	return ctx, d.end
+	return ctx, w.end
 }
 
-func (d *disconnectWatch) poll() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (w *disconnectWatch) poll() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	switch {
-	case d.conn == nil:
-	case d.conn.Gone():
-		d.cancel()
+	case w.conn == nil:
+	case w.conn.Gone():
+		w.cancel()
 	default:
-		d.timer.Reset(disconnectPollInterval)
+		w.timer.Reset(disconnectPollInterval)
 	}
 }
 
-func (d *disconnectWatch) end() {
-	d.mu.Lock()
-	stopped := d.timer.Stop()
-	d.cancel()
-	d.conn, d.cancel = nil, nil
-	d.mu.Unlock()
+func (w *disconnectWatch) end() {
+	w.mu.Lock()
+	stopped := w.timer.Stop()
+	w.cancel()
+	w.conn, w.cancel = nil, nil
+	w.mu.Unlock()
 	if stopped { // otherwise poll may still run; the watch is not reused
-		disconnectWatchPool.Put(d)
+		disconnectWatchPool.Put(w)
 	}
 }
 
--- a/internal/relay/failures.go
+++ b/internal/relay/failures.go
@@ -29,9 +29,9 @@
 // failureLog collects failed requests so that each can be found in the logs by its ID, with one log
 // line per second and cause. It is safe for concurrent use and never blocks on the log.
 type failureLog struct {
-	mu      sync.Mutex // guards the fields below
-	since   time.Duration
-	byCause map[failureCause]*failedRequests
+	mu            sync.Mutex // guards the fields below
+	intervalStart time.Duration
+	byCause       map[failureCause]*failedRequests
 }
 
 // failedRequests are the failed requests of one cause in one interval.
@@ -71,11 +71,11 @@
 func (f *failureLog) takeBatch(now time.Duration) map[failureCause]*failedRequests {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now-f.since < failureLogInterval || len(f.byCause) == 0 {
+	if now-f.intervalStart < failureLogInterval || len(f.byCause) == 0 {
 		return nil
 	}
 	batch := f.byCause
-	f.since, f.byCause = now, make(map[failureCause]*failedRequests)
+	f.intervalStart, f.byCause = now, make(map[failureCause]*failedRequests)
 	return batch
 }
 
--- a/internal/relay/first.go
+++ b/internal/relay/first.go
@@ -64,8 +64,8 @@
 	if refusal != nil {
 		return statement.Answer{State: statement.Idle, Err: refusal}
 	}
-	needed, known := s.preparedFor(st)
-	if !known {
+	prepared, ok := s.preparedFor(st)
+	if !ok {
 		return statement.Failure(statement.Idle, statement.Unprepared, "no statement %q was prepared in this session", st.Name)
 	}
 	if carriers := s.relay.CarriersOf(route.Group); !carriers.Here && !s.forwarded {
@@ -81,7 +81,7 @@
 		return statement.Answer{State: statement.Idle, Err: refusal}
 	}
 	a := &attempt{
-		ctx: ctx, session: s, st: st, prepared: needed, route: route, account: account, token: token,
+		ctx: ctx, session: s, st: st, prepared: prepared, route: route, account: account, token: token,
 		group: s.relay.upstreams.group(route.Group), guard: s.relay.Gate(route.Group),
 		arrived: arrived, deadline: arrived + route.Timeout, reads: s.readsOnly(st),
 		reason: "no member could be asked",
@@ -95,8 +95,8 @@
 func (a *attempt) run() statement.Answer {
 	for {
 		a.unavailable, a.saturated = nil, false
-		answer, out := a.tryRound()
-		switch out {
+		answer, result := a.tryRound()
+		switch result {
 		case served:
 			return answer
 		case unknownOutcome:
--- a/internal/relay/hold.go
+++ b/internal/relay/hold.go
@@ -97,8 +97,8 @@
 // waitForPrimary queues the statement for the primary if admission control allows it. The decision
 // is made once: an admitted statement stays admitted.
 func (a *attempt) waitForPrimary() (statement.Answer, outcome) {
-	if authority, err := a.guard.Authority(); err == nil && !a.hasVerdict {
-		if upstream := a.session.relay.upstreams.get(authority.Primary); upstream != nil {
+	if ref, err := a.guard.Authority(); err == nil && !a.hasVerdict {
+		if upstream := a.session.relay.upstreams.get(ref.Primary); upstream != nil {
 			a.verdict, a.hasVerdict = upstream.decideAdmission(a.now(), a.priorityLevel(), a.admissionRequest(), a.queueTarget()), true
 			a.lastMember = upstream.id
 		}
--- a/internal/relay/offer.go
+++ b/internal/relay/offer.go
@@ -22,7 +22,7 @@
 	// member could serve. The factor is large because statements of one class differ in their work,
 	// and wait for others.
 	maxWorkMultiple = 8
-	// defaultMaxWork replaces it while the typical duration is not known.
+	// defaultMaxWork is the limit while the typical duration is not known.
 	defaultMaxWork = 150 * time.Millisecond
 	// maxReadFailures is how many members may fail a read before the client gets the failure: the
 	// fault may be in the statement itself.
--- a/internal/relay/outlook.go
+++ b/internal/relay/outlook.go
@@ -18,11 +18,11 @@
 
 // cachedForecast is a group's expected queueing delays by priority, as a carrier reports them.
 type cachedForecast struct {
-	mu      sync.Mutex // guards the fields below
-	at      time.Duration
-	known   bool
-	primary []uint32
-	replica []uint32
+	mu           sync.Mutex // guards the fields below
+	computedAt   time.Duration
+	valid        bool
+	primaryWaits []uint32
+	replicaWaits []uint32
 }
 
 // addWaitForecast adds to a reply the expected queueing delays of the group's statements at this
@@ -31,15 +31,15 @@
 	f, now := &r.upstreams.group(group).forecast, r.now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.known || now-f.at >= forecastMaxAge {
-		f.at, f.known = now, true
-		f.primary, f.replica = r.forecastWaits(group, now)
+	if !f.valid || now-f.computedAt >= forecastMaxAge {
+		f.computedAt, f.valid = now, true
+		f.primaryWaits, f.replicaWaits = r.forecastWaits(group, now)
 	}
-	if f.primary == nil && f.replica == nil {
+	if f.primaryWaits == nil && f.replicaWaits == nil {
 		return
 	}
 	size := proto.Size(reply)
-	reply.PrimaryWaitUs, reply.ReplicaWaitUs = f.primary, f.replica
+	reply.PrimaryWaitUs, reply.ReplicaWaitUs = f.primaryWaits, f.replicaWaits
 	r.metrics.GetOrCreateCounter(`stackspindle_forecast_bytes_total`).Add(proto.Size(reply) - size)
 }
 
@@ -48,9 +48,9 @@
 func (r *Relay) forecastWaits(name string, now time.Duration) (primary, replica []uint32) {
 	var onPrimary, onReplica [lastPriorityLevel + 1]time.Duration
 	primaryID := ""
-	authority, err := r.Gate(name).Authority()
+	ref, err := r.Gate(name).Authority()
 	if err == nil {
-		primaryID = authority.Primary
+		primaryID = ref.Primary
 	}
 	first := true
 	for _, m := range r.snapshot().MembersOf(name) {
@@ -97,19 +97,19 @@
 	forecasts admission.Outlook
 }
 
-func (o *waitForecasts) recordReply(now time.Duration, carrier, group string, reply *relaypb.CarryReply) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.forecasts.Told(now, carrier, group, reply.PrimaryWaitUs, reply.ReplicaWaitUs)
+func (w *waitForecasts) recordReply(now time.Duration, carrier, group string, reply *relaypb.CarryReply) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.forecasts.Told(now, carrier, group, reply.PrimaryWaitUs, reply.ReplicaWaitUs)
 }
 
-func (o *waitForecasts) forget(carrier string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.forecasts.Lost(carrier)
+func (w *waitForecasts) forget(carrier string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.forecasts.Lost(carrier)
 }
 
-func (o *waitForecasts) choose(now time.Duration, q admission.Query, carriers []lead.Instance) admission.Choice {
+func (w *waitForecasts) choose(now time.Duration, q admission.Query, carriers []lead.Instance) admission.Choice {
 	ranked := make([]admission.Carrier, len(carriers))
 	for i, c := range carriers {
 		ranked[i].Name = c.Address
@@ -120,9 +120,9 @@
 			}
 		}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.forecasts.Choose(now, q, ranked)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.forecasts.Choose(now, q, ranked)
 }
 
 // admissionQuery describes a statement that is about to be forwarded.
@@ -141,10 +141,10 @@
 	r := s.relay
 	level := min(max(route.Priority, 0), lastPriorityLevel)
 	r.countRefusal(c.Verdict.Reason.String(), level)
-	if leftOut, ok := r.logSampler.Allow("refusal carriers " + route.Group); ok {
+	if suppressed, ok := r.logSampler.Allow("refusal carriers " + route.Group); ok {
 		r.log.WithField("request", st.ID).WithField("group", route.Group).WithField("priority", route.Priority).
 			WithField("reason", c.Verdict.Reason.String()).WithField("wait_ms", c.Verdict.Wait.Milliseconds()).WithField("age_ms", c.Age.Milliseconds()).
-			WithField("come_back_ms", c.Verdict.ComeBack.Milliseconds()).WithField("left_out", leftOut).Info("relay: a statement was refused, because all carriers are expected to refuse it")
+			WithField("come_back_ms", c.Verdict.ComeBack.Milliseconds()).WithField("left_out", suppressed).Info("relay: a statement was refused, because all carriers are expected to refuse it")
 	}
 	answer := statement.Failure(statement.Idle, statement.Busy, "not run: what waits at all carriers already takes longer than the statement can wait")
 	answer.Err.RetryAfter = c.Verdict.ComeBack
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -26,8 +26,8 @@
 	if p == nil {
 		return Carriers{}, false
 	}
-	placed, known := p.carriers.Get(group)
-	c := Carriers{Carriers: placed, Here: placed.Includes(p.self)}
+	carriers, known := p.carriers.Get(group)
+	c := Carriers{Carriers: carriers, Here: carriers.Includes(p.self)}
 	for _, name := range c.Names {
 		if name != p.self {
 			c.Others = append(c.Others, p.instances[name])
@@ -98,9 +98,9 @@
 }
 
 // NewPlacements returns the placements of an instance, without any group.
-func NewPlacements(self lead.Instance, places locality.Map) *Placements {
+func NewPlacements(self lead.Instance, localities locality.Map) *Placements {
 	return &Placements{
-		localities: places, table: placement.NewTable(),
+		localities: localities, table: placement.NewTable(),
 		next: Placed{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -8,10 +8,11 @@
 // over gRPC to a carrier, which is an instance that does (CarrierServer).
 //
 // Invariants: a statement reaches a member only on a connection of its own account, and a write is
-// sent at most once unless it is certain that it has not run. Work on a primary holds a permit; an
-// answer obtained under a grant that is no longer confirmed is passed on only after the group's
-// members have verified it. A read is served by a member whose log contains everything that its
-// consistency level requires.
+// sent at most once unless it is certain that it has not run. Work on a primary holds a permit,
+// which is issued under a grant, the time-limited permission of this instance to use the primary
+// (package lead). An answer that arrives while the grant is not confirmed is passed on only after
+// the group's members have verified it. A read is served by a member whose log contains everything
+// that its consistency level requires.
 package relay
 
 import (
@@ -229,8 +230,8 @@
 		"read": a.reads, "offered": a.offered, "rounds": a.rounds, "member": a.lastMember, "after": a.lastMinPosition.String(),
 		"sample_age_ms": a.group.sampleAge(r.now()).Milliseconds(),
 	}
-	if authority, err := a.guard.Authority(); err == nil {
-		fields["primary"], fields["term"], fields["record"] = authority.Primary, authority.Term, authority.Revision
+	if ref, err := a.guard.Authority(); err == nil {
+		fields["primary"], fields["term"], fields["record"] = ref.Primary, ref.Term, ref.Revision
 	} else {
 		fields["no_primary"] = err.Error()
 	}
@@ -244,7 +245,7 @@
 func (r *Relay) logLostAnswer(s *session, st statement.Statement, memberID string, cause error) {
 	r.metrics.GetOrCreateCounter(`stackspindle_lost_answers_total{member="` + memberID + `"}`).Inc()
 	if suppressed, ok := r.logSampler.Allow("lost" + memberID); ok {
-		r.log.WithFields(logrus.Fields{"request": st.ID, "database": s.start.Database, "member": memberID, "left_out": suppressed}).WithError(cause).
+		r.log.WithFields(logrus.Fields{"request": st.ID, "database": s.startup.Database, "member": memberID, "left_out": suppressed}).WithError(cause).
 			Info("relay: an answer did not arrive")
 	}
 }
--- a/internal/relay/samples.go
+++ b/internal/relay/samples.go
@@ -31,7 +31,7 @@
 }
 
 // addSample adds a sample of the primary's log. Everything that was acknowledged before the request
-// was sent (asked) is at or below the position.
+// was sent (sentAt) is at or below the position.
 func (g *groupState) addSample(sentAt time.Duration, p group.Position) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -81,7 +81,7 @@
 	inTx bool
 }
 
-// NewServer returns a server for at most maxCallers concurrent clients.
+// NewServer returns a server for at most maxClients concurrent clients.
 func NewServer(relay *Relay, newClientConn func(net.Conn) Caller, maxClients int) (*Server, error) {
 	pool, err := ants.NewPool(maxClients, ants.WithNonblocking(true))
 	if err != nil {
@@ -143,20 +143,20 @@
 	if c.conn.SetReadDeadline(time.Now().Add(startupTimeout)) != nil {
 		return false
 	}
-	start, err := c.conn.Start()
+	startup, err := c.conn.Start()
 	var refusal *statement.Error
 	switch {
 	case errors.As(err, &refusal):
 	case err != nil:
 		return false // the client disconnected, or sent nothing in time
 	default:
-		_, _, refusal = relay.admit(start)
+		_, _, refusal = relay.admit(startup)
 	}
 	if refusal != nil {
 		_ = c.conn.Refuse(refusal)
 		return false
 	}
-	c.session = newSession(relay, start)
+	c.session = newSession(relay, startup)
 	c.server.mu.Lock()
 	c.server.clients[c] = struct{}{}
 	c.server.mu.Unlock()
@@ -206,7 +206,7 @@
 // log.
 func (c *clientHandler) recordFailure(st statement.Statement, answer statement.Answer, delivered bool) {
 	relay := c.server.relay
-	cause := failureCause{group: relay.snapshot().Databases[c.session.start.Database].Group}
+	cause := failureCause{group: relay.snapshot().Databases[c.session.startup.Database].Group}
 	switch {
 	case answer.Err != nil:
 		cause.outcome, cause.detail = answer.Err.Code.String(), answer.Err.Detail
@@ -225,12 +225,12 @@
 func (c *clientHandler) setReadDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	closing := c.server.isDraining()
-	if closing && !c.inTx && c.conn.Quiet() {
+	draining := c.server.isDraining()
+	if draining && !c.inTx && c.conn.Quiet() {
 		return false
 	}
 	var deadline time.Time
-	if closing && !c.inTx {
+	if draining && !c.inTx {
 		deadline = time.Now().Add(drainInterruptInterval) // lets the client finish a statement that it has begun to send
 	}
 	if limit := c.server.relay.snapshot().Config.IdleInTransaction; c.inTx && limit > 0 {
@@ -244,7 +244,7 @@
 func (c *clientHandler) handleIdleTimeout() bool {
 	if c.session.tx != nil || c.session.forwardedTx != nil {
 		c.session.abandonTx("the transaction rested for too long and was rolled back")
-		c.server.relay.recordIdleTransaction(c.session.start.Database)
+		c.server.relay.recordIdleTransaction(c.session.startup.Database)
 		c.setBusy(false)
 		return true
 	}
@@ -317,6 +317,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener != nil {
-		_ = s.listener.Close() // the listener is not used any more
+		_ = s.listener.Close() // an error affects no client
 	}
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -21,7 +21,7 @@
 // session is the state of one client's session. It is used by one goroutine.
 type session struct {
 	relay       *Relay
-	start       Start
+	startup     Start
 	account     string // client account of a forwarded statement, as the ingress instance identified it
 	variables   map[string]string
 	prepared    map[string]preparedStatement
@@ -46,10 +46,10 @@
 	wrote    bool
 }
 
-func newSession(r *Relay, start Start) *session {
+func newSession(r *Relay, startup Start) *session {
 	return &session{
 		relay:     r,
-		start:     start,
+		startup:   startup,
 		variables: make(map[string]string),
 		prepared:  make(map[string]preparedStatement),
 		state:     statement.Idle,
@@ -129,8 +129,8 @@
 }
 
 // memberRequest builds the request that runs a statement at a member.
-func memberRequest(st statement.Statement, prepared *member.Prepared, after group.Position, deadline time.Time) member.Request {
-	req := member.Request{Statement: st, After: after, Deadline: deadline}
+func memberRequest(st statement.Statement, prepared *member.Prepared, minPosition group.Position, deadline time.Time) member.Request {
+	req := member.Request{Statement: st, After: minPosition, Deadline: deadline}
 	if prepared != nil {
 		req.Name = prepared.Name
 	}
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -53,7 +53,7 @@
 
 // carrierStream is a stream to a carrier. It is used for the transactions of one client at a time.
 type carrierStream struct {
-	owner   *carrierConns
+	conns   *carrierConns
 	address string
 	rpc     grpc.BidiStreamingClient[relaypb.CarryRequest, relaypb.CarryReply]
 	cancel  context.CancelFunc
@@ -153,7 +153,7 @@
 }
 
 // open returns an idle stream to a carrier, or opens one, for which it waits at most openTimeout
-// and no longer than left.
+// and no longer than remaining.
 func (c *carrierConns) open(address string, remaining time.Duration) (*carrierStream, error) {
 	c.mu.Lock()
 	if idle := c.idle[address]; len(idle) > 0 {
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	timer := time.AfterFunc(min(remaining, openTimeout), cancel)
-	run, err := relaypb.NewCarrierClient(conn).Carry(ctx)
+	rpc, err := relaypb.NewCarrierClient(conn).Carry(ctx)
 	if !timer.Stop() && err == nil {
 		err = context.DeadlineExceeded
 	}
@@ -178,7 +178,7 @@
 		c.recordResult(address, false)
 		return nil, fmt.Errorf("carrier at %s: %w", address, err)
 	}
-	return &carrierStream{owner: c, address: address, rpc: run, cancel: cancel}, nil
+	return &carrierStream{conns: c, address: address, rpc: rpc, cancel: cancel}, nil
 }
 
 // send sends a request. Only one send may be in progress on a stream.
@@ -221,13 +221,13 @@
 	if s.rpc.Context().Err() != nil {
 		return
 	}
-	s.owner.mu.Lock()
-	defer s.owner.mu.Unlock()
-	if len(s.owner.idle[s.address]) >= maxIdleStreams {
+	s.conns.mu.Lock()
+	defer s.conns.mu.Unlock()
+	if len(s.conns.idle[s.address]) >= maxIdleStreams {
 		s.cancel()
 		return
 	}
-	s.owner.idle[s.address] = append(s.owner.idle[s.address], s)
+	s.conns.idle[s.address] = append(s.conns.idle[s.address], s)
 }
 
 // pendingRequest is a request that waits for its reply. Once it is finished, abort has no effect,
@@ -235,23 +235,23 @@
 type pendingRequest struct {
 	stream *carrierStream
 
-	mu    sync.Mutex // guards ended
-	ended bool
+	mu       sync.Mutex // guards ended
+	finished bool
 }
 
 // abort ends the stream, unless the request is finished.
-func (a *pendingRequest) abort() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.ended {
-		a.stream.cancel()
+func (p *pendingRequest) abort() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.finished {
+		p.stream.cancel()
 	}
 }
 
-func (a *pendingRequest) finish() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.ended = true
+func (p *pendingRequest) finish() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.finished = true
 }
 
 // roundTrip sends a request and returns the reply. An error that wraps errNotAccepted means that
@@ -265,8 +265,8 @@
 	defer context.AfterFunc(ctx, pending.abort)()
 	done := make(chan struct{})
 	defer close(done)
-	watch := time.AfterFunc(pingAfter, func() { s.owner.pingWhileWaiting(s.address, done, pending.abort) })
-	defer watch.Stop()
+	pingTimer := time.AfterFunc(pingAfter, func() { s.conns.pingWhileWaiting(s.address, done, pending.abort) })
+	defer pingTimer.Stop()
 	if err := s.send(req); err != nil {
 		s.cancel()
 		if ctx.Err() != nil {
@@ -281,12 +281,12 @@
 		return nil, fmt.Errorf("carrier at %s: %w", s.address, errClientGone)
 	case err != nil:
 		s.cancel()
-		s.owner.recordResult(s.address, false)
+		s.conns.recordResult(s.address, false)
 		return nil, fmt.Errorf("carrier at %s: %w", s.address, err)
 	case reply.Stopping:
 		s.cancel()
 		return nil, fmt.Errorf("carrier at %s: %w: it stops", s.address, errNotAccepted)
 	}
-	s.owner.recordResult(s.address, true)
+	s.conns.recordResult(s.address, true)
 	return reply, nil
 }
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// recordAnswer records an answer to a request sent at asked.
+// recordAnswer records an answer to a request sent at sentAt.
 func (u *upstreamState) recordAnswer(sentAt, now time.Duration, p group.Position) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -115,7 +115,7 @@
 func (u *upstreamState) sinceLastAnswer(now time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if since, heard := u.health.SinceAnswer(now); heard {
+	if since, ok := u.health.SinceAnswer(now); ok {
 		return since
 	}
 	return now - u.createdAt
@@ -131,11 +131,11 @@
 }
 
 // recordLag records the replication lag of a replica, and whether it rejected a read because of it.
-func (u *upstreamState) recordLag(behind time.Duration, lagging bool, now time.Duration) {
+func (u *upstreamState) recordLag(lag time.Duration, lagging bool, now time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.lagGrowing = behind > u.lag
-	u.lag, u.lagAt = behind, now
+	u.lagGrowing = lag > u.lag
+	u.lag, u.lagAt = lag, now
 	if !lagging {
 		u.lagRejections = 0
 		return
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -76,10 +76,10 @@
 
 // Update applies the current members, the share of each that an instance in the given data centre
 // may use, and their network distance from there.
-func (u *Upstreams) Update(snap *topology.Snapshot, placed *Placed, dataCentre string) {
+func (u *Upstreams) Update(snap *topology.Snapshot, placement *Placed, dataCentre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.snap, u.placement, u.dataCentre = snap, placed, dataCentre
+	u.snap, u.placement, u.dataCentre = snap, placement, dataCentre
 	for id, upstream := range u.members {
 		current, ok := snap.Member(id)
 		if !ok || current.Address != upstream.address || current.Born != upstream.born {
@@ -89,7 +89,7 @@
 		}
 		u.configure(upstream, current)
 	}
-	for _, name := range placed.Carried() {
+	for _, name := range placement.Carried() {
 		for _, m := range snap.MembersOf(name) {
 			if u.members[m.ID] == nil {
 				u.add(m)
@@ -100,7 +100,7 @@
 
 // add creates the state of a member. The caller holds mu.
 func (u *Upstreams) add(m topology.Member) *upstreamState {
-	upstream := u.newUpstream(m)
+	upstream := u.newUpstreamState(m)
 	u.members[m.ID] = upstream
 	u.configure(upstream, m)
 	return upstream
@@ -119,7 +119,7 @@
 	upstream.distance = u.localities.Distance(m.DataCentre, u.dataCentre)
 }
 
-func (u *Upstreams) newUpstream(m topology.Member) *upstreamState {
+func (u *Upstreams) newUpstreamState(m topology.Member) *upstreamState {
 	upstream := &upstreamState{id: m.ID, group: m.Group, address: m.Address, born: m.Born, draining: m.Draining, lag: -1, createdAt: u.now()}
 	cfg := connpool.Config{
 		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, Patient: true},
@@ -179,7 +179,7 @@
 }
 
 // Locate sets the region of each data centre. It must be called before the first Update.
-func (u *Upstreams) Locate(places locality.Map) { u.localities = places }
+func (u *Upstreams) Locate(localities locality.Map) { u.localities = localities }
 
 // Doubtful reports whether a request to the member since its last answer got no answer.
 func (u *Upstreams) Doubtful(id string) bool {
@@ -252,7 +252,7 @@
 	defer u.mu.Unlock()
 	for id, upstream := range u.members {
 		upstream.mu.Lock()
-		stats, behind, share, distance, failing, allowed := upstream.recentStats, upstream.lag, upstream.throttle.Share(), upstream.distance, upstream.failureRate.Part(), upstream.activeAllowed
+		stats, lag, share, distance, failing, allowed := upstream.recentStats, upstream.lag, upstream.throttle.Share(), upstream.distance, upstream.failureRate.Part(), upstream.activeAllowed
 		upstream.recentStats = attemptStats{}
 		upstream.mu.Unlock()
 		if stats == (attemptStats{}) {
@@ -263,7 +263,7 @@
 			"waiting_by_priority": queue.perPriority(waitingNow), "overtook": queue.perPriority(overtook), "overdue": queue.perPriority(overdue),
 			"group": upstream.group, "member": id, "distance": distance.String(), "answered": stats.answered, "lagging": stats.lagging,
 			"unheard": stats.unanswered, "mean_ms": (stats.totalTime / time.Duration(max(1, stats.answered))).Milliseconds(),
-			"longest_ms": stats.longestTime.Milliseconds(), "behind_ms": behind.Milliseconds(),
+			"longest_ms": stats.longestTime.Milliseconds(), "behind_ms": lag.Milliseconds(),
 			"share": math.Round(100*share) / 100, "may_run": allowed, "failing": math.Round(100*failing) / 100, "connections": upstream.pool.Open(), "in_use": upstream.pool.InUse(), "waiting": upstream.pool.Waiting(),
 		}).Info("relay: a member since the last report")
 	}
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -33,7 +33,7 @@
 // verificationRound asks the members of a group for their status. All answers that arrived before
 // it began share its result.
 type verificationRound struct {
-	authority        lead.Authority
+	primaryRef       lead.Authority
 	done             chan struct{} // closed when the round has ended
 	askPrimary       bool          // the primary is asked too, because an answer to a read waits; guarded by the group's mu until the round begins
 	noNewerPrimary   bool          // no other member is primary; valid once done is closed
@@ -71,14 +71,14 @@
 // might be primary. For a read it asks the primary as well: a primary that has stepped down refuses
 // writes, but goes on serving reads while a member unknown to this instance is primary. verify
 // returns false when ctx ends.
-func (r *Relay) verify(ctx context.Context, g *groupState, primary lead.Authority, reads bool) bool {
+func (r *Relay) verify(ctx context.Context, g *groupState, ref lead.Authority, reads bool) bool {
 	g.mu.Lock()
 	pending := g.verifier.next
 	if pending == nil {
-		pending = &verificationRound{authority: primary, done: make(chan struct{})}
+		pending = &verificationRound{primaryRef: ref, done: make(chan struct{})}
 		g.verifier.next = pending
 	}
-	if pending.authority != primary {
+	if pending.primaryRef != ref {
 		g.mu.Unlock()
 		return false // the primary has been replaced, or was a different one for the pending round
 	}
@@ -128,22 +128,22 @@
 
 // askMembers asks all members concurrently, the primary only when an answer to a read waits.
 func (r *Relay) askMembers(round *verificationRound, group string) {
-	primary, snap := round.authority, r.snapshot()
+	ref, snap := round.primaryRef, r.snapshot()
 	if len(snap.DepartedFrom(group)) > 0 {
 		return // a member whose entry is gone may have returned and been promoted, and cannot be asked
 	}
 	var asked sync.WaitGroup
 	replies := make(map[string]*bool) // by member; each is written by the goroutine that asks it
 	for _, m := range snap.MembersOf(group) {
-		if m.ID == primary.Primary {
+		if m.ID == ref.Primary {
 			continue
 		}
 		reply := new(bool)
 		replies[m.ID] = reply
-		asked.Go(func() { *reply = r.confirmsFollower(m, primary) })
+		asked.Go(func() { *reply = r.confirmsFollower(m, ref) })
 	}
 	if round.askPrimary {
-		asked.Go(func() { round.primaryConfirmed = r.confirmsPrimary(primary) })
+		asked.Go(func() { round.primaryConfirmed = r.confirmsPrimary(ref) })
 	}
 	asked.Wait()
 	round.noNewerPrimary = true
@@ -152,25 +152,25 @@
 	}
 }
 
-// confirmsPrimary reports whether the primary confirms that it is primary in the term of a.
-func (r *Relay) confirmsPrimary(primary lead.Authority) bool {
-	status, err := r.upstreams.status(primary.Primary, verifyTimeout)
-	if err == nil && status.Primary && status.Term == primary.Term {
+// confirmsPrimary reports whether the primary confirms that it is primary in the term of ref.
+func (r *Relay) confirmsPrimary(ref lead.Authority) bool {
+	status, err := r.upstreams.status(ref.Primary, verifyTimeout)
+	if err == nil && status.Primary && status.Term == ref.Term {
 		return true
 	}
-	if suppressed, ok := r.logSampler.Allow("verify" + primary.Primary); ok {
+	if suppressed, ok := r.logSampler.Allow("verify" + ref.Primary); ok {
 		r.log.WithError(err).WithFields(logrus.Fields{
-			"primary": primary.Primary, "term": primary.Term, "record": primary.Revision, "leads": status.Primary, "its_term": status.Term, "left_out": suppressed,
+			"primary": ref.Primary, "term": ref.Term, "record": ref.Revision, "leads": status.Primary, "its_term": status.Term, "left_out": suppressed,
 		}).Info("relay: the grant is not confirmed, and the primary does not confirm its role; reads from it are not passed on")
 	}
 	return false
 }
 
 // confirmsFollower reports whether a member confirms that it is not primary, and knows no newer
-// term than that of a.
-func (r *Relay) confirmsFollower(m topology.Member, primary lead.Authority) bool {
+// term than that of ref.
+func (r *Relay) confirmsFollower(m topology.Member, ref lead.Authority) bool {
 	entry := func() *logrus.Entry {
-		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": primary.Primary, "term": primary.Term, "record": primary.Revision})
+		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": ref.Primary, "term": ref.Term, "record": ref.Revision})
 	}
 	status, err := r.upstreams.status(m.ID, verifyTimeout)
 	switch {
@@ -179,7 +179,7 @@
 			entry().WithError(err).WithField("left_out", suppressed).Info("relay: the grant is not confirmed, and a member that might lead does not answer")
 		}
 		return false
-	case status.Primary || status.Term > primary.Term:
+	case status.Primary || status.Term > ref.Term:
 		if suppressed, ok := r.logSampler.Allow("verify" + m.ID); ok {
 			entry().WithFields(logrus.Fields{"leads": status.Primary, "its_term": status.Term, "left_out": suppressed}).
 				Info("relay: the grant is not confirmed, and another member is primary or knows a newer term")
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -120,7 +120,8 @@
 	must.False(t, b.relay.verify(t.Context(), g, a, false))
 }
 
-// A saturated primary counts as alone when no replica has served a read for a while.
+// A primary counts as overloaded without replicas when it is saturated and no replica has served a read
+// for a while.
 func TestOverloadedWithoutReplicas(t *testing.T) {
 	b := newFixture(t)
 	upstreams := b.relay.upstreams
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -22,23 +22,23 @@
 
 // recordDuration records how long a member took for a statement of a class, and returns the class's
 // typical duration, 0 while that is not known.
-func (g *groupState) recordDuration(kind statementClass, d time.Duration) time.Duration {
+func (g *groupState) recordDuration(class statementClass, d time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	baseline := g.baselines[kind]
+	baseline := g.baselines[class]
 	if baseline == nil {
 		baseline = &pacing.Work{}
-		g.baselines[kind] = baseline
+		g.baselines[class] = baseline
 	}
 	baseline.Took(d)
 	return baseline.Usual()
 }
 
 // typicalDuration returns the typical duration of a class, 0 while it is not known.
-func (g *groupState) typicalDuration(kind statementClass) time.Duration {
+func (g *groupState) typicalDuration(class statementClass) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if baseline := g.baselines[kind]; baseline != nil {
+	if baseline := g.baselines[class]; baseline != nil {
 		return baseline.Usual()
 	}
 	return 0
