--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -49,7 +49,7 @@
 	close(c.closed)
 }
 
-func (c *fakeClient) Start() (Start, error) { return c.start, nil }
+func (c *fakeClient) ReadStartup() (Start, error) { return c.start, nil }
 
 func (c *fakeClient) Accept() error { return nil }
 
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -24,8 +24,8 @@
 
 // Caller is the connection of one client; implementations speak a particular protocol.
 type Caller interface {
-	// Start reads the startup request.
-	Start() (Start, error)
+	// ReadStartup reads the startup request.
+	ReadStartup() (Start, error)
 	// Accept tells the client that its session has begun.
 	Accept() error
 	// Next reads the next statement. It returns io.EOF when the client closed the connection in an
@@ -39,7 +39,7 @@
 	// Quiet reports whether no unread input from the client is pending.
 	Quiet() bool
 	// Gone reports whether the client has closed the connection and no input is left to read. It
-	// consumes no input, and may be called concurrently with all methods but Start and Next.
+	// consumes no input, and may be called concurrently with all methods but ReadStartup and Next.
 	Gone() bool
 	// SetReadDeadline sets the deadline of Next.
 	SetReadDeadline(t time.Time) error
@@ -143,7 +143,7 @@
 	if c.conn.SetReadDeadline(time.Now().Add(startupTimeout)) != nil {
 		return false
 	}
-	startup, err := c.conn.Start()
+	startup, err := c.conn.ReadStartup()
 	var refusal *statement.Error
 	switch {
 	case errors.As(err, &refusal):
