--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -51,7 +51,7 @@
 
 func (c *fakeClient) ReadStartup() (Start, error) { return c.start, nil }
 
-func (c *fakeClient) Accept() error { return nil }
+func (c *fakeClient) ConfirmStartup() error { return nil }
 
 func (c *fakeClient) Next() (statement.Statement, error) {
 	select {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -26,8 +26,8 @@
 type Caller interface {
 	// ReadStartup reads the startup request.
 	ReadStartup() (Start, error)
-	// Accept tells the client that its session has begun.
-	Accept() error
+	// ConfirmStartup tells the client that its session has begun.
+	ConfirmStartup() error
 	// Next reads the next statement. It returns io.EOF when the client closed the connection in an
 	// orderly way. A *statement.Error is a protocol error by the client: if the statement's ID is
 	// known the error is sent as its answer, otherwise the connection is closed.
@@ -160,7 +160,7 @@
 	c.server.mu.Lock()
 	c.server.clients[c] = struct{}{}
 	c.server.mu.Unlock()
-	return c.conn.Accept() == nil
+	return c.conn.ConfirmStartup() == nil
 }
 
 func (c *clientHandler) endSession() {
