--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -53,7 +53,7 @@
 
 func (c *fakeClient) ConfirmStartup() error { return nil }
 
-func (c *fakeClient) Next() (statement.Statement, error) {
+func (c *fakeClient) ReadStatement() (statement.Statement, error) {
 	select {
 	case <-c.closed:
 		return statement.Statement{}, io.EOF
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -28,10 +28,10 @@
 	ReadStartup() (Start, error)
 	// ConfirmStartup tells the client that its session has begun.
 	ConfirmStartup() error
-	// Next reads the next statement. It returns io.EOF when the client closed the connection in an
+	// ReadStatement reads the next statement. It returns io.EOF when the client closed the connection in an
 	// orderly way. A *statement.Error is a protocol error by the client: if the statement's ID is
 	// known the error is sent as its answer, otherwise the connection is closed.
-	Next() (statement.Statement, error)
+	ReadStatement() (statement.Statement, error)
 	// Answer sends a complete answer.
 	Answer(a statement.Answer) error
 	// Refuse sends an error; the connection is closed afterwards.
@@ -39,9 +39,9 @@
 	// Quiet reports whether no unread input from the client is pending.
 	Quiet() bool
 	// Gone reports whether the client has closed the connection and no input is left to read. It
-	// consumes no input, and may be called concurrently with all methods but ReadStartup and Next.
+	// consumes no input, and may be called concurrently with all methods but ReadStartup and ReadStatement.
 	Gone() bool
-	// SetReadDeadline sets the deadline of Next.
+	// SetReadDeadline sets the deadline of ReadStatement.
 	SetReadDeadline(t time.Time) error
 	// Close closes the connection.
 	Close() error
@@ -175,7 +175,7 @@
 	if !c.setReadDeadline() {
 		return false
 	}
-	st, err := c.conn.Next()
+	st, err := c.conn.ReadStatement()
 	arrived := c.server.relay.now()
 	var protocolErr *statement.Error
 	switch {
