--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func (c *fakeClient) Answer(a statement.Answer) error {
+func (c *fakeClient) SendAnswer(a statement.Answer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answers = append(c.answers, a)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -32,8 +32,8 @@
 	// orderly way. A *statement.Error is a protocol error by the client: if the statement's ID is
 	// known the error is sent as its answer, otherwise the connection is closed.
 	ReadStatement() (statement.Statement, error)
-	// Answer sends a complete answer.
-	Answer(a statement.Answer) error
+	// SendAnswer sends a complete answer.
+	SendAnswer(a statement.Answer) error
 	// Refuse sends an error; the connection is closed afterwards.
 	Refuse(e *statement.Error) error
 	// Quiet reports whether no unread input from the client is pending.
@@ -218,7 +218,7 @@
 	relay.failureLog.add(cause, st.ID)
 }
 
-func (c *clientHandler) sendAnswer(a statement.Answer) bool { return c.conn.Answer(a) == nil }
+func (c *clientHandler) sendAnswer(a statement.Answer) bool { return c.conn.SendAnswer(a) == nil }
 
 // setReadDeadline sets the deadline for the next statement. It reports false when the session is to
 // end.
