--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (c *fakeClient) Refuse(*statement.Error) error { return nil }
+func (c *fakeClient) SendRefusal(*statement.Error) error { return nil }
 
 func (c *fakeClient) Quiet() bool { return true }
 
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -34,8 +34,8 @@
 	ReadStatement() (statement.Statement, error)
 	// SendAnswer sends a complete answer.
 	SendAnswer(a statement.Answer) error
-	// Refuse sends an error; the connection is closed afterwards.
-	Refuse(e *statement.Error) error
+	// SendRefusal sends an error; the connection is closed afterwards.
+	SendRefusal(e *statement.Error) error
 	// Quiet reports whether no unread input from the client is pending.
 	Quiet() bool
 	// Gone reports whether the client has closed the connection and no input is left to read. It
@@ -120,7 +120,7 @@
 	if err := s.pool.Submit(handler.serve); err != nil {
 		// Refused without waiting for the startup request, so that the client can connect to
 		// another instance at once.
-		_ = handler.conn.Refuse(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: defaultRetryAfter})
+		_ = handler.conn.SendRefusal(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: defaultRetryAfter})
 		_ = handler.conn.Close()
 	}
 }
@@ -153,7 +153,7 @@
 		_, _, refusal = relay.admit(startup)
 	}
 	if refusal != nil {
-		_ = c.conn.Refuse(refusal)
+		_ = c.conn.SendRefusal(refusal)
 		return false
 	}
 	c.session = newSession(relay, startup)
@@ -182,7 +182,7 @@
 	case errors.As(err, &protocolErr) && st.ID != "":
 		return c.sendAnswer(statement.Answer{State: c.session.state, Err: protocolErr})
 	case errors.As(err, &protocolErr):
-		_ = c.conn.Refuse(protocolErr)
+		_ = c.conn.SendRefusal(protocolErr)
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return c.handleIdleTimeout()
