--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -71,7 +71,7 @@
 
 func (c *fakeClient) SendRefusal(*statement.Error) error { return nil }
 
-func (c *fakeClient) Quiet() bool { return true }
+func (c *fakeClient) InputEmpty() bool { return true }
 
 func (c *fakeClient) Gone() bool { return c.gone.Load() }
 
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -36,8 +36,8 @@
 	SendAnswer(a statement.Answer) error
 	// SendRefusal sends an error; the connection is closed afterwards.
 	SendRefusal(e *statement.Error) error
-	// Quiet reports whether no unread input from the client is pending.
-	Quiet() bool
+	// InputEmpty reports whether no unread input from the client is pending.
+	InputEmpty() bool
 	// Gone reports whether the client has closed the connection and no input is left to read. It
 	// consumes no input, and may be called concurrently with all methods but ReadStartup and ReadStatement.
 	Gone() bool
@@ -226,7 +226,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	draining := c.server.isDraining()
-	if draining && !c.inTx && c.conn.Quiet() {
+	if draining && !c.inTx && c.conn.InputEmpty() {
 		return false
 	}
 	var deadline time.Time
