--- a/internal/relay/disconnect.go
+++ b/internal/relay/disconnect.go
@@ -46,7 +46,7 @@
 	defer w.mu.Unlock()
 	switch {
 	case w.conn == nil:
-	case w.conn.Gone():
+	case w.conn.PeerClosed():
 		w.cancel()
 	default:
 		w.timer.Reset(disconnectPollInterval)
--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -73,7 +73,7 @@
 
 func (c *fakeClient) InputEmpty() bool { return true }
 
-func (c *fakeClient) Gone() bool { return c.gone.Load() }
+func (c *fakeClient) PeerClosed() bool { return c.gone.Load() }
 
 func (c *fakeClient) SetReadDeadline(time.Time) error { return nil }
 
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -38,9 +38,9 @@
 	SendRefusal(e *statement.Error) error
 	// InputEmpty reports whether no unread input from the client is pending.
 	InputEmpty() bool
-	// Gone reports whether the client has closed the connection and no input is left to read. It
+	// PeerClosed reports whether the client has closed the connection and no input is left to read. It
 	// consumes no input, and may be called concurrently with all methods but ReadStartup and ReadStatement.
-	Gone() bool
+	PeerClosed() bool
 	// SetReadDeadline sets the deadline of ReadStatement.
 	SetReadDeadline(t time.Time) error
 	// Close closes the connection.
