--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -98,7 +98,7 @@
 		Promoter: platform.NewPromoter(s.Fleet.Promoter),
 		Dialer:   platform.MemberDialer{},
 		Decoder:  platform.Decoder{},
-		Caller:   func(conn net.Conn) relay.Caller { return platform.NewCallerConn(conn) },
+		Caller:   func(conn net.Conn) relay.ClientConn { return platform.NewCallerConn(conn) },
 		Ready:    platform.ReadyHandler,
 	}
 }
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -130,7 +130,7 @@
 		Grace: 6 * time.Second, LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxCallers: 100,
 	}, Platform{
 		Store: client, Promoter: f.group, Dialer: f.group, Decoder: f.decoder,
-		Caller: func(conn net.Conn) relay.Caller { return platform.NewCallerConn(conn) },
+		Caller: func(conn net.Conn) relay.ClientConn { return platform.NewCallerConn(conn) },
 		Ready:  func(ready func() bool) http.Handler { return http.NotFoundHandler() },
 	}, log)
 	must.NoError(f.t, err)
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -54,7 +54,7 @@
 	Promoter lead.Promoter
 	Dialer   member.Dialer
 	Decoder  Decoder
-	Caller   func(net.Conn) relay.Caller
+	Caller   func(net.Conn) relay.ClientConn
 	// Ready returns the handler that tells the platform whether the instance
 	// takes callers.
 	Ready func(ready func() bool) http.Handler
--- a/internal/relay/disconnect.go
+++ b/internal/relay/disconnect.go
@@ -18,7 +18,7 @@
 	timer *time.Timer
 
 	mu     sync.Mutex // guards the fields below
-	conn   Caller     // nil: the statement has ended
+	conn   ClientConn // nil: the statement has ended
 	cancel context.CancelFunc
 }
 
@@ -27,7 +27,7 @@
 
 // watchDisconnect returns a context that is cancelled when a client disconnects. end must be called
 // when the statement has ended.
-func watchDisconnect(conn Caller) (ctx context.Context, end func()) {
+func watchDisconnect(conn ClientConn) (ctx context.Context, end func()) {
 	w := disconnectWatchPool.Get().(*disconnectWatch)
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -34,7 +34,7 @@
 	for _, st := range statements {
 		c.queue <- st
 	}
-	server, err := NewServer(b.relay, func(net.Conn) Caller { return c }, 1)
+	server, err := NewServer(b.relay, func(net.Conn) ClientConn { return c }, 1)
 	must.NoError(t, err)
 	ended := make(chan struct{})
 	go func() {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -22,8 +22,8 @@
 	Key      account.Key // identifies the client's account
 }
 
-// Caller is the connection of one client; implementations speak a particular protocol.
-type Caller interface {
+// ClientConn is the connection of one client; implementations speak a particular protocol.
+type ClientConn interface {
 	// ReadStartup reads the startup request.
 	ReadStartup() (Start, error)
 	// ConfirmStartup tells the client that its session has begun.
@@ -61,7 +61,7 @@
 // Server accepts client connections and serves their statements.
 type Server struct {
 	relay         *Relay
-	newClientConn func(net.Conn) Caller
+	newClientConn func(net.Conn) ClientConn
 	pool          *ants.Pool
 
 	mu       sync.Mutex // guards the fields below
@@ -73,7 +73,7 @@
 // clientHandler serves the connection of one client.
 type clientHandler struct {
 	server  *Server
-	conn    Caller
+	conn    ClientConn
 	session *session
 
 	mu   sync.Mutex // guards the fields below
@@ -82,7 +82,7 @@
 }
 
 // NewServer returns a server for at most maxClients concurrent clients.
-func NewServer(relay *Relay, newClientConn func(net.Conn) Caller, maxClients int) (*Server, error) {
+func NewServer(relay *Relay, newClientConn func(net.Conn) ClientConn, maxClients int) (*Server, error) {
 	pool, err := ants.NewPool(maxClients, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, fmt.Errorf("client pool: %w", err)
