--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -18,7 +18,7 @@
 // and the client's account, or the refusal.
 //
 // The database is checked before the key, because the route determines whether a key is needed.
-func (r *Relay) admit(startup Start) (topology.Route, string, *statement.Error) {
+func (r *Relay) admit(startup StartupRequest) (topology.Route, string, *statement.Error) {
 	snap := r.snapshot()
 	if snap.Version == 0 {
 		return topology.Route{}, "", &statement.Error{Code: statement.Busy, Detail: "no configuration is known yet", RetryAfter: defaultRetryAfter}
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -44,23 +44,23 @@
 	b.snap = snap
 }
 
-func withKey(database, name string) Start {
-	return Start{Database: database, Key: account.NewKey("key-" + name)}
+func withKey(database, name string) StartupRequest {
+	return StartupRequest{Database: database, Key: account.NewKey("key-" + name)}
 }
 
 func TestAdmit(t *testing.T) {
 	b := newFixture(t)
 	b.declareAccounts(2, "a", "b")
 	for name, c := range map[string]struct {
-		start   Start
+		start   StartupRequest
 		current bool
 		account string
 		code    statement.Code
 	}{
 		"a key of an account":         {withKey("strict", "a"), true, "a", 0},
 		"an unknown key":              {withKey("strict", "c"), true, "", statement.Unauthenticated},
-		"no key":                      {Start{Database: "strict"}, true, "", statement.Unauthenticated},
-		"no key on a public route":    {Start{Database: "open"}, true, account.Anonymous, 0},
+		"no key":                      {StartupRequest{Database: "strict"}, true, "", statement.Unauthenticated},
+		"no key on a public route":    {StartupRequest{Database: "open"}, true, account.Anonymous, 0},
 		"a key on a public route":     {withKey("open", "a"), true, account.Anonymous, 0},
 		"no route":                    {withKey("none", "a"), true, "", statement.NoDatabase},
 		"no route and an unknown key": {withKey("none", "c"), true, "", statement.NoDatabase},
@@ -223,8 +223,8 @@
 // earlier process, such as its log position or its prepared statements, is kept.
 func TestRestartedMemberGetsNewState(t *testing.T) {
 	b := newFixture(t)
-	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
-	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
+	must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "bounded"}), statement.Read, "READ 1").Err)
+	must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "bounded"}), statement.Read, "READ 1").Err)
 	before := b.relay.upstreams.get("m2")
 	must.Eq(t, 1, before.pool.Open())
 	state := topology.New(0, 0)
--- a/internal/relay/candidates_test.go
+++ b/internal/relay/candidates_test.go
@@ -28,7 +28,7 @@
 	b.relay.upstreams.Locate(b.relay.localities)
 	b.relay.upstreams.Update(snap, placedFor(snap, 1), "a")
 	a := &attempt{
-		session: newSession(b.relay, Start{Database: "bounded"}), route: snap.Databases["bounded"],
+		session: newSession(b.relay, StartupRequest{Database: "bounded"}), route: snap.Databases["bounded"],
 		group: b.relay.upstreams.group("g"), guard: b.guard, arrived: b.relay.now(), deadline: b.relay.now() + generous, reads: true,
 	}
 	byID := make(map[string]routing.Candidate)
@@ -53,7 +53,7 @@
 		bad.recordAnswer(0, 0, bad.position)
 	}
 	a := &attempt{
-		session: newSession(b.relay, Start{Database: "bounded"}), route: b.snap.Databases["bounded"],
+		session: newSession(b.relay, StartupRequest{Database: "bounded"}), route: b.snap.Databases["bounded"],
 		group: b.relay.upstreams.group("g"), guard: b.guard,
 	}
 	const choices = 200
--- a/internal/relay/carrier.go
+++ b/internal/relay/carrier.go
@@ -84,7 +84,7 @@
 		if c.isStopping() || !c.relay.canRunForwarded(req.Database) {
 			return &relaypb.CarryReply{Stopping: true}
 		}
-		forwarded.session = newSession(c.relay, Start{Database: req.Database})
+		forwarded.session = newSession(c.relay, StartupRequest{Database: req.Database})
 		forwarded.session.forwarded = true
 		forwarded.session.account = req.Account
 		forwarded.session.floor = decodePosition(req.Floor)
--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -18,7 +18,7 @@
 // fakeClient is a ClientConn that sends statements, each after the answer to the one before, and
 // disconnects when the test calls disconnect.
 type fakeClient struct {
-	start  Start
+	start  StartupRequest
 	queue  chan statement.Statement
 	gone   atomic.Bool
 	closed chan struct{}
@@ -28,7 +28,7 @@
 }
 
 // connect serves a client. done is closed when its session has ended.
-func (b *fixture) connect(t *testing.T, start Start, statements ...statement.Statement) (c *fakeClient, done <-chan struct{}) {
+func (b *fixture) connect(t *testing.T, start StartupRequest, statements ...statement.Statement) (c *fakeClient, done <-chan struct{}) {
 	t.Helper()
 	c = &fakeClient{start: start, queue: make(chan statement.Statement, len(statements)), closed: make(chan struct{})}
 	for _, st := range statements {
@@ -49,7 +49,7 @@
 	close(c.closed)
 }
 
-func (c *fakeClient) ReadStartup() (Start, error) { return c.start, nil }
+func (c *fakeClient) ReadStartup() (StartupRequest, error) { return c.start, nil }
 
 func (c *fakeClient) ConfirmStartup() error { return nil }
 
@@ -106,11 +106,11 @@
 	upstream := b.relay.upstreams.get("m1")
 	upstream.pool.SetCapacity(1)
 	upstream.pool.SetMaxActive(1)
-	first, firstEnded := b.connect(t, Start{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
+	first, firstEnded := b.connect(t, StartupRequest{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
 	<-reached
 	limiter := newRecordingLimiter()
 	b.relay.limiter = limiter
-	c, ended := b.connect(t, Start{Database: "strict"}, write)
+	c, ended := b.connect(t, StartupRequest{Database: "strict"}, write)
 	<-limiter.used
 	awaitWaiting(upstream, 1)
 	c.disconnect()
@@ -136,7 +136,7 @@
 	must.NoError(t, b.guard.Release(t.Context(), 2, 0))
 	limiter := newRecordingLimiter()
 	b.relay.limiter = limiter
-	c, ended := b.connect(t, Start{Database: "strict"}, write)
+	c, ended := b.connect(t, StartupRequest{Database: "strict"}, write)
 	<-limiter.used
 	c.disconnect()
 	<-ended
@@ -152,12 +152,12 @@
 	upstream := b.relay.upstreams.get("m1")
 	upstream.pool.SetCapacity(1)
 	upstream.pool.SetMaxActive(1)
-	first, firstEnded := b.connect(t, Start{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
+	first, firstEnded := b.connect(t, StartupRequest{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
 	<-reached
 	limiter := newRecordingLimiter()
 	b.relay.limiter = limiter
 	ingress := &fixture{relay: newIngress(t, b)}
-	c, ended := ingress.connect(t, Start{Database: "strict"}, write)
+	c, ended := ingress.connect(t, StartupRequest{Database: "strict"}, write)
 	<-limiter.used
 	awaitWaiting(upstream, 1)
 	c.disconnect()
@@ -188,7 +188,7 @@
 		if forwarded {
 			ingress = &fixture{relay: newIngress(t, b)}
 		}
-		c, ended := ingress.connect(t, Start{Database: "strict"}, write)
+		c, ended := ingress.connect(t, StartupRequest{Database: "strict"}, write)
 		<-reached
 		c.disconnect()
 		if forwarded {
@@ -216,7 +216,7 @@
 			ingress = &fixture{relay: newIngress(t, b)}
 		}
 		begin := statement.Statement{ID: "b", Kind: statement.Begin, Text: "BEGIN"}
-		c, ended := ingress.connect(t, Start{Database: "strict"}, begin)
+		c, ended := ingress.connect(t, StartupRequest{Database: "strict"}, begin)
 		for len(c.receivedAnswers()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/relay/queueing_test.go
+++ b/internal/relay/queueing_test.go
@@ -57,7 +57,7 @@
 	const waiting, work = 20, 100 * time.Millisecond
 	learnDuration(b, "hurried", work)
 	fillSlots(t, b, waiting, work)
-	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Write, "WRITE 1 x")
+	a := b.run(newSession(b.relay, StartupRequest{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Eq(t, 1, refusals(b, "late"))
 	slots := b.relay.upstreams.get("m1").pool.Backlog(0).Slots
@@ -75,7 +75,7 @@
 	leases := fillSlots(t, b, 0, 0)
 	answered := make(chan statement.Answer, 1)
 	go func() {
-		answered <- b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 1 x")
+		answered <- b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 1 x")
 	}()
 	awaitWaiting(b.relay.upstreams.get("m1"), 1)
 	time.Sleep(5 * route.LatencyObjective)
@@ -90,13 +90,13 @@
 func TestStatementsDuringChangeOfPrimary(t *testing.T) {
 	b := newFixture(t)
 	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
-	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Write, "WRITE 1 x")
+	a := b.run(newSession(b.relay, StartupRequest{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Eq(t, 1, refusals(b, "no_primary"))
 	must.Positive(t, a.Err.RetryAfter)
 	answered := make(chan statement.Answer, 1)
 	go func() {
-		answered <- b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x")
+		answered <- b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x")
 	}()
 	time.Sleep(5 * retryDelay)
 	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
@@ -177,7 +177,7 @@
 	route := b.snap.Databases["strict"]
 	route.LatencyObjective = time.Second
 	write := statement.Statement{ID: "x", Kind: statement.Write, Text: "WRITE 1 x"}
-	s := newSession(b.relay, Start{Database: "strict"})
+	s := newSession(b.relay, StartupRequest{Database: "strict"})
 	for n := range 3 {
 		a := s.forward(t.Context(), write, route, []lead.Instance{first, second}, b.relay.now())
 		must.Nil(t, a.Err, must.Sprint(n))
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,8 +16,8 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// Start is what a client asks for when its session begins.
-type Start struct {
+// StartupRequest is what a client asks for when its session begins.
+type StartupRequest struct {
 	Database string
 	Key      account.Key // identifies the client's account
 }
@@ -25,7 +25,7 @@
 // ClientConn is the connection of one client; implementations speak a particular protocol.
 type ClientConn interface {
 	// ReadStartup reads the startup request.
-	ReadStartup() (Start, error)
+	ReadStartup() (StartupRequest, error)
 	// ConfirmStartup tells the client that its session has begun.
 	ConfirmStartup() error
 	// ReadStatement reads the next statement. It returns io.EOF when the client closed the connection in an
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -21,7 +21,7 @@
 // session is the state of one client's session. It is used by one goroutine.
 type session struct {
 	relay       *Relay
-	startup     Start
+	startup     StartupRequest
 	account     string // client account of a forwarded statement, as the ingress instance identified it
 	variables   map[string]string
 	prepared    map[string]preparedStatement
@@ -46,7 +46,7 @@
 	wrote    bool
 }
 
-func newSession(r *Relay, startup Start) *session {
+func newSession(r *Relay, startup StartupRequest) *session {
 	return &session{
 		relay:     r,
 		startup:   startup,
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -85,7 +85,7 @@
 
 func TestIdleTransactionIsRolledBack(t *testing.T) {
 	b := newFixture(t)
-	s := newSession(b.relay, Start{Database: "strict"})
+	s := newSession(b.relay, StartupRequest{Database: "strict"})
 	must.Eq(t, statement.InTransaction, b.run(s, statement.Begin, "BEGIN").State)
 	must.Eq(t, statement.InTransaction, b.run(s, statement.Write, "WRITE 1 x").State)
 	s.abandonTx("the transaction rested for too long")
@@ -101,7 +101,7 @@
 // nothing of it is in progress.
 func TestReleaseEndsOpenTransactions(t *testing.T) {
 	b := newFixture(t)
-	s := newSession(b.relay, Start{Database: "strict"})
+	s := newSession(b.relay, StartupRequest{Database: "strict"})
 	b.run(s, statement.Begin, "BEGIN")
 	b.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
@@ -113,7 +113,7 @@
 	must.Eq(t, statement.Aborted, a.Err.Code)
 	must.NoError(t, <-released)
 	must.SliceEmpty(t, b.group.Log())
-	h := newSession(b.relay, Start{Database: "hurried"})
+	h := newSession(b.relay, StartupRequest{Database: "hurried"})
 	a = b.run(h, statement.Write, "WRITE 2 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Positive(t, a.Err.RetryAfter)
@@ -123,7 +123,7 @@
 // A release waits for an open transaction that ends in time, so that its commit is acknowledged.
 func TestReleaseWaitsForOpenTransaction(t *testing.T) {
 	b := newFixture(t)
-	s := newSession(b.relay, Start{Database: "strict"})
+	s := newSession(b.relay, StartupRequest{Database: "strict"})
 	b.run(s, statement.Begin, "BEGIN")
 	b.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
@@ -141,7 +141,7 @@
 
 func TestBoundedReadsUseReplicasAfterFirstSample(t *testing.T) {
 	b := newFixture(t)
-	s := newSession(b.relay, Start{Database: "bounded"})
+	s := newSession(b.relay, StartupRequest{Database: "bounded"})
 	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
 	must.Eq(t, "m2.x", b.run(s, statement.Read, "READ 1").Receipt)
 	b.group.SetReach("m2", membergroup.Dead)
@@ -178,7 +178,7 @@
 			b.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1+n%3), "")
 		}
 	}()
-	s := newSession(b.relay, Start{Database: "bounded"})
+	s := newSession(b.relay, StartupRequest{Database: "bounded"})
 	for {
 		must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
 		select {
--- a/internal/relay/unresponsive_test.go
+++ b/internal/relay/unresponsive_test.go
@@ -10,7 +10,7 @@
 
 // openTwoConns opens two connections to the primary and leaves them idle.
 func openTwoConns(t *testing.T, b *fixture) {
-	s, other := newSession(b.relay, Start{Database: "strict"}), newSession(b.relay, Start{Database: "strict"})
+	s, other := newSession(b.relay, StartupRequest{Database: "strict"}), newSession(b.relay, StartupRequest{Database: "strict"})
 	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
 	must.Nil(t, b.run(other, statement.Begin, "BEGIN").Err)
 	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
@@ -24,19 +24,19 @@
 	b := newFixture(t)
 	openTwoConns(t, b)
 	b.group.SilenceOpen("m1")
-	s := newSession(b.relay, Start{Database: "hurried"})
+	s := newSession(b.relay, StartupRequest{Database: "hurried"})
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
 	must.Eq(t, 0, b.relay.upstreams.get("m1").pool.Open())
-	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
+	must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 }
 
 func TestReadOnUnresponsiveConnectionIsRefused(t *testing.T) {
 	b := newFixture(t)
 	openTwoConns(t, b)
 	b.group.SilenceOpen("m1")
-	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Read, "READ 1")
+	a := b.run(newSession(b.relay, StartupRequest{Database: "hurried"}), statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("a read has no effect, so its outcome is not unknown"))
-	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Read, "READ 1").Err)
+	must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Read, "READ 1").Err)
 }
 
 func TestTransactionOnUnresponsiveConnection(t *testing.T) {
@@ -51,7 +51,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFixture(t)
-			s := newSession(b.relay, Start{Database: "hurried"})
+			s := newSession(b.relay, StartupRequest{Database: "hurried"})
 			must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
 			if c.wrote {
 				must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
@@ -60,7 +60,7 @@
 			a := b.run(s, c.kind, "COMMIT")
 			must.Eq(t, c.want, a.Err.Code)
 			must.Eq(t, statement.Idle, a.State)
-			must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
+			must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 		})
 	}
 }
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -26,7 +26,7 @@
 
 func TestUnconfirmedGrantIsVerifiedByTheMembers(t *testing.T) {
 	b := newUnconfirmedFixture(t)
-	s := newSession(b.relay, Start{Database: "strict"})
+	s := newSession(b.relay, StartupRequest{Database: "strict"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
 	must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
 	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
@@ -40,7 +40,7 @@
 // instance doesn't know of. What is read from it must not be passed on.
 func TestUnconfirmedReadNeedsPrimaryConfirmation(t *testing.T) {
 	b := newUnconfirmedFixture(t)
-	s := newSession(b.relay, Start{Database: "hurried"})
+	s := newSession(b.relay, StartupRequest{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
 	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
 	b.stepDown(t, "m1", 2)
@@ -65,7 +65,7 @@
 func TestUnconfirmedGrantNeedsEveryMember(t *testing.T) {
 	b := newUnconfirmedFixture(t)
 	b.group.SetReach("m2", membergroup.Dead)
-	s := newSession(b.relay, Start{Database: "hurried"})
+	s := newSession(b.relay, StartupRequest{Database: "hurried"})
 	a := b.run(s, statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.SliceEmpty(t, b.group.Log())
@@ -75,7 +75,7 @@
 // Answers of the old primary that arrive after another member was promoted must not be passed on.
 func TestUnconfirmedGrantAfterPromotion(t *testing.T) {
 	b := newUnconfirmedFixture(t)
-	s := newSession(b.relay, Start{Database: "hurried"})
+	s := newSession(b.relay, StartupRequest{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
 	b.group.SetReach("m1", membergroup.Silent) // partitioned, so that it doesn't learn of its successor
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
@@ -96,7 +96,7 @@
 	settle := func() outcome {
 		lease, err := upstream.pool.Acquire(t.Context(), pool.Request{Deadline: generous}, nil)
 		must.NoError(t, err)
-		a := &attempt{session: newSession(b.relay, Start{Database: "strict"}), group: b.relay.upstreams.group("g"), guard: b.guard, reads: true}
+		a := &attempt{session: newSession(b.relay, StartupRequest{Database: "strict"}), group: b.relay.upstreams.group("g"), guard: b.guard, reads: true}
 		_, result := a.finish(target{upstream: upstream, permit: permit}, &leasedConn{lease: lease}, statement.Done(statement.Idle))
 		return result
 	}
