--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -335,7 +335,7 @@
 // Stop is the planned stop. It ends by itself within the platform's grace.
 func (i *Instance) Stop() {
 	i.stopping.Store(true)
-	i.part("instance").WithField("callers", i.callers.Callers()).Info("instance: planned stop")
+	i.part("instance").WithField("callers", i.callers.NumClients()).Info("instance: planned stop")
 	half, cancel := context.WithTimeout(context.Background(), i.settings.Grace/2)
 	defer cancel()
 	i.leave(half)
@@ -389,7 +389,7 @@
 	i.set.WritePrometheus(w)
 	i.upstreams.WriteMetrics(w)
 	now := i.now()
-	metrics.WriteGaugeUint64(w, "stackspindle_callers", uint64(i.callers.Callers()))
+	metrics.WriteGaugeUint64(w, "stackspindle_callers", uint64(i.callers.NumClients()))
 	metrics.WriteGaugeUint64(w, "stackspindle_config_version", uint64(i.topology.Load().Version))
 	metrics.WriteGaugeFloat64(w, "stackspindle_store_confirmed_seconds", (now - time.Duration(i.heardAt.Load())).Seconds())
 	metrics.WriteGaugeUint64(w, "stackspindle_registered", boolMetric(i.lease.Load() != 0))
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -264,8 +264,8 @@
 	return s.draining
 }
 
-// Callers returns the number of connected clients.
-func (s *Server) Callers() int {
+// NumClients returns the number of connected clients.
+func (s *Server) NumClients() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)
@@ -282,7 +282,7 @@
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	s.interruptIdle(false)
-	for s.Callers() > 0 {
+	for s.NumClients() > 0 {
 		select {
 		case <-ctx.Done():
 			s.interruptIdle(true)
