--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -345,7 +345,7 @@
 	case <-half.Done():
 	}
 	i.callers.CloseListener()
-	i.callers.Stop(half)
+	i.callers.Drain(half)
 	i.close()
 }
 
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -271,9 +271,9 @@
 	return len(s.clients)
 }
 
-// Stop drains the server. Idle sessions end at once, others after their statement; open
+// Drain drains the server. Idle sessions end at once, others after their statement; open
 // transactions may go on until they end or ctx is done.
-func (s *Server) Stop(ctx context.Context) {
+func (s *Server) Drain(ctx context.Context) {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
