--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,10 +61,10 @@
 
 // Config holds the dependencies of a Relay.
 type Config struct {
-	Started  time.Time     // origin of the relay's timestamps, on the monotonic clock
-	Self     lead.Instance // this instance
-	Places   locality.Map  // the region of each data centre
-	Topology func() *topology.Snapshot
+	Started    time.Time     // origin of the relay's timestamps, on the monotonic clock
+	Self       lead.Instance // this instance
+	Localities locality.Map  // the region of each data centre
+	Topology   func() *topology.Snapshot
 	// Current reports whether the topology was confirmed recently enough to conclude that an entry
 	// missing from it does not exist.
 	Current func() bool
@@ -87,7 +87,7 @@
 // New returns a Relay.
 func New(cfg Config) *Relay {
 	r := &Relay{
-		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Places, topology: cfg.Topology, topologyFresh: cfg.Current, storedRecord: cfg.Known,
+		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Localities, topology: cfg.Topology, topologyFresh: cfg.Current, storedRecord: cfg.Known,
 		limiter: cfg.Limiter, upstreams: cfg.Upstreams, log: cfg.Log, metrics: cfg.Metrics,
 		guards: make(map[string]*lead.Gate),
 	}
