--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -65,9 +65,9 @@
 	Self       lead.Instance // this instance
 	Localities locality.Map  // the region of each data centre
 	Topology   func() *topology.Snapshot
-	// Current reports whether the topology was confirmed recently enough to conclude that an entry
+	// TopologyIsCurrent reports whether the topology was confirmed recently enough to conclude that an entry
 	// missing from it does not exist.
-	Current func() bool
+	TopologyIsCurrent func() bool
 	// Known returns the record of a group as this instance last read it from the store.
 	Known     func(group string) Known
 	Limiter   Limiter // enforces the rate limits of client accounts
@@ -87,7 +87,7 @@
 // New returns a Relay.
 func New(cfg Config) *Relay {
 	r := &Relay{
-		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Localities, topology: cfg.Topology, topologyFresh: cfg.Current, storedRecord: cfg.Known,
+		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Localities, topology: cfg.Topology, topologyFresh: cfg.TopologyIsCurrent, storedRecord: cfg.Known,
 		limiter: cfg.Limiter, upstreams: cfg.Upstreams, log: cfg.Log, metrics: cfg.Metrics,
 		guards: make(map[string]*lead.Gate),
 	}
