--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -200,7 +200,7 @@
 		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.set,
 	})
 	i.relay = relay.New(relay.Config{
-		Started: i.started, Self: i.self, Localities: settings.Places, Topology: i.topology.Load, TopologyIsCurrent: i.current, Known: i.known, Limiter: i.limiter,
+		Started: i.started, Self: i.self, Localities: settings.Places, Topology: i.topology.Load, TopologyIsCurrent: i.current, StoredRecord: i.known, Limiter: i.limiter,
 		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.set,
 	})
 	if i.callers, err = relay.NewServer(i.relay, platform.Caller, settings.MaxCallers); err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -68,13 +68,13 @@
 	// TopologyIsCurrent reports whether the topology was confirmed recently enough to conclude that an entry
 	// missing from it does not exist.
 	TopologyIsCurrent func() bool
-	// Known returns the record of a group as this instance last read it from the store.
-	Known     func(group string) Known
-	Limiter   Limiter // enforces the rate limits of client accounts
-	Upstreams *Upstreams
-	Conns     *peerconn.Conns // connections to other instances
-	Log       *logrus.Entry
-	Metrics   *metrics.Set
+	// StoredRecord returns the record of a group as this instance last read it from the store.
+	StoredRecord func(group string) Known
+	Limiter      Limiter // enforces the rate limits of client accounts
+	Upstreams    *Upstreams
+	Conns        *peerconn.Conns // connections to other instances
+	Log          *logrus.Entry
+	Metrics      *metrics.Set
 }
 
 // Known is a group's record as this instance last read it from the store.
@@ -87,7 +87,7 @@
 // New returns a Relay.
 func New(cfg Config) *Relay {
 	r := &Relay{
-		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Localities, topology: cfg.Topology, topologyFresh: cfg.TopologyIsCurrent, storedRecord: cfg.Known,
+		started: cfg.Started, self: cfg.Self.Name, dataCentre: cfg.Self.DataCentre, localities: cfg.Localities, topology: cfg.Topology, topologyFresh: cfg.TopologyIsCurrent, storedRecord: cfg.StoredRecord,
 		limiter: cfg.Limiter, upstreams: cfg.Upstreams, log: cfg.Log, metrics: cfg.Metrics,
 		guards: make(map[string]*lead.Gate),
 	}
