--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -323,7 +323,7 @@
 func (i *Instance) known(group string) relay.Known {
 	confirmed := time.Duration(i.heardAt.Load())
 	record, revision := i.view.Load().Record(group)
-	return relay.Known{Record: record, Revision: revision, Confirmed: confirmed}
+	return relay.Known{Record: record, Revision: revision, ConfirmedAt: confirmed}
 }
 
 // surroundings gives the controller its picture of the instance.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -79,9 +79,9 @@
 
 // Known is a group's record as this instance last read it from the store.
 type Known struct {
-	Record    lead.Record
-	Revision  int64         // store revision of the record; 0: the group has none
-	Confirmed time.Duration // when the store was last asked and had no newer record; 0: never
+	Record      lead.Record
+	Revision    int64         // store revision of the record; 0: the group has none
+	ConfirmedAt time.Duration // when the store was last asked and had no newer record; 0: never
 }
 
 // New returns a Relay.
@@ -109,8 +109,8 @@
 		// guard.
 		if stored := r.storedRecord(group); stored.Revision > 0 {
 			guard.Learn(stored.Record, stored.Revision)
-			if stored.Confirmed > 0 {
-				guard.Confirm(stored.Confirmed)
+			if stored.ConfirmedAt > 0 {
+				guard.Confirm(stored.ConfirmedAt)
 			}
 		}
 		r.guards[group] = guard
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -16,7 +16,7 @@
 func TestNewGuardHasStoredRecord(t *testing.T) {
 	b := newFixture(t)
 	b.relay.storedRecord = func(group string) Known {
-		return Known{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, Confirmed: b.relay.now()}
+		return Known{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: b.relay.now()}
 	}
 	a, err := b.relay.Gate("later").Authority()
 	must.NoError(t, err)
