--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -320,10 +320,10 @@
 
 // known returns what the store holds of a group's record, as far as this instance knows. The
 // time of the confirmation is read first, so that the view is as new at least.
-func (i *Instance) known(group string) relay.Known {
+func (i *Instance) known(group string) relay.StoredRecord {
 	confirmed := time.Duration(i.heardAt.Load())
 	record, revision := i.view.Load().Record(group)
-	return relay.Known{Record: record, Revision: revision, ConfirmedAt: confirmed}
+	return relay.StoredRecord{Record: record, Revision: revision, ConfirmedAt: confirmed}
 }
 
 // surroundings gives the controller its picture of the instance.
--- a/internal/relay/ingress_test.go
+++ b/internal/relay/ingress_test.go
@@ -42,7 +42,7 @@
 		}
 	})
 	ingress := New(Config{
-		Started: carrier.relay.started, Topology: carrier.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) Known { return Known{} }, Limiter: unlimited{},
+		Started: carrier.relay.started, Topology: carrier.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: carrier.relay.upstreams, Conns: conns, Log: carrier.relay.log, Metrics: metrics.NewSet(),
 	})
 	placed := &Placed{
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -52,7 +52,7 @@
 	waitForecasts  waitForecasts // expected queueing delays at the carriers
 	carrierEnabled atomic.Bool   // this instance runs statements for other instances
 
-	storedRecord func(group string) Known
+	storedRecord func(group string) StoredRecord
 
 	mu        sync.Mutex // guards guards and guardList
 	guards    map[string]*lead.Gate
@@ -69,7 +69,7 @@
 	// missing from it does not exist.
 	TopologyIsCurrent func() bool
 	// StoredRecord returns the record of a group as this instance last read it from the store.
-	StoredRecord func(group string) Known
+	StoredRecord func(group string) StoredRecord
 	Limiter      Limiter // enforces the rate limits of client accounts
 	Upstreams    *Upstreams
 	Conns        *peerconn.Conns // connections to other instances
@@ -77,8 +77,8 @@
 	Metrics      *metrics.Set
 }
 
-// Known is a group's record as this instance last read it from the store.
-type Known struct {
+// StoredRecord is a group's record as this instance last read it from the store.
+type StoredRecord struct {
 	Record      lead.Record
 	Revision    int64         // store revision of the record; 0: the group has none
 	ConfirmedAt time.Duration // when the store was last asked and had no newer record; 0: never
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -58,7 +58,7 @@
 	t.Cleanup(upstreams.Close)
 	b := &fixture{group: group, snap: snap}
 	b.relay = New(Config{
-		Started: started, Topology: b.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) Known { return Known{} }, Limiter: unlimited{},
+		Started: started, Topology: b.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
 	b.guard = b.relay.Gate("g")
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -15,8 +15,8 @@
 // must start with the record that was last read from the store.
 func TestNewGuardHasStoredRecord(t *testing.T) {
 	b := newFixture(t)
-	b.relay.storedRecord = func(group string) Known {
-		return Known{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: b.relay.now()}
+	b.relay.storedRecord = func(group string) StoredRecord {
+		return StoredRecord{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: b.relay.now()}
 	}
 	a, err := b.relay.Gate("later").Authority()
 	must.NoError(t, err)
@@ -24,7 +24,7 @@
 	gates := 0
 	b.relay.Gates(func(string, *lead.Gate) { gates++ })
 	must.Eq(t, 2, gates)
-	b.relay.storedRecord = func(string) Known { return Known{} }
+	b.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
 	_, err = b.relay.Gate("unknown").Authority()
 	must.Error(t, err)
 }
