--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -331,7 +331,7 @@
 
 func (s surroundings) Topology() *topology.Snapshot { return s.i.topology.Load() }
 func (s surroundings) View() *lead.View             { return s.i.view.Load() }
-func (s surroundings) Gate(group string) *lead.Gate { return s.i.relay.Gate(group) }
+func (s surroundings) Gate(group string) *lead.Gate { return s.i.relay.PrimaryGuard(group) }
 
 // leadAfterPerGroup is for how long after its registration an instance leaves groups without
 // a leader to others, for each group that there is. Instances that start together do not know
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -148,7 +148,7 @@
 		if inst.ctx.Err() != nil {
 			continue
 		}
-		if a, err := inst.relay.Gate(testGroup).Authority(); err != nil || a.Primary != id {
+		if a, err := inst.relay.PrimaryGuard(testGroup).Authority(); err != nil || a.Primary != id {
 			return false
 		}
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -82,7 +82,7 @@
 	}
 	a := &attempt{
 		ctx: ctx, session: s, st: st, prepared: prepared, route: route, account: account, token: token,
-		group: s.relay.upstreams.group(route.Group), guard: s.relay.Gate(route.Group),
+		group: s.relay.upstreams.group(route.Group), guard: s.relay.PrimaryGuard(route.Group),
 		arrived: arrived, deadline: arrived + route.Timeout, reads: s.readsOnly(st),
 		reason: "no member could be asked",
 	}
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -64,7 +64,7 @@
 // one of them.
 func (r *Relay) orderCarriers(c Carriers, group, account string, needsPrimary bool) []lead.Instance {
 	preferred := r.dataCentre
-	if ref, err := r.Gate(group).Authority(); err == nil && needsPrimary {
+	if ref, err := r.PrimaryGuard(group).Authority(); err == nil && needsPrimary {
 		primary, _ := r.snapshot().Member(ref.Primary)
 		preferred = primary.DataCentre
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -97,9 +97,9 @@
 	return r
 }
 
-// Gate returns the guard of a group's primary, and creates it when the group is first used on this
+// PrimaryGuard returns the guard of a group's primary, and creates it when the group is first used on this
 // instance.
-func (r *Relay) Gate(group string) *lead.Gate {
+func (r *Relay) PrimaryGuard(group string) *lead.Gate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	guard := r.guards[group]
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -61,7 +61,7 @@
 		Started: started, Topology: b.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
-	b.guard = b.relay.Gate("g")
+	b.guard = b.relay.PrimaryGuard("g")
 	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
 	b.guard.Confirm(b.relay.now())
 	return b
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -18,14 +18,14 @@
 	b.relay.storedRecord = func(group string) StoredRecord {
 		return StoredRecord{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: b.relay.now()}
 	}
-	a, err := b.relay.Gate("later").Authority()
+	a, err := b.relay.PrimaryGuard("later").Authority()
 	must.NoError(t, err)
 	must.Eq(t, lead.Authority{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
 	b.relay.Gates(func(string, *lead.Gate) { gates++ })
 	must.Eq(t, 2, gates)
 	b.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
-	_, err = b.relay.Gate("unknown").Authority()
+	_, err = b.relay.PrimaryGuard("unknown").Authority()
 	must.Error(t, err)
 }
 
--- a/internal/relay/wait_forecasts.go
+++ b/internal/relay/wait_forecasts.go
@@ -48,7 +48,7 @@
 func (r *Relay) forecastWaits(name string, now time.Duration) (primary, replica []uint32) {
 	var onPrimary, onReplica [lastPriorityLevel + 1]time.Duration
 	primaryID := ""
-	ref, err := r.Gate(name).Authority()
+	ref, err := r.PrimaryGuard(name).Authority()
 	if err == nil {
 		primaryID = ref.Primary
 	}
@@ -70,7 +70,7 @@
 		first = false
 	}
 	if primaryID == "" {
-		remaining := r.upstreams.group(name).remainingOutage(r.Gate(name))
+		remaining := r.upstreams.group(name).remainingOutage(r.PrimaryGuard(name))
 		for level := range onPrimary {
 			onPrimary[level] = remaining
 		}
