--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -55,7 +55,7 @@
 			return nil
 		}
 		i.relay.ReportFailures(false)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+		i.relay.ForEachPrimaryGuard(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
 			i.attest()
@@ -159,7 +159,7 @@
 	}
 	if c.Whole || len(c.Events) > 0 {
 		before := i.view.Swap(view)
-		i.relay.Gates(func(group string, g *lead.Gate) {
+		i.relay.ForEachPrimaryGuard(func(group string, g *lead.Gate) {
 			if record, revision := view.Record(group); revision > 0 {
 				g.Learn(record, revision)
 			}
@@ -182,7 +182,7 @@
 		i.relay.StartCarrying()
 		i.heardAt.Store(int64(c.Confirmed))
 		i.limiter.Confirm(c.Confirmed)
-		i.relay.Gates(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
+		i.relay.ForEachPrimaryGuard(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
 	}
 }
 
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -175,7 +175,7 @@
 		f.settle()
 		carried := len(f.inst.relay.Carried())
 		gates := 0
-		f.inst.relay.Gates(func(string, *lead.Gate) { gates++ })
+		f.inst.relay.ForEachPrimaryGuard(func(string, *lead.Gate) { gates++ })
 		must.LessEq(t, mostCarried, carried, must.Sprint(instances))
 		must.LessEq(t, carried, gates)
 	}
@@ -194,7 +194,7 @@
 
 // look does what the control goroutine does at each look.
 func (f *grownFleet) look() {
-	f.inst.relay.Gates(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
+	f.inst.relay.ForEachPrimaryGuard(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
 	f.inst.controller.Tick(context.Background())
 }
 
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -394,7 +394,7 @@
 	metrics.WriteGaugeFloat64(w, "stackspindle_store_confirmed_seconds", (now - time.Duration(i.heardAt.Load())).Seconds())
 	metrics.WriteGaugeUint64(w, "stackspindle_registered", boolMetric(i.lease.Load() != 0))
 	metrics.WriteGaugeUint64(w, "stackspindle_ready", boolMetric(i.Ready()))
-	i.relay.Gates(func(group string, g *lead.Gate) {
+	i.relay.ForEachPrimaryGuard(func(group string, g *lead.Gate) {
 		labels := `{group="` + group + `"}`
 		authority, err := g.Authority()
 		leader, _ := i.view.Load().Leader(group)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -125,8 +125,8 @@
 	guard *lead.Gate
 }
 
-// Gates calls f with the guard of every group that was used on this instance.
-func (r *Relay) Gates(f func(group string, g *lead.Gate)) {
+// ForEachPrimaryGuard calls f with the guard of every group that was used on this instance.
+func (r *Relay) ForEachPrimaryGuard(f func(group string, g *lead.Gate)) {
 	r.mu.Lock()
 	guards := r.guardList
 	r.mu.Unlock()
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -22,7 +22,7 @@
 	must.NoError(t, err)
 	must.Eq(t, lead.Authority{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
-	b.relay.Gates(func(string, *lead.Gate) { gates++ })
+	b.relay.ForEachPrimaryGuard(func(string, *lead.Gate) { gates++ })
 	must.Eq(t, 2, gates)
 	b.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
 	_, err = b.relay.PrimaryGuard("unknown").Authority()
