--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -54,7 +54,7 @@
 		case <-i.ctx.Done():
 			return nil
 		}
-		i.relay.ReportFailures(false)
+		i.relay.LogFailures(false)
 		i.relay.ForEachPrimaryGuard(func(_ string, g *lead.Gate) { g.Enforce(enforceDrain) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -378,7 +378,7 @@
 	i.upstreams.Close()
 	i.conns.Close()
 	i.done.Wait()
-	i.relay.ReportFailures(true)
+	i.relay.LogFailures(true)
 	i.background.Release()
 	i.part("instance").Info("instance: stopped")
 }
--- a/internal/relay/failure_log.go
+++ b/internal/relay/failure_log.go
@@ -79,9 +79,9 @@
 	return batch
 }
 
-// ReportFailures logs the requests that failed since the last report, if failureLogInterval has
+// LogFailures logs the requests that failed since the last report, if failureLogInterval has
 // passed. At the end of the process (last) it logs them at once.
-func (r *Relay) ReportFailures(last bool) {
+func (r *Relay) LogFailures(last bool) {
 	now := r.now()
 	if last {
 		now += failureLogInterval
