--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -68,7 +68,7 @@
 	if !ok {
 		return statement.Failure(statement.Idle, statement.Unprepared, "no statement %q was prepared in this session", st.Name)
 	}
-	if carriers := s.relay.CarriersOf(route.Group); !carriers.Here && !s.forwarded {
+	if carriers := s.relay.CarriersOf(route.Group); !carriers.IncludesSelf && !s.forwarded {
 		needsPrimary := !s.readsOnly(st) || route.Consistency == topology.Strict
 		s.account = account
 		if refusal := s.rejectFromCache(account, route); refusal != nil {
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -12,8 +12,8 @@
 // Carriers are the instances that serve a group, as this instance computes them.
 type Carriers struct {
 	placement.Carriers
-	Here   bool            // this instance is one of them
-	Others []lead.Instance // the other ones
+	IncludesSelf bool            // this instance is one of them
+	Others       []lead.Instance // the other ones
 }
 
 // GroupOf returns a group's properties for placement. It reports false when no group of that name
@@ -46,13 +46,13 @@
 func (r *Relay) CarriersOf(group string) Carriers {
 	c, ok := r.placement.Load().Of(group)
 	if !ok || len(c.Others) == 0 {
-		c.Here = true
+		c.IncludesSelf = true
 	}
 	return c
 }
 
 // Carries reports whether this instance serves a group, that is, holds connections to its members.
-func (r *Relay) Carries(group string) bool { return r.CarriersOf(group).Here }
+func (r *Relay) Carries(group string) bool { return r.CarriersOf(group).IncludesSelf }
 
 // orderCarriers returns the carriers in the order in which they are asked to run a statement. A
 // statement that needs the primary goes to the primary's data centre, or else its region: it then
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -27,7 +27,7 @@
 		return Carriers{}, false
 	}
 	carriers, known := p.carriers.Get(group)
-	c := Carriers{Carriers: carriers, Here: carriers.Includes(p.self)}
+	c := Carriers{Carriers: carriers, IncludesSelf: carriers.Includes(p.self)}
 	for _, name := range c.Names {
 		if name != p.self {
 			c.Others = append(c.Others, p.instances[name])
