--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -286,7 +286,7 @@
 func (i *Instance) share(state *topology.State) {
 	snap, view := i.topology.Load(), i.view.Load()
 	for _, name := range state.TakeChanged() {
-		if g, declared := relay.GroupOf(snap, name); declared {
+		if g, declared := relay.PlacementGroup(snap, name); declared {
 			i.placements.Set(g)
 		} else {
 			i.placements.Remove(name)
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -16,9 +16,9 @@
 	Others       []lead.Instance // the other ones
 }
 
-// GroupOf returns a group's properties for placement. It reports false when no group of that name
+// PlacementGroup returns a group's properties for placement. It reports false when no group of that name
 // is declared.
-func GroupOf(snap *topology.Snapshot, name string) (placement.Group, bool) {
+func PlacementGroup(snap *topology.Snapshot, name string) (placement.Group, bool) {
 	declared, ok := snap.Groups[name]
 	g := placement.Group{Name: name, MaxConnections: declared.MaxConnections}
 	for _, m := range snap.MembersOf(name) {
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -71,7 +71,7 @@
 func placedFor(snap *topology.Snapshot, registered int) *Placed {
 	placements := NewPlacements(lead.Instance{}, locality.Map{})
 	for name := range snap.Groups {
-		g, _ := GroupOf(snap, name)
+		g, _ := PlacementGroup(snap, name)
 		placements.Set(g)
 	}
 	placements.Update(registered, func(string, placement.Carriers, placement.Carriers) {})
