--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -315,7 +315,7 @@
 		i.placements.SetInstances(view.Alive())
 	}
 	i.placements.Update(view.CountRegistered(now), i.reportPlacement)
-	i.relay.SetCarriers(i.placements.Placed())
+	i.relay.SetPlacement(i.placements.Placed())
 }
 
 // known returns what the store holds of a group's record, as far as this instance knows. The
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -31,8 +31,8 @@
 	return ownership.Instance{Name: instance.Name, DataCentre: instance.DataCentre, Weight: instance.Strength.Carrying()}
 }
 
-// SetCarriers sets the placement by which statements are routed from now on.
-func (r *Relay) SetCarriers(snapshot *Placed) { r.placement.Store(snapshot) }
+// SetPlacement sets the placement by which statements are routed from now on.
+func (r *Relay) SetPlacement(snapshot *Placed) { r.placement.Store(snapshot) }
 
 // Carried returns the groups that this instance serves, sorted by name. The caller must not change
 // the slice.
--- a/internal/relay/ingress_test.go
+++ b/internal/relay/ingress_test.go
@@ -49,7 +49,7 @@
 		carriers:  immutable.NewMap[string, placement.Carriers](nil).Set("g", placement.Carriers{Names: []string{"carrier"}}),
 		instances: map[string]lead.Instance{"carrier": {Name: "carrier", Address: l.Addr().String()}},
 	}
-	ingress.SetCarriers(placed)
+	ingress.SetPlacement(placed)
 	openWithRetries(t, ingress.carrierConns, l.Addr().String()).release() // so that statements do not wait for the connection
 	return ingress
 }
