--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -74,7 +74,7 @@
 
 // tickPause returns the pause before the next look.
 func (i *Instance) tickPause() time.Duration {
-	groups := len(i.relay.Carried()) + len(i.view.Load().Led(i.self.Name, i.self.Incarnation))
+	groups := len(i.relay.ServedGroups()) + len(i.view.Load().Led(i.self.Name, i.self.Incarnation))
 	if groups == 0 {
 		return idleTick
 	}
@@ -359,7 +359,7 @@
 func (s surroundings) Heard(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
 func (s surroundings) Doubtful(id string) bool               { return s.i.upstreams.Doubtful(id) }
 func (s surroundings) Carries(group string) bool             { return s.i.relay.Carries(group) }
-func (s surroundings) Carried() []string                     { return s.i.relay.Carried() }
+func (s surroundings) Carried() []string                     { return s.i.relay.ServedGroups() }
 
 func (s surroundings) Rank(group string, most int) int {
 	carriers := s.i.relay.CarriersOf(group)
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -173,7 +173,7 @@
 		f := newGrownFleet(t, instances)
 		f.start(t, 80)
 		f.settle()
-		carried := len(f.inst.relay.Carried())
+		carried := len(f.inst.relay.ServedGroups())
 		gates := 0
 		f.inst.relay.ForEachPrimaryGuard(func(string, *lead.Gate) { gates++ })
 		must.LessEq(t, mostCarried, carried, must.Sprint(instances))
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -34,9 +34,9 @@
 // SetPlacement sets the placement by which statements are routed from now on.
 func (r *Relay) SetPlacement(snapshot *Placed) { r.placement.Store(snapshot) }
 
-// Carried returns the groups that this instance serves, sorted by name. The caller must not change
+// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
 // the slice.
-func (r *Relay) Carried() []string { return r.placement.Load().Carried() }
+func (r *Relay) ServedGroups() []string { return r.placement.Load().Carried() }
 
 // AllShared reports whether every instance serves every group.
 func (r *Relay) AllShared() bool { return r.placement.Load().AllShared() }
