--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -434,7 +434,7 @@
 func (f *testFleet) carriers() map[int]bool {
 	carriers := make(map[int]bool)
 	for n, inst := range f.instances {
-		if inst.relay.Carries(testGroup) {
+		if inst.relay.Serves(testGroup) {
 			carriers[n] = true
 		}
 	}
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -51,8 +51,8 @@
 	return c
 }
 
-// Carries reports whether this instance serves a group, that is, holds connections to its members.
-func (r *Relay) Carries(group string) bool { return r.CarriersOf(group).IncludesSelf }
+// Serves reports whether this instance serves a group, that is, holds connections to its members.
+func (r *Relay) Serves(group string) bool { return r.CarriersOf(group).IncludesSelf }
 
 // orderCarriers returns the carriers in the order in which they are asked to run a statement. A
 // statement that needs the primary goes to the primary's data centre, or else its region: it then
