--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -115,7 +115,7 @@
 	now := i.now()
 	heard, asked := time.Duration(i.heardAt.Load()), time.Duration(i.askedAt.Load())
 	pause, after := attestEvery, attestAfter
-	if !i.relay.AllShared() {
+	if !i.relay.AllServeAllGroups() {
 		after = attestLater
 	}
 	switch {
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -298,7 +298,7 @@
 // which instances carry them.
 func (i *Instance) Ready() bool {
 	confirmed := max(i.heardAt.Load(), i.attestAt.Load())
-	if !i.relay.AllShared() {
+	if !i.relay.AllServeAllGroups() {
 		// What an instance may not run itself it passes on to those that may.
 		confirmed = max(confirmed, i.pictureAt.Load())
 	}
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -38,8 +38,8 @@
 // the slice.
 func (r *Relay) ServedGroups() []string { return r.placement.Load().Carried() }
 
-// AllShared reports whether every instance serves every group.
-func (r *Relay) AllShared() bool { return r.placement.Load().AllShared() }
+// AllServeAllGroups reports whether every instance serves every group.
+func (r *Relay) AllServeAllGroups() bool { return r.placement.Load().AllShared() }
 
 // CarriersOf returns the carriers of a group. This instance is one while the group's carriers are
 // not known.
