--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -179,7 +179,7 @@
 			i.registeredAt.Store(int64(i.now())) // first, since others read it once the other is set
 			i.registeredOnce.Store(true)
 		}
-		i.relay.StartCarrying()
+		i.relay.EnableCarrier()
 		i.heardAt.Store(int64(c.Confirmed))
 		i.limiter.Confirm(c.Confirmed)
 		i.relay.ForEachPrimaryGuard(func(_ string, g *lead.Gate) { g.Confirm(c.Confirmed) })
--- a/internal/relay/carrier_test.go
+++ b/internal/relay/carrier_test.go
@@ -19,7 +19,7 @@
 	read := &relaypb.CarryRequest{Database: "strict", Id: "x", Text: "READ 1", Kind: int32(statement.Read)}
 	must.True(t, server.runStatement(context.Background(), &forwardedSession{}, read).Stopping, must.Sprint("the instance is not registered yet"))
 
-	b.relay.StartCarrying()
+	b.relay.EnableCarrier()
 	must.Zero(t, server.runStatement(context.Background(), &forwardedSession{}, read).Code)
 
 	read.Database = "added a moment ago"
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -71,10 +71,10 @@
 	return placement.Order(c.Others, ownershipCandidate, placement.Caller{Name: cmp.Or(account, r.self), DataCentre: r.dataCentre}, preferred, r.localities)
 }
 
-// StartCarrying allows this instance to run statements for other instances. Before that it has not
+// EnableCarrier allows this instance to run statements for other instances. Before that it has not
 // read the store, or holds no grants; instances that still know its address from an earlier process
 // get a refusal and ask other carriers.
-func (r *Relay) StartCarrying() { r.carrierEnabled.Store(true) }
+func (r *Relay) EnableCarrier() { r.carrierEnabled.Store(true) }
 
 // canRunForwarded reports whether this instance can run forwarded statements for a database. A
 // database unknown here may still exist, since the ingress instance may have a newer configuration.
--- a/internal/relay/ingress_test.go
+++ b/internal/relay/ingress_test.go
@@ -26,7 +26,7 @@
 // carrier over loopback.
 func newIngress(t *testing.T, carrier *fixture) *Relay {
 	t.Helper()
-	carrier.relay.StartCarrying()
+	carrier.relay.EnableCarrier()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer()
--- a/internal/relay/queueing_test.go
+++ b/internal/relay/queueing_test.go
@@ -120,7 +120,7 @@
 // A carrier's replies contain the queueing delays there, and nothing when no statement would wait.
 func TestCarrierReportsQueueingDelays(t *testing.T) {
 	b := newFixture(t)
-	b.relay.StartCarrying()
+	b.relay.EnableCarrier()
 	server := NewCarrierServer(b.relay)
 	read := &relaypb.CarryRequest{Database: "strict", Id: "x", Text: "READ 1", Kind: int32(statement.Read)}
 	reply := server.runStatement(context.Background(), &forwardedSession{}, read)
