--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -44,7 +44,7 @@
 // CarriersOf returns the carriers of a group. This instance is one while the group's carriers are
 // not known.
 func (r *Relay) CarriersOf(group string) Carriers {
-	c, ok := r.placement.Load().Of(group)
+	c, ok := r.placement.Load().CarriersOf(group)
 	if !ok || len(c.Others) == 0 {
 		c.IncludesSelf = true
 	}
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -21,8 +21,8 @@
 	servedByAllCount int      // number of groups that every instance serves
 }
 
-// Of returns the carriers of a group. It reports false when they are not known.
-func (p *Placed) Of(group string) (Carriers, bool) {
+// CarriersOf returns the carriers of a group. It reports false when they are not known.
+func (p *Placed) CarriersOf(group string) (Carriers, bool) {
 	if p == nil {
 		return Carriers{}, false
 	}
