--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -145,7 +145,7 @@
 
 // carriesAny reports whether this instance uses the primary of any group.
 func (i *Instance) carriesAny() bool {
-	return i.placements.Placed() == nil || len(i.placements.Placed().Carried()) > 0
+	return i.placements.Placed() == nil || len(i.placements.Placed().ServedGroups()) > 0
 }
 
 // takeIn puts a change in force.
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -36,7 +36,7 @@
 
 // ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
 // the slice.
-func (r *Relay) ServedGroups() []string { return r.placement.Load().Carried() }
+func (r *Relay) ServedGroups() []string { return r.placement.Load().ServedGroups() }
 
 // AllServeAllGroups reports whether every instance serves every group.
 func (r *Relay) AllServeAllGroups() bool { return r.placement.Load().AllShared() }
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -46,9 +46,9 @@
 	return shares, shares.Includes(p.self), known
 }
 
-// Carried returns the groups that this instance serves, sorted by name. The caller must not change
+// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
 // the slice.
-func (p *Placed) Carried() []string {
+func (p *Placed) ServedGroups() []string {
 	if p == nil {
 		return nil
 	}
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -89,7 +89,7 @@
 		}
 		u.configure(upstream, current)
 	}
-	for _, name := range placement.Carried() {
+	for _, name := range placement.ServedGroups() {
 		for _, m := range snap.MembersOf(name) {
 			if u.members[m.ID] == nil {
 				u.add(m)
