--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -39,7 +39,7 @@
 func (r *Relay) ServedGroups() []string { return r.placement.Load().ServedGroups() }
 
 // AllServeAllGroups reports whether every instance serves every group.
-func (r *Relay) AllServeAllGroups() bool { return r.placement.Load().AllShared() }
+func (r *Relay) AllServeAllGroups() bool { return r.placement.Load().AllServeAllGroups() }
 
 // CarriersOf returns the carriers of a group. This instance is one while the group's carriers are
 // not known.
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -55,8 +55,8 @@
 	return p.servedGroups
 }
 
-// AllShared reports whether every instance serves every group.
-func (p *Placed) AllShared() bool { return p == nil || p.servedByAllCount == p.carriers.Len() }
+// AllServeAllGroups reports whether every instance serves every group.
+func (p *Placed) AllServeAllGroups() bool { return p == nil || p.servedByAllCount == p.carriers.Len() }
 
 // set replaces the carriers of a group, and returns the previous ones.
 func (p *Placed) set(group string, c placement.Carriers) placement.Carriers {
