--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -145,7 +145,7 @@
 
 // carriesAny reports whether this instance uses the primary of any group.
 func (i *Instance) carriesAny() bool {
-	return i.placements.Placed() == nil || len(i.placements.Placed().ServedGroups()) > 0
+	return i.placements.Snapshot() == nil || len(i.placements.Snapshot().ServedGroups()) > 0
 }
 
 // takeIn puts a change in force.
@@ -293,7 +293,7 @@
 		}
 	}
 	i.place(view, len(snap.Groups))
-	i.upstreams.Update(snap, i.placements.Placed(), i.self.DataCentre)
+	i.upstreams.Update(snap, i.placements.Snapshot(), i.self.DataCentre)
 }
 
 // placePerGroup is the pause between two placements for each group that there is. Where hundreds
@@ -305,7 +305,7 @@
 // then the next look does.
 func (i *Instance) place(view *lead.View, groups int) {
 	now := i.now()
-	i.placeLater = i.placements.Placed() != nil && now-i.placedAt < time.Duration(groups)*placePerGroup
+	i.placeLater = i.placements.Snapshot() != nil && now-i.placedAt < time.Duration(groups)*placePerGroup
 	if i.placeLater {
 		return
 	}
@@ -315,7 +315,7 @@
 		i.placements.SetInstances(view.Alive())
 	}
 	i.placements.Update(view.CountRegistered(now), i.reportPlacement)
-	i.relay.SetPlacement(i.placements.Placed())
+	i.relay.SetPlacement(i.placements.Snapshot())
 }
 
 // known returns what the store holds of a group's record, as far as this instance knows. The
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -89,7 +89,7 @@
 }
 
 // Placements computes the carriers of all groups and updates them as the fleet changes. It is not
-// safe for concurrent use; the snapshots that Placed returns are.
+// safe for concurrent use; the snapshots that Snapshot returns are.
 type Placements struct {
 	localities locality.Map
 	table      *placement.Table
@@ -105,8 +105,8 @@
 	}
 }
 
-// Placed returns the carriers as of the last Update, nil before the first.
-func (p *Placements) Placed() *Placed { return p.published }
+// Snapshot returns the carriers as of the last Update, nil before the first.
+func (p *Placements) Snapshot() *Placed { return p.published }
 
 // Set adds or changes a group.
 func (p *Placements) Set(g placement.Group) { p.table.Set(g) }
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -75,7 +75,7 @@
 		placements.Set(g)
 	}
 	placements.Update(registered, func(string, placement.Carriers, placement.Carriers) {})
-	return placements.Placed()
+	return placements.Snapshot()
 }
 
 // run runs a statement that arrives now in a session.
