--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -32,7 +32,7 @@
 }
 
 // SetPlacement sets the placement by which statements are routed from now on.
-func (r *Relay) SetPlacement(snapshot *Placed) { r.placement.Store(snapshot) }
+func (r *Relay) SetPlacement(snapshot *PlacementSnapshot) { r.placement.Store(snapshot) }
 
 // ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
 // the slice.
--- a/internal/relay/ingress_test.go
+++ b/internal/relay/ingress_test.go
@@ -45,7 +45,7 @@
 		Started: carrier.relay.started, Topology: carrier.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: carrier.relay.upstreams, Conns: conns, Log: carrier.relay.log, Metrics: metrics.NewSet(),
 	})
-	placed := &Placed{
+	placed := &PlacementSnapshot{
 		carriers:  immutable.NewMap[string, placement.Carriers](nil).Set("g", placement.Carriers{Names: []string{"carrier"}}),
 		instances: map[string]lead.Instance{"carrier": {Name: "carrier", Address: l.Addr().String()}},
 	}
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -11,9 +11,9 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// Placed is an immutable snapshot of the carriers of all groups, as this instance computes them. A
-// nil Placed means that none are known yet.
-type Placed struct {
+// PlacementSnapshot is an immutable snapshot of the carriers of all groups, as this instance computes them. A
+// nil PlacementSnapshot means that none are known yet.
+type PlacementSnapshot struct {
 	self             string
 	carriers         *immutable.Map[string, placement.Carriers] // by group
 	instances        map[string]lead.Instance
@@ -22,7 +22,7 @@
 }
 
 // CarriersOf returns the carriers of a group. It reports false when they are not known.
-func (p *Placed) CarriersOf(group string) (Carriers, bool) {
+func (p *PlacementSnapshot) CarriersOf(group string) (Carriers, bool) {
 	if p == nil {
 		return Carriers{}, false
 	}
@@ -38,7 +38,7 @@
 
 // memberShares returns how the carriers of a group share its members, whether this instance is one
 // of them, and whether the carriers are known.
-func (p *Placed) memberShares(group string) (shares placement.Carriers, servedHere, known bool) {
+func (p *PlacementSnapshot) memberShares(group string) (shares placement.Carriers, servedHere, known bool) {
 	if p == nil {
 		return placement.Carriers{}, false, false
 	}
@@ -48,7 +48,7 @@
 
 // ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
 // the slice.
-func (p *Placed) ServedGroups() []string {
+func (p *PlacementSnapshot) ServedGroups() []string {
 	if p == nil {
 		return nil
 	}
@@ -56,10 +56,12 @@
 }
 
 // AllServeAllGroups reports whether every instance serves every group.
-func (p *Placed) AllServeAllGroups() bool { return p == nil || p.servedByAllCount == p.carriers.Len() }
+func (p *PlacementSnapshot) AllServeAllGroups() bool {
+	return p == nil || p.servedByAllCount == p.carriers.Len()
+}
 
 // set replaces the carriers of a group, and returns the previous ones.
-func (p *Placed) set(group string, c placement.Carriers) placement.Carriers {
+func (p *PlacementSnapshot) set(group string, c placement.Carriers) placement.Carriers {
 	previous := p.remove(group)
 	p.carriers = p.carriers.Set(group, c)
 	if c.Includes(p.self) {
@@ -73,7 +75,7 @@
 }
 
 // remove removes a group, and returns its carriers.
-func (p *Placed) remove(group string) placement.Carriers {
+func (p *PlacementSnapshot) remove(group string) placement.Carriers {
 	previous, known := p.carriers.Get(group)
 	if !known {
 		return previous
@@ -93,20 +95,20 @@
 type Placements struct {
 	localities locality.Map
 	table      *placement.Table
-	next       Placed // working copy of the next snapshot
-	published  *Placed
+	next       PlacementSnapshot // working copy of the next snapshot
+	published  *PlacementSnapshot
 }
 
 // NewPlacements returns the placements of an instance, without any group.
 func NewPlacements(self lead.Instance, localities locality.Map) *Placements {
 	return &Placements{
 		localities: localities, table: placement.NewTable(),
-		next: Placed{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
+		next: PlacementSnapshot{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
 	}
 }
 
 // Snapshot returns the carriers as of the last Update, nil before the first.
-func (p *Placements) Snapshot() *Placed { return p.published }
+func (p *Placements) Snapshot() *PlacementSnapshot { return p.published }
 
 // Set adds or changes a group.
 func (p *Placements) Set(g placement.Group) { p.table.Set(g) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -47,7 +47,7 @@
 	failureLog    *failureLog
 	limiter       Limiter
 
-	placement      atomic.Pointer[Placed]
+	placement      atomic.Pointer[PlacementSnapshot]
 	carrierConns   *carrierConns
 	waitForecasts  waitForecasts // expected queueing delays at the carriers
 	carrierEnabled atomic.Bool   // this instance runs statements for other instances
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -58,7 +58,7 @@
 
 	mu         sync.Mutex         // guards the fields below
 	snap       *topology.Snapshot // nil before the first Update
-	placement  *Placed
+	placement  *PlacementSnapshot
 	dataCentre string
 	members    map[string]*upstreamState
 	groups     map[string]*groupState
@@ -76,7 +76,7 @@
 
 // Update applies the current members, the share of each that an instance in the given data centre
 // may use, and their network distance from there.
-func (u *Upstreams) Update(snap *topology.Snapshot, placement *Placed, dataCentre string) {
+func (u *Upstreams) Update(snap *topology.Snapshot, placement *PlacementSnapshot, dataCentre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.snap, u.placement, u.dataCentre = snap, placement, dataCentre
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -35,7 +35,7 @@
 	b := newFixture(t)
 	upstreams, now := b.relay.upstreams, time.Hour
 	upstreams.now = func() time.Duration { return now }
-	upstreams.Update(b.snap, &Placed{
+	upstreams.Update(b.snap, &PlacementSnapshot{
 		self:     "here",
 		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", carriedElsewhere(t)),
 	}, "")
