--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -152,11 +152,11 @@
 	heapGrowth  int  // in percent, 0: as the runtime has it; of the follower
 	watchFailed bool // the last watch got no answer; of the follower
 
-	placements     *relay.Placements // of the control goroutine
-	placedOn       *lead.View        // whose instances the groups were last placed on; the same
-	placedAt       time.Duration     // when that was; the same
-	placeLater     bool              // it is to be done again; the same
-	changedMembers []topology.Member // by the change that is taken in; the same
+	placements     *relay.PlacementTracker // of the control goroutine
+	placedOn       *lead.View              // whose instances the groups were last placed on; the same
+	placedAt       time.Duration           // when that was; the same
+	placeLater     bool                    // it is to be done again; the same
+	changedMembers []topology.Member       // by the change that is taken in; the same
 
 	ctx    context.Context
 	cancel context.CancelFunc
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -90,9 +90,9 @@
 	return previous
 }
 
-// Placements computes the carriers of all groups and updates them as the fleet changes. It is not
+// PlacementTracker computes the carriers of all groups and updates them as the fleet changes. It is not
 // safe for concurrent use; the snapshots that Snapshot returns are.
-type Placements struct {
+type PlacementTracker struct {
 	localities locality.Map
 	table      *placement.Table
 	next       PlacementSnapshot // working copy of the next snapshot
@@ -100,27 +100,27 @@
 }
 
 // NewPlacements returns the placements of an instance, without any group.
-func NewPlacements(self lead.Instance, localities locality.Map) *Placements {
-	return &Placements{
+func NewPlacements(self lead.Instance, localities locality.Map) *PlacementTracker {
+	return &PlacementTracker{
 		localities: localities, table: placement.NewTable(),
 		next: PlacementSnapshot{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
 	}
 }
 
 // Snapshot returns the carriers as of the last Update, nil before the first.
-func (p *Placements) Snapshot() *PlacementSnapshot { return p.published }
+func (p *PlacementTracker) Snapshot() *PlacementSnapshot { return p.published }
 
 // Set adds or changes a group.
-func (p *Placements) Set(g placement.Group) { p.table.Set(g) }
+func (p *PlacementTracker) Set(g placement.Group) { p.table.Set(g) }
 
 // Remove removes a group.
-func (p *Placements) Remove(group string) {
+func (p *PlacementTracker) Remove(group string) {
 	p.table.Remove(group)
 	p.next.remove(group)
 }
 
 // SetInstances sets the instances whose lease is valid.
-func (p *Placements) SetInstances(alive []lead.Instance) {
+func (p *PlacementTracker) SetInstances(alive []lead.Instance) {
 	candidates := make([]ownership.Instance, 0, len(alive))
 	p.next.instances = make(map[string]lead.Instance, len(alive))
 	for _, i := range alive {
@@ -133,7 +133,7 @@
 // Update recomputes the carriers and publishes a new snapshot. registered is the number of
 // instances that may use connections; where all of them serve a group, this instance does so even
 // without a valid lease. It calls changed for each group whose carriers changed.
-func (p *Placements) Update(registered int, changed func(group string, before, now placement.Carriers)) {
+func (p *PlacementTracker) Update(registered int, changed func(group string, before, now placement.Carriers)) {
 	p.table.Update(registered, p.localities, func(group string, c placement.Carriers) {
 		changed(group, p.next.set(group, c), c)
 	})
