--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -193,7 +193,7 @@
 	i.traffic = peerconn.NewTraffic(i.set, i.distanceTo)
 	i.conns.Count(i.traffic)
 	i.upstreams = relay.NewUpstreams(platform.Dialer, i.now)
-	i.placements = relay.NewPlacements(i.self, settings.Places)
+	i.placements = relay.NewPlacementTracker(i.self, settings.Places)
 	i.upstreams.Locate(settings.Places)
 	i.limiter = limits.New(limits.Config{
 		Self: i.self, Rules: settings.Limits, Accounts: i.accounts, Conns: i.conns,
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -99,8 +99,8 @@
 	published  *PlacementSnapshot
 }
 
-// NewPlacements returns the placements of an instance, without any group.
-func NewPlacements(self lead.Instance, localities locality.Map) *PlacementTracker {
+// NewPlacementTracker returns the tracker of an instance, without any group.
+func NewPlacementTracker(self lead.Instance, localities locality.Map) *PlacementTracker {
 	return &PlacementTracker{
 		localities: localities, table: placement.NewTable(),
 		next: PlacementSnapshot{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -69,7 +69,7 @@
 
 // placedFor returns the placement for a number of registered instances.
 func placedFor(snap *topology.Snapshot, registered int) *PlacementSnapshot {
-	placements := NewPlacements(lead.Instance{}, locality.Map{})
+	placements := NewPlacementTracker(lead.Instance{}, locality.Map{})
 	for name := range snap.Groups {
 		g, _ := PlacementGroup(snap, name)
 		placements.Set(g)
