--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -194,7 +194,7 @@
 	i.conns.Count(i.traffic)
 	i.upstreams = relay.NewUpstreams(platform.Dialer, i.now)
 	i.placements = relay.NewPlacementTracker(i.self, settings.Places)
-	i.upstreams.Locate(settings.Places)
+	i.upstreams.SetLocalities(settings.Places)
 	i.limiter = limits.New(limits.Config{
 		Self: i.self, Rules: settings.Limits, Accounts: i.accounts, Conns: i.conns,
 		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.set,
--- a/internal/relay/candidates_test.go
+++ b/internal/relay/candidates_test.go
@@ -25,7 +25,7 @@
 	snap := state.Snapshot()
 	b.snap = snap
 	b.relay.dataCentre, b.relay.localities = "a", locality.New(map[string]string{"a": "x", "b": "y"})
-	b.relay.upstreams.Locate(b.relay.localities)
+	b.relay.upstreams.SetLocalities(b.relay.localities)
 	b.relay.upstreams.Update(snap, placedFor(snap, 1), "a")
 	a := &attempt{
 		session: newSession(b.relay, StartupRequest{Database: "bounded"}), route: snap.Databases["bounded"],
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -178,8 +178,8 @@
 	return g
 }
 
-// Locate sets the region of each data centre. It must be called before the first Update.
-func (u *Upstreams) Locate(localities locality.Map) { u.localities = localities }
+// SetLocalities sets the region of each data centre. It must be called before the first Update.
+func (u *Upstreams) SetLocalities(localities locality.Map) { u.localities = localities }
 
 // Doubtful reports whether a request to the member since its last answer got no answer.
 func (u *Upstreams) Doubtful(id string) bool {
