--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -357,7 +357,7 @@
 }
 
 func (s surroundings) Heard(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
-func (s surroundings) Doubtful(id string) bool               { return s.i.upstreams.Doubtful(id) }
+func (s surroundings) Doubtful(id string) bool               { return s.i.upstreams.HasUnansweredAttempt(id) }
 func (s surroundings) Carries(group string) bool             { return s.i.relay.Serves(group) }
 func (s surroundings) Carried() []string                     { return s.i.relay.ServedGroups() }
 
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -181,8 +181,8 @@
 // SetLocalities sets the region of each data centre. It must be called before the first Update.
 func (u *Upstreams) SetLocalities(localities locality.Map) { u.localities = localities }
 
-// Doubtful reports whether a request to the member since its last answer got no answer.
-func (u *Upstreams) Doubtful(id string) bool {
+// HasUnansweredAttempt reports whether a request to the member since its last answer got no answer.
+func (u *Upstreams) HasUnansweredAttempt(id string) bool {
 	upstream := u.find(id)
 	if upstream == nil {
 		return false
