--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -356,10 +356,12 @@
 	return kv.LeaseID(s.i.lease.Load())
 }
 
-func (s surroundings) Heard(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
-func (s surroundings) Doubtful(id string) bool               { return s.i.upstreams.HasUnansweredAttempt(id) }
-func (s surroundings) Carries(group string) bool             { return s.i.relay.Serves(group) }
-func (s surroundings) Carried() []string                     { return s.i.relay.ServedGroups() }
+func (s surroundings) Heard(id string) (time.Duration, bool) {
+	return s.i.upstreams.SinceLastAnswer(id)
+}
+func (s surroundings) Doubtful(id string) bool   { return s.i.upstreams.HasUnansweredAttempt(id) }
+func (s surroundings) Carries(group string) bool { return s.i.relay.Serves(group) }
+func (s surroundings) Carried() []string         { return s.i.relay.ServedGroups() }
 
 func (s surroundings) Rank(group string, most int) int {
 	carriers := s.i.relay.CarriersOf(group)
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -206,7 +206,7 @@
 	if i.callers, err = relay.NewServer(i.relay, platform.Caller, settings.MaxCallers); err != nil {
 		return nil, err
 	}
-	server := lead.NewServer(i.self.Incarnation, i.relay.PrimaryGuard, i.informed, i.now, i.upstreams.Heard)
+	server := lead.NewServer(i.self.Incarnation, i.relay.PrimaryGuard, i.informed, i.now, i.upstreams.SinceLastAnswer)
 	i.controller = lead.NewController(lead.Config{
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
 		Around: surroundings{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -192,8 +192,8 @@
 	return upstream.health.Doubtful()
 }
 
-// Heard returns the time since a member's last answer. It reports false if there was none.
-func (u *Upstreams) Heard(id string) (time.Duration, bool) {
+// SinceLastAnswer returns the time since a member's last answer. It reports false if there was none.
+func (u *Upstreams) SinceLastAnswer(id string) (time.Duration, bool) {
 	upstream := u.find(id)
 	if upstream == nil {
 		return 0, false
