--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -384,7 +384,7 @@
 }
 
 func (s surroundings) Alone(group, primary string) bool {
-	return s.i.upstreams.Alone(group, primary)
+	return s.i.upstreams.OverloadedWithoutReplicas(group, primary)
 }
 
 func (s surroundings) Behind(name string, p group.Position) time.Duration {
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -208,9 +208,9 @@
 // absorb alone.
 const stuckReplicaAfter = time.Second
 
-// Alone reports whether a group's primary is saturated while every replica is stuck with more lag
+// OverloadedWithoutReplicas reports whether a group's primary is saturated while every replica is stuck with more lag
 // than the routes allow.
-func (u *Upstreams) Alone(group, primary string) bool {
+func (u *Upstreams) OverloadedWithoutReplicas(group, primary string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now, replicas, saturated := u.now(), 0, false
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -126,7 +126,7 @@
 	b := newFixture(t)
 	upstreams := b.relay.upstreams
 	replica, g := upstreams.get("m2"), upstreams.group("g")
-	alone := func() bool { return upstreams.Alone("g", "m1") }
+	alone := func() bool { return upstreams.OverloadedWithoutReplicas("g", "m1") }
 	answer := func(n int, took time.Duration) {
 		for range n {
 			b.relay.paceMember(upstreams.get("m1"), g, topology.Route{}, took)
