--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -388,7 +388,7 @@
 }
 
 func (s surroundings) Behind(name string, p group.Position) time.Duration {
-	return s.i.upstreams.Behind(name, p)
+	return s.i.upstreams.ReplicaLag(name, p)
 }
 
 func (s surroundings) NoteAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -233,9 +233,9 @@
 	return saturated && replicas > 0
 }
 
-// Behind returns the replication lag of a log that ends at the position: the time since the
+// ReplicaLag returns the replication lag of a log that ends at the position: the time since the
 // primary's log ended there. It is negative when not known.
-func (u *Upstreams) Behind(name string, p group.Position) time.Duration {
+func (u *Upstreams) ReplicaLag(name string, p group.Position) time.Duration {
 	return u.group(name).lagAt(u.now(), p)
 }
 
