--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -391,4 +391,4 @@
 	return s.i.upstreams.ReplicaLag(name, p)
 }
 
-func (s surroundings) NoteAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
+func (s surroundings) NoteAnswer(id string) { s.i.upstreams.RecordAnswer(id) }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -239,8 +239,8 @@
 	return u.group(name).lagAt(u.now(), p)
 }
 
-// NoteAnswer records that a member answered.
-func (u *Upstreams) NoteAnswer(id string) {
+// RecordAnswer records that a member answered.
+func (u *Upstreams) RecordAnswer(id string) {
 	if upstream := u.get(id); upstream != nil {
 		upstream.recordAnswer(u.now(), u.now(), group.Position{})
 	}
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -40,7 +40,7 @@
 		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", carriedElsewhere(t)),
 	}, "")
 	must.NotNil(t, upstreams.find("m1"))
-	upstreams.NoteAnswer("m1")
+	upstreams.RecordAnswer("m1")
 	now += forgetUnservedAfter - 1
 	upstreams.Shrink()
 	must.NotNil(t, upstreams.find("m1"))
