--- a/internal/relay/candidates_test.go
+++ b/internal/relay/candidates_test.go
@@ -14,22 +14,22 @@
 // A client in one region reads from a group with a member in each of two regions. With equal
 // queueing delays, the read must wait for the member in its own region.
 func TestReadPrefersMemberOfOwnRegion(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	state := topology.New(0, 0)
-	state.SetConfig(b.snap.Config)
+	state.SetConfig(f.snap.Config)
 	for id, dataCentre := range map[string]string{"m1": "a", "m2": "b"} {
-		m, _ := b.snap.Member(id)
+		m, _ := f.snap.Member(id)
 		m.DataCentre, m.Slots = dataCentre, 6
 		state.SetMember(0, m, false)
 	}
 	snap := state.Snapshot()
-	b.snap = snap
-	b.relay.dataCentre, b.relay.localities = "a", locality.New(map[string]string{"a": "x", "b": "y"})
-	b.relay.upstreams.SetLocalities(b.relay.localities)
-	b.relay.upstreams.Update(snap, placedFor(snap, 1), "a")
+	f.snap = snap
+	f.relay.dataCentre, f.relay.localities = "a", locality.New(map[string]string{"a": "x", "b": "y"})
+	f.relay.upstreams.SetLocalities(f.relay.localities)
+	f.relay.upstreams.Update(snap, placedFor(snap, 1), "a")
 	a := &attempt{
-		session: newSession(b.relay, StartupRequest{Database: "bounded"}), route: snap.Databases["bounded"],
-		group: b.relay.upstreams.group("g"), guard: b.guard, arrived: b.relay.now(), deadline: b.relay.now() + generous, reads: true,
+		session: newSession(f.relay, StartupRequest{Database: "bounded"}), route: snap.Databases["bounded"],
+		group: f.relay.upstreams.group("g"), guard: f.guard, arrived: f.relay.now(), deadline: f.relay.now() + generous, reads: true,
 	}
 	byID := make(map[string]routing.Candidate)
 	for _, c := range a.candidates() {
@@ -46,15 +46,15 @@
 // A member fails every second request. It must be a candidate for fewer reads than the other
 // member, but still for some.
 func TestFailingMemberIsDeprioritized(t *testing.T) {
-	b := newFixture(t)
-	bad := b.relay.upstreams.get("m2")
+	f := newFixture(t)
+	bad := f.relay.upstreams.get("m2")
 	for range 50 {
 		bad.recordFailedAttempt(0)
 		bad.recordAnswer(0, 0, bad.position)
 	}
 	a := &attempt{
-		session: newSession(b.relay, StartupRequest{Database: "bounded"}), route: b.snap.Databases["bounded"],
-		group: b.relay.upstreams.group("g"), guard: b.guard,
+		session: newSession(f.relay, StartupRequest{Database: "bounded"}), route: f.snap.Databases["bounded"],
+		group: f.relay.upstreams.group("g"), guard: f.guard,
 	}
 	const choices = 200
 	deferred := make(map[string]int)
--- a/internal/relay/carrier_streams.go
+++ b/internal/relay/carrier_streams.go
@@ -120,8 +120,8 @@
 	return h.SinceAnswer(c.now())
 }
 
-// pingWhileWaiting pings a carrier while a reply is pending and nothing else was heard from it. It
-// calls giveUp when a ping fails, and returns when done is closed.
+// pingWhileWaiting pings a carrier while a reply is pending and it has not answered anything else
+// lately. It calls giveUp when a ping fails, and returns when done is closed.
 func (c *carrierConns) pingWhileWaiting(address string, done <-chan struct{}, giveUp func()) {
 	for {
 		if since, ok := c.sinceLastAnswer(address); !ok || since >= pingAfter {
--- a/internal/relay/carrier_streams_test.go
+++ b/internal/relay/carrier_streams_test.go
@@ -14,10 +14,10 @@
 	"github.com/stackspindle/stackspindle/internal/standin/faultproxy"
 )
 
-// echoCarrier is a carrier that answers a request with its text once hold is closed.
+// echoCarrier is a carrier that answers a request with its text once release is closed.
 type echoCarrier struct {
 	*CarrierServer
-	hold chan struct{}
+	release chan struct{}
 }
 
 func (e *echoCarrier) Carry(stream grpc.BidiStreamingServer[relaypb.CarryRequest, relaypb.CarryReply]) error {
@@ -26,7 +26,7 @@
 		if err != nil {
 			return nil
 		}
-		<-e.hold
+		<-e.release
 		if err := stream.Send(&relaypb.CarryReply{Receipt: req.Text}); err != nil {
 			return err
 		}
@@ -39,7 +39,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := grpc.NewServer()
-	carrier := &echoCarrier{CarrierServer: NewCarrierServer(nil), hold: make(chan struct{})}
+	carrier := &echoCarrier{CarrierServer: NewCarrierServer(nil), release: make(chan struct{})}
 	relaypb.RegisterCarrierServer(server, carrier)
 	go func() { _ = server.Serve(l) }() // ends with the test
 	t.Cleanup(server.Stop)
@@ -72,7 +72,7 @@
 // network partitions, statements waited there until their clients gave up.
 func TestUnresponsiveCarrierIsAbandoned(t *testing.T) {
 	c, carrier, proxy := newEchoCarrier(t)
-	close(carrier.hold)
+	close(carrier.release)
 	stream := openWithRetries(t, c, proxy.Addr())
 	reply, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "before"}, long)
 	must.NoError(t, err)
@@ -81,14 +81,14 @@
 	_, err = stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
 	other := lead.Instance{Name: "other", Address: "other"}
-	silent := lead.Instance{Name: "silent", Address: proxy.Addr()}
-	must.Eq(t, []lead.Instance{other, silent}, c.order([]lead.Instance{silent, other}, 2))
+	unresponsive := lead.Instance{Name: "silent", Address: proxy.Addr()}
+	must.Eq(t, []lead.Instance{other, unresponsive}, c.order([]lead.Instance{unresponsive, other}, 2))
 }
 
 // A connection that has become unresponsive must not prevent reaching the carrier over a new one.
 func TestCarrierIsReachableAfterConnectionBecameUnresponsive(t *testing.T) {
 	c, carrier, proxy := newEchoCarrier(t)
-	close(carrier.hold)
+	close(carrier.release)
 	stream := openWithRetries(t, c, proxy.Addr())
 	proxy.SilenceOpen()
 	_, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
@@ -105,7 +105,7 @@
 	stream := openWithRetries(t, c, proxy.Addr())
 	go func() {
 		time.Sleep(3 * pingAfter)
-		close(carrier.hold)
+		close(carrier.release)
 	}()
 	reply, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "slow"}, long)
 	must.NoError(t, err)
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -16,8 +16,8 @@
 	Others       []lead.Instance // the other ones
 }
 
-// PlacementGroup returns a group's properties for placement. It reports false when no group of that name
-// is declared.
+// PlacementGroup returns a group's properties for placement. It reports false when no group of that
+// name is declared.
 func PlacementGroup(snap *topology.Snapshot, name string) (placement.Group, bool) {
 	declared, ok := snap.Groups[name]
 	g := placement.Group{Name: name, MaxConnections: declared.MaxConnections}
@@ -34,8 +34,8 @@
 // SetPlacement sets the placement by which statements are routed from now on.
 func (r *Relay) SetPlacement(snapshot *PlacementSnapshot) { r.placement.Store(snapshot) }
 
-// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
-// the slice.
+// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not
+// change the slice.
 func (r *Relay) ServedGroups() []string { return r.placement.Load().ServedGroups() }
 
 // AllServeAllGroups reports whether every instance serves every group.
--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -18,23 +18,23 @@
 // fakeClient is a ClientConn that sends statements, each after the answer to the one before, and
 // disconnects when the test calls disconnect.
 type fakeClient struct {
-	start  StartupRequest
-	queue  chan statement.Statement
-	gone   atomic.Bool
-	closed chan struct{}
+	startup      StartupRequest
+	queue        chan statement.Statement
+	disconnected atomic.Bool
+	closed       chan struct{}
 
 	mu      sync.Mutex // guards answers
 	answers []statement.Answer
 }
 
 // connect serves a client. done is closed when its session has ended.
-func (b *fixture) connect(t *testing.T, start StartupRequest, statements ...statement.Statement) (c *fakeClient, done <-chan struct{}) {
+func (f *fixture) connect(t *testing.T, start StartupRequest, statements ...statement.Statement) (c *fakeClient, done <-chan struct{}) {
 	t.Helper()
-	c = &fakeClient{start: start, queue: make(chan statement.Statement, len(statements)), closed: make(chan struct{})}
+	c = &fakeClient{startup: start, queue: make(chan statement.Statement, len(statements)), closed: make(chan struct{})}
 	for _, st := range statements {
 		c.queue <- st
 	}
-	server, err := NewServer(b.relay, func(net.Conn) ClientConn { return c }, 1)
+	server, err := NewServer(f.relay, func(net.Conn) ClientConn { return c }, 1)
 	must.NoError(t, err)
 	ended := make(chan struct{})
 	go func() {
@@ -45,11 +45,11 @@
 }
 
 func (c *fakeClient) disconnect() {
-	c.gone.Store(true)
+	c.disconnected.Store(true)
 	close(c.closed)
 }
 
-func (c *fakeClient) ReadStartup() (StartupRequest, error) { return c.start, nil }
+func (c *fakeClient) ReadStartup() (StartupRequest, error) { return c.startup, nil }
 
 func (c *fakeClient) ConfirmStartup() error { return nil }
 
@@ -73,7 +73,7 @@
 
 func (c *fakeClient) InputEmpty() bool { return true }
 
-func (c *fakeClient) PeerClosed() bool { return c.gone.Load() }
+func (c *fakeClient) PeerClosed() bool { return c.disconnected.Load() }
 
 func (c *fakeClient) SetReadDeadline(time.Time) error { return nil }
 
@@ -101,16 +101,16 @@
 // A client disconnects while its write waits here for a connection that is in use. The write must
 // leave the queue, its token must be returned, and it must never run.
 func TestClientDisconnectsWhileStatementIsQueued(t *testing.T) {
-	b := newFixture(t)
-	reached, release := b.group.Hold("m1")
-	upstream := b.relay.upstreams.get("m1")
+	f := newFixture(t)
+	reached, release := f.group.Hold("m1")
+	upstream := f.relay.upstreams.get("m1")
 	upstream.pool.SetCapacity(1)
 	upstream.pool.SetMaxActive(1)
-	first, firstEnded := b.connect(t, StartupRequest{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
+	first, firstEnded := f.connect(t, StartupRequest{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
 	<-reached
 	limiter := newRecordingLimiter()
-	b.relay.limiter = limiter
-	c, ended := b.connect(t, StartupRequest{Database: "strict"}, write)
+	f.relay.limiter = limiter
+	c, ended := f.connect(t, StartupRequest{Database: "strict"}, write)
 	<-limiter.used
 	awaitWaiting(upstream, 1)
 	c.disconnect()
@@ -120,7 +120,7 @@
 	first.disconnect()
 	release()
 	<-firstEnded
-	must.SliceEmpty(t, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
 }
 
 // awaitWaiting waits until n requests wait for connections to a member.
@@ -132,31 +132,31 @@
 
 // A client disconnects while its write waits for the next primary. The write must be dropped.
 func TestClientDisconnectsWhileWaitingForPrimary(t *testing.T) {
-	b := newFixture(t)
-	must.NoError(t, b.guard.Release(t.Context(), 2, 0))
+	f := newFixture(t)
+	must.NoError(t, f.guard.Release(t.Context(), 2, 0))
 	limiter := newRecordingLimiter()
-	b.relay.limiter = limiter
-	c, ended := b.connect(t, StartupRequest{Database: "strict"}, write)
+	f.relay.limiter = limiter
+	c, ended := f.connect(t, StartupRequest{Database: "strict"}, write)
 	<-limiter.used
 	c.disconnect()
 	<-ended
 	<-limiter.returned
-	must.SliceEmpty(t, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
 }
 
 // A client disconnects while its write is queued at a carrier. The write must leave the carrier's
 // queue, its token must be returned, and the carrier must not count as unresponsive.
 func TestClientDisconnectsWhileStatementIsQueuedAtCarrier(t *testing.T) {
-	b := newFixture(t)
-	reached, release := b.group.Hold("m1")
-	upstream := b.relay.upstreams.get("m1")
+	f := newFixture(t)
+	reached, release := f.group.Hold("m1")
+	upstream := f.relay.upstreams.get("m1")
 	upstream.pool.SetCapacity(1)
 	upstream.pool.SetMaxActive(1)
-	first, firstEnded := b.connect(t, StartupRequest{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
+	first, firstEnded := f.connect(t, StartupRequest{Database: "strict"}, statement.Statement{ID: "f", Kind: statement.Begin, Text: "BEGIN"})
 	<-reached
 	limiter := newRecordingLimiter()
-	b.relay.limiter = limiter
-	ingress := &fixture{relay: newIngress(t, b)}
+	f.relay.limiter = limiter
+	ingress := &fixture{relay: newIngress(t, f)}
 	c, ended := ingress.connect(t, StartupRequest{Database: "strict"}, write)
 	<-limiter.used
 	awaitWaiting(upstream, 1)
@@ -167,7 +167,7 @@
 	first.disconnect()
 	release()
 	<-firstEnded
-	must.SliceEmpty(t, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
 	address := ingress.relay.CarriersOf("g").Others[0].Address
 	ingress.relay.carrierConns.mu.Lock()
 	defer ingress.relay.carrierConns.mu.Unlock()
@@ -180,13 +180,13 @@
 // complete exactly once, and its token must stay used.
 func TestClientDisconnectsWhileMemberRunsStatement(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
-		b := newFixture(t)
-		reached, release := b.group.Hold("m1")
+		f := newFixture(t)
+		reached, release := f.group.Hold("m1")
 		limiter := newRecordingLimiter()
-		b.relay.limiter = limiter
-		ingress := b
+		f.relay.limiter = limiter
+		ingress := f
 		if forwarded {
-			ingress = &fixture{relay: newIngress(t, b)}
+			ingress = &fixture{relay: newIngress(t, f)}
 		}
 		c, ended := ingress.connect(t, StartupRequest{Database: "strict"}, write)
 		<-reached
@@ -196,11 +196,11 @@
 		}
 		release()
 		<-ended
-		for len(b.group.Log()) == 0 {
+		for len(f.group.Log()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		must.Len(t, 1, b.group.Log())
-		must.Len(t, 1, b.group.Ran("m1"))
+		must.Len(t, 1, f.group.Log())
+		must.Len(t, 1, f.group.Ran("m1"))
 		must.Eq(t, 1, len(limiter.used))
 		must.Zero(t, len(limiter.returned))
 	}
@@ -210,27 +210,27 @@
 // be rolled back when the statement has ended.
 func TestClientDisconnectsInsideTransaction(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
-		b := newFixture(t)
-		ingress := b
+		f := newFixture(t)
+		ingress := f
 		if forwarded {
-			ingress = &fixture{relay: newIngress(t, b)}
+			ingress = &fixture{relay: newIngress(t, f)}
 		}
 		begin := statement.Statement{ID: "b", Kind: statement.Begin, Text: "BEGIN"}
 		c, ended := ingress.connect(t, StartupRequest{Database: "strict"}, begin)
 		for len(c.receivedAnswers()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		reached, release := b.group.Hold("m1")
+		reached, release := f.group.Hold("m1")
 		c.queue <- write
 		<-reached
 		c.disconnect()
 		release()
 		<-ended
-		upstream := b.relay.upstreams.get("m1")
+		upstream := f.relay.upstreams.get("m1")
 		for upstream.pool.InUse() > 0 {
 			time.Sleep(time.Millisecond)
 		}
-		must.SliceEmpty(t, b.group.Log())
+		must.SliceEmpty(t, f.group.Log())
 	}
 }
 
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -20,7 +20,7 @@
 	// connection no longer counts towards the member's concurrent statements, so that a lost answer
 	// doesn't block others. It is also the least time that a member gets for a read that another
 	// member could serve. The factor is large because statements of one class differ in their work,
-	// and wait for others.
+	// and wait for each other.
 	maxWorkMultiple = 8
 	// defaultMaxWork is the limit while the typical duration is not known.
 	defaultMaxWork = 150 * time.Millisecond
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -53,8 +53,8 @@
 }
 
 // forwardTo runs the first statement of a transaction at one carrier. tryNext reports that nothing
-// can have changed and another carrier is to be asked; answer then has the reason. othersLeft says that
-// another carrier may have capacity.
+// can have changed and another carrier is to be asked; answer then has the reason. othersLeft says
+// that another carrier may have capacity.
 func (s *session) forwardTo(ctx context.Context, st statement.Statement, route topology.Route, query admission.Query, carrier lead.Instance, arrived time.Duration, othersLeft bool) (answer statement.Answer, tryNext bool) {
 	remaining := arrived + route.Timeout - s.relay.now()
 	stream, err := s.relay.carrierConns.open(carrier.Address, remaining)
--- a/internal/relay/ingress_test.go
+++ b/internal/relay/ingress_test.go
@@ -45,11 +45,11 @@
 		Started: carrier.relay.started, Topology: carrier.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: carrier.relay.upstreams, Conns: conns, Log: carrier.relay.log, Metrics: metrics.NewSet(),
 	})
-	placed := &PlacementSnapshot{
+	snapshot := &PlacementSnapshot{
 		carriers:  immutable.NewMap[string, placement.Carriers](nil).Set("g", placement.Carriers{Names: []string{"carrier"}}),
 		instances: map[string]lead.Instance{"carrier": {Name: "carrier", Address: l.Addr().String()}},
 	}
-	ingress.SetPlacement(placed)
+	ingress.SetPlacement(snapshot)
 	openWithRetries(t, ingress.carrierConns, l.Addr().String()).release() // so that statements do not wait for the connection
 	return ingress
 }
@@ -71,36 +71,36 @@
 	asked    int
 }
 
-func (h *emptyLimiter) Spend(_ context.Context, name string, _ time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *emptyLimiter) Spend(_ context.Context, name string, _ time.Duration) (quota.Token, quota.Shortage, bool) {
 	if name != "hot" {
 		return quota.Token{}, quota.Shortage{}, true
 	}
-	h.asked++
-	return quota.Token{}, h.shortage, false
+	l.asked++
+	return quota.Token{}, l.shortage, false
 }
 
 // Clients go on sending statements of an account that is at its limit. The ingress instance must
 // refuse them itself, each with a longer retry delay; only the first may reach the carrier, and
 // other accounts must not be affected.
 func TestIngressRefusesAccountAtItsLimit(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	b.setConfig(2, account.NewDirectory([]account.Account{
+	f.setConfig(2, account.NewDirectory([]account.Account{
 		{Name: "hot", Keys: []account.Key{account.NewKey("key-hot")}, Limit: limit},
 		{Name: "cold", Keys: []account.Key{account.NewKey("key-cold")}, Limit: limit},
 	}))
 	carrier := &emptyLimiter{shortage: quota.Shortage{ComeBack: testRetryAfter, Without: 1}}
-	b.relay.limiter = carrier
-	ingress := newIngress(t, b)
+	f.relay.limiter = carrier
+	ingress := newIngress(t, f)
 	ingress.limiter = limiterOf(ingress)
-	e := &fixture{relay: ingress}
+	ingressFixture := &fixture{relay: ingress}
 	var last time.Duration
 	for range 20 {
-		answer := e.run(newSession(ingress, withKey("strict", "hot")), statement.Read, "READ 1")
+		answer := ingressFixture.run(newSession(ingress, withKey("strict", "hot")), statement.Read, "READ 1")
 		must.Eq(t, statement.Busy, answer.Err.Code)
 		must.Greater(t, last, answer.Err.RetryAfter)
 		last = answer.Err.RetryAfter
-		must.Nil(t, e.run(newSession(ingress, withKey("strict", "cold")), statement.Read, "READ 1").Err)
+		must.Nil(t, ingressFixture.run(newSession(ingress, withKey("strict", "cold")), statement.Read, "READ 1").Err)
 	}
 	must.Eq(t, 1, carrier.asked)
 }
@@ -112,15 +112,15 @@
 		{ComeBack: time.Second, Silent: 1}, {ComeBack: time.Second, Silent: 1, Without: 5}, {ComeBack: time.Second, Gone: 6}, {ComeBack: time.Second, Without: 2, Gone: 4},
 		{ComeBack: -time.Second, Without: 1}, {ComeBack: time.Hour, Without: 1},
 	} {
-		b := newFixture(t)
-		b.declareAccounts(2, "hot")
+		f := newFixture(t)
+		f.declareAccounts(2, "hot")
 		carrier := &emptyLimiter{shortage: shortage}
-		b.relay.limiter = carrier
-		ingress := newIngress(t, b)
+		f.relay.limiter = carrier
+		ingress := newIngress(t, f)
 		ingress.limiter = limiterOf(ingress)
-		e := &fixture{relay: ingress}
+		ingressFixture := &fixture{relay: ingress}
 		for range 20 {
-			refusal := e.run(newSession(ingress, withKey("strict", "hot")), statement.Read, "READ 1").Err
+			refusal := ingressFixture.run(newSession(ingress, withKey("strict", "hot")), statement.Read, "READ 1").Err
 			must.Eq(t, statement.Busy, refusal.Code)
 			must.StrContains(t, refusal.Detail, "the account is at its limit")
 		}
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -11,8 +11,8 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// PlacementSnapshot is an immutable snapshot of the carriers of all groups, as this instance computes them. A
-// nil PlacementSnapshot means that none are known yet.
+// PlacementSnapshot is an immutable snapshot of the carriers of all groups, as this instance
+// computes them. A nil PlacementSnapshot means that none are known yet.
 type PlacementSnapshot struct {
 	self             string
 	carriers         *immutable.Map[string, placement.Carriers] // by group
@@ -46,8 +46,8 @@
 	return shares, shares.Includes(p.self), known
 }
 
-// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not change
-// the slice.
+// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not
+// change the slice.
 func (p *PlacementSnapshot) ServedGroups() []string {
 	if p == nil {
 		return nil
@@ -90,8 +90,8 @@
 	return previous
 }
 
-// PlacementTracker computes the carriers of all groups and updates them as the fleet changes. It is not
-// safe for concurrent use; the snapshots that Snapshot returns are.
+// PlacementTracker computes the carriers of all groups and updates them as the fleet changes. It is
+// not safe for concurrent use; the snapshots that Snapshot returns are.
 type PlacementTracker struct {
 	localities locality.Map
 	table      *placement.Table
--- a/internal/relay/queueing_test.go
+++ b/internal/relay/queueing_test.go
@@ -22,9 +22,9 @@
 
 // fillSlots takes all slots of the primary, and queues further requests with the given expected
 // duration.
-func fillSlots(t *testing.T, b *fixture, waiting int, work time.Duration) []*connpool.Lease[*member.Shared] {
+func fillSlots(t *testing.T, f *fixture, waiting int, work time.Duration) []*connpool.Lease[*member.Shared] {
 	t.Helper()
-	p := b.relay.upstreams.get("m1").pool
+	p := f.relay.upstreams.get("m1").pool
 	var leases []*connpool.Lease[*member.Shared]
 	for p.InUse() < p.Backlog(0).Slots {
 		lease, err := p.Acquire(t.Context(), pool.Request{Any: true, Work: work, Deadline: generous}, nil)
@@ -34,50 +34,50 @@
 	for range waiting {
 		go func() { _, _ = p.Acquire(t.Context(), pool.Request{Any: true, Work: work, Deadline: generous}, nil) }() // never granted
 	}
-	awaitWaiting(b.relay.upstreams.get("m1"), waiting)
+	awaitWaiting(f.relay.upstreams.get("m1"), waiting)
 	return leases
 }
 
 // learnDuration sets the typical duration of a database's statements.
-func learnDuration(b *fixture, database string, usual time.Duration) {
+func learnDuration(f *fixture, database string, typical time.Duration) {
 	for range 100 {
-		b.relay.paceMember(b.relay.upstreams.get("m1"), b.relay.upstreams.group("g"), b.snap.Databases[database], usual)
+		f.relay.paceMember(f.relay.upstreams.get("m1"), f.relay.upstreams.group("g"), f.snap.Databases[database], typical)
 	}
 }
 
 // refusals returns how many statements were refused for a reason.
-func refusals(b *fixture, reason string) uint64 {
-	return b.relay.metrics.GetOrCreateCounter(`stackspindle_refusals_total{reason="` + reason + `",priority="0"}`).Get()
+func refusals(f *fixture, reason string) uint64 {
+	return f.relay.metrics.GetOrCreateCounter(`stackspindle_refusals_total{reason="` + reason + `",priority="0"}`).Get()
 }
 
 // The primary's queue is longer than a statement can wait. The statement must be refused before it
 // is queued, with a retry delay that covers the time in which the queue drains.
 func TestStatementIsRefusedBeforeLongQueue(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	const waiting, work = 20, 100 * time.Millisecond
-	learnDuration(b, "hurried", work)
-	fillSlots(t, b, waiting, work)
-	a := b.run(newSession(b.relay, StartupRequest{Database: "hurried"}), statement.Write, "WRITE 1 x")
+	learnDuration(f, "hurried", work)
+	fillSlots(t, f, waiting, work)
+	a := f.run(newSession(f.relay, StartupRequest{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
-	must.Eq(t, 1, refusals(b, "late"))
-	slots := b.relay.upstreams.get("m1").pool.Backlog(0).Slots
+	must.Eq(t, 1, refusals(f, "late"))
+	slots := f.relay.upstreams.get("m1").pool.Backlog(0).Slots
 	must.GreaterEq(t, waiting*work/time.Duration(slots), a.Err.RetryAfter)
-	must.SliceEmpty(t, b.group.Ran("m1"))
+	must.SliceEmpty(t, f.group.Ran("m1"))
 }
 
 // All slots are taken shortly after a start, when no typical duration is known. A statement must
 // stay queued past its objective while its deadline allows.
 func TestAdmittedStatementIsQueuedPastItsObjective(t *testing.T) {
-	b := newFixture(t)
-	route := b.snap.Databases["strict"]
+	f := newFixture(t)
+	route := f.snap.Databases["strict"]
 	route.LatencyObjective = time.Millisecond
-	b.snap.Databases["strict"] = route
-	leases := fillSlots(t, b, 0, 0)
+	f.snap.Databases["strict"] = route
+	leases := fillSlots(t, f, 0, 0)
 	answered := make(chan statement.Answer, 1)
 	go func() {
-		answered <- b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 1 x")
+		answered <- f.run(newSession(f.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 1 x")
 	}()
-	awaitWaiting(b.relay.upstreams.get("m1"), 1)
+	awaitWaiting(f.relay.upstreams.get("m1"), 1)
 	time.Sleep(5 * route.LatencyObjective)
 	for _, lease := range leases {
 		lease.Release()
@@ -88,50 +88,50 @@
 // The primary is being changed. A statement whose time ends before the next primary is expected
 // must be refused at once, with a retry delay; one with more time must wait.
 func TestStatementsDuringChangeOfPrimary(t *testing.T) {
-	b := newFixture(t)
-	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
-	a := b.run(newSession(b.relay, StartupRequest{Database: "hurried"}), statement.Write, "WRITE 1 x")
+	f := newFixture(t)
+	f.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 2)
+	a := f.run(newSession(f.relay, StartupRequest{Database: "hurried"}), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
-	must.Eq(t, 1, refusals(b, "no_primary"))
+	must.Eq(t, 1, refusals(f, "no_primary"))
 	must.Positive(t, a.Err.RetryAfter)
 	answered := make(chan statement.Answer, 1)
 	go func() {
-		answered <- b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x")
+		answered <- f.run(newSession(f.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x")
 	}()
 	time.Sleep(5 * retryDelay)
-	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
-	b.guard.Confirm(b.relay.now())
+	f.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 3)
+	f.guard.Confirm(f.relay.now())
 	must.Nil(t, (<-answered).Err)
 }
 
 // The duration of a change of primary is learned from the statements that waited for its end.
 func TestOutageDurationIsLearned(t *testing.T) {
 	g := &groupState{}
-	gate := lead.NewGate(func() time.Duration { return 300 * time.Millisecond })
-	gate.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
-	g.recordOutage(300*time.Millisecond, gate)
+	guard := lead.NewGate(func() time.Duration { return 300 * time.Millisecond })
+	guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1, Change: &lead.Change{ID: "c"}}, 1)
+	g.recordOutage(300*time.Millisecond, guard)
 	g.recordPrimary(320 * time.Millisecond)
 	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true))
-	g.recordOutage(400*time.Millisecond, gate)
+	g.recordOutage(400*time.Millisecond, guard)
 	g.recordPrimary(time.Hour)
 	must.Eq(t, 20*time.Millisecond, g.outages.durations.Left(0, true), must.Sprint("no statement met the end of the outage"))
 }
 
 // A carrier's replies contain the queueing delays there, and nothing when no statement would wait.
 func TestCarrierReportsQueueingDelays(t *testing.T) {
-	b := newFixture(t)
-	b.relay.EnableCarrier()
-	server := NewCarrierServer(b.relay)
+	f := newFixture(t)
+	f.relay.EnableCarrier()
+	server := NewCarrierServer(f.relay)
 	read := &relaypb.CarryRequest{Database: "strict", Id: "x", Text: "READ 1", Kind: int32(statement.Read)}
 	reply := server.runStatement(context.Background(), &forwardedSession{}, read)
 	must.Zero(t, reply.Code)
 	must.SliceEmpty(t, reply.PrimaryWaitUs)
 	must.SliceEmpty(t, reply.ReplicaWaitUs)
 
-	b = newFixture(t)
-	learnDuration(b, "hurried", 100*time.Millisecond)
-	fillSlots(t, b, 20, 100*time.Millisecond)
-	b.relay.addWaitForecast(reply, "g")
+	f = newFixture(t)
+	learnDuration(f, "hurried", 100*time.Millisecond)
+	fillSlots(t, f, 20, 100*time.Millisecond)
+	f.relay.addWaitForecast(reply, "g")
 	must.Positive(t, reply.PrimaryWaitUs[0])
 	must.SliceEmpty(t, reply.ReplicaWaitUs, must.Sprint("the replica has free slots"))
 }
@@ -169,39 +169,39 @@
 // One carrier is overloaded, or cannot reach the primary, and another is not. A statement that the
 // first refuses must run at the second, and later statements must not be sent to the first.
 func TestStatementGoesToCarrierWithCapacity(t *testing.T) {
-	b := newFixture(t)
-	full, first := newFakeCarrier(t, &relaypb.CarryReply{
+	f := newFixture(t)
+	overloaded, first := newFakeCarrier(t, &relaypb.CarryReply{
 		Code: int32(statement.Busy), State: uint32(statement.Idle), PrimaryWaitUs: []uint32{9e6}, Position: encodePosition(group.Position{}),
 	})
 	free, second := newFakeCarrier(t, &relaypb.CarryReply{Receipt: "done", State: uint32(statement.Idle)})
-	route := b.snap.Databases["strict"]
+	route := f.snap.Databases["strict"]
 	route.LatencyObjective = time.Second
 	write := statement.Statement{ID: "x", Kind: statement.Write, Text: "WRITE 1 x"}
-	s := newSession(b.relay, StartupRequest{Database: "strict"})
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
 	for n := range 3 {
-		a := s.forward(t.Context(), write, route, []lead.Instance{first, second}, b.relay.now())
+		a := s.forward(t.Context(), write, route, []lead.Instance{first, second}, f.relay.now())
 		must.Nil(t, a.Err, must.Sprint(n))
 		must.Eq(t, "done", a.Receipt)
 	}
-	must.Eq(t, 1, full.asked.Load())
+	must.Eq(t, 1, overloaded.asked.Load())
 	must.Eq(t, 3, free.asked.Load())
 
-	a := s.forward(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
+	a := s.forward(t.Context(), write, route, []lead.Instance{first}, f.relay.now())
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("one is let through to update the forecast"))
-	asked := full.asked.Load()
-	for refusals(b, admission.AllRefuse.String()) == 0 { // one is let through now and then
-		asked = full.asked.Load()
-		a = s.forward(t.Context(), write, route, []lead.Instance{first}, b.relay.now())
+	asked := overloaded.asked.Load()
+	for refusals(f, admission.AllRefuse.String()) == 0 { // one is let through now and then
+		asked = overloaded.asked.Load()
+		a = s.forward(t.Context(), write, route, []lead.Instance{first}, f.relay.now())
 		must.Eq(t, statement.Busy, a.Err.Code)
 	}
-	must.Eq(t, asked, full.asked.Load(), must.Sprint("refused without asking the carrier"))
+	must.Eq(t, asked, overloaded.asked.Load(), must.Sprint("refused without asking the carrier"))
 }
 
 // A member is unresponsive. One statement is sent to find out whether it answers again; meanwhile,
 // statements with less time than the member has been unresponsive must be refused.
 func TestOneStatementProbesUnresponsiveMember(t *testing.T) {
-	b := newFixture(t)
-	upstream := b.relay.upstreams.get("m1")
+	f := newFixture(t)
+	upstream := f.relay.upstreams.get("m1")
 	upstream.recordAnswer(0, 0, group.Position{})
 	upstream.recordFailedAttempt(0)
 	hurried := admission.Request{ID: "x", Objective: 200 * time.Millisecond}
@@ -209,10 +209,10 @@
 		return upstream.decideAdmission(time.Second, 0, hurried, admission.OnPrimary)
 	}
 	must.True(t, decide().Admit, must.Sprint("no statement probes it"))
-	a := &attempt{session: &session{relay: b.relay}, reads: true}
-	probe := a.enterQueue(upstream, b.relay.now()+generous)
+	a := &attempt{session: &session{relay: f.relay}, reads: true}
+	probe := a.enterQueue(upstream, f.relay.now()+generous)
 	must.Eq(t, admission.Unreachable, decide().Reason)
-	second := a.enterQueue(upstream, b.relay.now()+generous)
+	second := a.enterQueue(upstream, f.relay.now()+generous)
 	second.leaveQueue(false)
 	must.Eq(t, admission.Unreachable, decide().Reason, must.Sprint("the first statement still probes it"))
 	probe.leaveQueue(false)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -65,8 +65,8 @@
 	Self       lead.Instance // this instance
 	Localities locality.Map  // the region of each data centre
 	Topology   func() *topology.Snapshot
-	// TopologyIsCurrent reports whether the topology was confirmed recently enough to conclude that an entry
-	// missing from it does not exist.
+	// TopologyIsCurrent reports whether the topology was confirmed recently enough to conclude that
+	// an entry missing from it does not exist.
 	TopologyIsCurrent func() bool
 	// StoredRecord returns the record of a group as this instance last read it from the store.
 	StoredRecord func(group string) StoredRecord
@@ -97,8 +97,8 @@
 	return r
 }
 
-// PrimaryGuard returns the guard of a group's primary, and creates it when the group is first used on this
-// instance.
+// PrimaryGuard returns the guard of a group's primary, and creates it when the group is first used
+// on this instance.
 func (r *Relay) PrimaryGuard(group string) *lead.Gate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -28,9 +28,9 @@
 	ReadStartup() (StartupRequest, error)
 	// ConfirmStartup tells the client that its session has begun.
 	ConfirmStartup() error
-	// ReadStatement reads the next statement. It returns io.EOF when the client closed the connection in an
-	// orderly way. A *statement.Error is a protocol error by the client: if the statement's ID is
-	// known the error is sent as its answer, otherwise the connection is closed.
+	// ReadStatement reads the next statement. It returns io.EOF when the client closed the
+	// connection in an orderly way. A *statement.Error is a protocol error by the client: if the
+	// statement's ID is known the error is sent as its answer, otherwise the connection is closed.
 	ReadStatement() (statement.Statement, error)
 	// SendAnswer sends a complete answer.
 	SendAnswer(a statement.Answer) error
@@ -38,8 +38,9 @@
 	SendRefusal(e *statement.Error) error
 	// InputEmpty reports whether no unread input from the client is pending.
 	InputEmpty() bool
-	// PeerClosed reports whether the client has closed the connection and no input is left to read. It
-	// consumes no input, and may be called concurrently with all methods but ReadStartup and ReadStatement.
+	// PeerClosed reports whether the client has closed the connection and no input is left to read.
+	// It consumes no input, and may be called concurrently with all methods but ReadStartup and
+	// ReadStatement.
 	PeerClosed() bool
 	// SetReadDeadline sets the deadline of ReadStatement.
 	SetReadDeadline(t time.Time) error
@@ -271,8 +272,8 @@
 	return len(s.clients)
 }
 
-// Drain drains the server. Idle sessions end at once, others after their statement; open
-// transactions may go on until they end or ctx is done.
+// Drain ends all sessions: idle ones at once, others after their statement. Open transactions may
+// go on until they end or ctx is done.
 func (s *Server) Drain(ctx context.Context) {
 	s.mu.Lock()
 	s.draining = true
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -30,10 +30,10 @@
 	snap *topology.Snapshot
 }
 
-func (b *fixture) topology() *topology.Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.snap
+func (f *fixture) topology() *topology.Snapshot {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.snap
 }
 
 const generous = time.Minute // a timeout that no test reaches
@@ -56,15 +56,15 @@
 	upstreams := NewUpstreams(group, func() time.Duration { return time.Since(started) })
 	upstreams.Update(snap, placedFor(snap, 1), "")
 	t.Cleanup(upstreams.Close)
-	b := &fixture{group: group, snap: snap}
-	b.relay = New(Config{
-		Started: started, Topology: b.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
+	f := &fixture{group: group, snap: snap}
+	f.relay = New(Config{
+		Started: started, Topology: f.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
-	b.guard = b.relay.PrimaryGuard("g")
-	b.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
-	b.guard.Confirm(b.relay.now())
-	return b
+	f.guard = f.relay.PrimaryGuard("g")
+	f.guard.Learn(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
+	f.guard.Confirm(f.relay.now())
+	return f
 }
 
 // placedFor returns the placement for a number of registered instances.
@@ -79,108 +79,108 @@
 }
 
 // run runs a statement that arrives now in a session.
-func (b *fixture) run(s *session, kind statement.Kind, text string) statement.Answer {
-	return s.handle(context.Background(), statement.Statement{ID: "x", Kind: kind, Text: text}, b.relay.now())
+func (f *fixture) run(s *session, kind statement.Kind, text string) statement.Answer {
+	return s.handle(context.Background(), statement.Statement{ID: "x", Kind: kind, Text: text}, f.relay.now())
 }
 
 func TestIdleTransactionIsRolledBack(t *testing.T) {
-	b := newFixture(t)
-	s := newSession(b.relay, StartupRequest{Database: "strict"})
-	must.Eq(t, statement.InTransaction, b.run(s, statement.Begin, "BEGIN").State)
-	must.Eq(t, statement.InTransaction, b.run(s, statement.Write, "WRITE 1 x").State)
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
+	must.Eq(t, statement.InTransaction, f.run(s, statement.Begin, "BEGIN").State)
+	must.Eq(t, statement.InTransaction, f.run(s, statement.Write, "WRITE 1 x").State)
 	s.abandonTx("the transaction rested for too long")
-	a := b.run(s, statement.Commit, "COMMIT")
+	a := f.run(s, statement.Commit, "COMMIT")
 	must.Eq(t, statement.Aborted, a.Err.Code)
 	must.Eq(t, statement.Idle, a.State)
-	must.SliceEmpty(t, b.group.Log())
-	must.Nil(t, b.run(s, statement.Write, "WRITE 2 x").Err)
-	must.Len(t, 1, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
+	must.Nil(t, f.run(s, statement.Write, "WRITE 2 x").Err)
+	must.Len(t, 1, f.group.Log())
 }
 
 // A release of the primary cancels a transaction that doesn't end in time, and completes only when
 // nothing of it is in progress.
 func TestReleaseEndsOpenTransactions(t *testing.T) {
-	b := newFixture(t)
-	s := newSession(b.relay, StartupRequest{Database: "strict"})
-	b.run(s, statement.Begin, "BEGIN")
-	b.run(s, statement.Write, "WRITE 1 x")
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
+	f.run(s, statement.Begin, "BEGIN")
+	f.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
-	go func() { released <- b.guard.Release(t.Context(), 2, time.Millisecond) }()
+	go func() { released <- f.guard.Release(t.Context(), 2, time.Millisecond) }()
 	var a statement.Answer
 	for a.Err == nil {
-		a = b.run(s, statement.Write, "WRITE 1 x")
+		a = f.run(s, statement.Write, "WRITE 1 x")
 	}
 	must.Eq(t, statement.Aborted, a.Err.Code)
 	must.NoError(t, <-released)
-	must.SliceEmpty(t, b.group.Log())
-	h := newSession(b.relay, StartupRequest{Database: "hurried"})
-	a = b.run(h, statement.Write, "WRITE 2 x")
+	must.SliceEmpty(t, f.group.Log())
+	h := newSession(f.relay, StartupRequest{Database: "hurried"})
+	a = f.run(h, statement.Write, "WRITE 2 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Positive(t, a.Err.RetryAfter)
-	must.SliceEmpty(t, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
 }
 
 // A release waits for an open transaction that ends in time, so that its commit is acknowledged.
 func TestReleaseWaitsForOpenTransaction(t *testing.T) {
-	b := newFixture(t)
-	s := newSession(b.relay, StartupRequest{Database: "strict"})
-	b.run(s, statement.Begin, "BEGIN")
-	b.run(s, statement.Write, "WRITE 1 x")
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
+	f.run(s, statement.Begin, "BEGIN")
+	f.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
-	go func() { released <- b.guard.Release(t.Context(), 2, generous) }()
+	go func() { released <- f.guard.Release(t.Context(), 2, generous) }()
 	for {
-		if _, err := b.guard.Authority(); err != nil {
+		if _, err := f.guard.Authority(); err != nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
+	must.Nil(t, f.run(s, statement.Commit, "COMMIT").Err)
 	must.NoError(t, <-released)
-	must.Len(t, 1, b.group.Log())
+	must.Len(t, 1, f.group.Log())
 }
 
 func TestBoundedReadsUseReplicasAfterFirstSample(t *testing.T) {
-	b := newFixture(t)
-	s := newSession(b.relay, StartupRequest{Database: "bounded"})
-	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
-	must.Eq(t, "m2.x", b.run(s, statement.Read, "READ 1").Receipt)
-	b.group.SetReach("m2", membergroup.Dead)
-	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt)
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "bounded"})
+	must.Eq(t, "m1.x", f.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
+	must.Eq(t, "m2.x", f.run(s, statement.Read, "READ 1").Receipt)
+	f.group.SetReach("m2", membergroup.Dead)
+	must.Eq(t, "m1.x", f.run(s, statement.Read, "READ 1").Receipt)
 }
 
 func TestReleaseRevokesPermits(t *testing.T) {
-	b := newFixture(t)
-	permit, err := b.guard.Enter(func() {})
+	f := newFixture(t)
+	permit, err := f.guard.Enter(func() {})
 	must.NoError(t, err)
 	must.True(t, permit.Valid())
-	must.Error(t, b.guard.Release(cancelled(t), 2, 0), must.Sprint("a permit is still in use"))
+	must.Error(t, f.guard.Release(cancelledContext(t), 2, 0), must.Sprint("a permit is still in use"))
 	must.False(t, permit.Valid())
 	permit.Done()
 	permit.Done()
-	must.NoError(t, b.guard.Release(t.Context(), 2, 0))
+	must.NoError(t, f.guard.Release(t.Context(), 2, 0))
 }
 
 // The members change while statements run; relies on the race detector.
 func TestMembersChangeUnderTraffic(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	served, done := make(chan struct{}, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		for n := range 50 {
 			<-served // so that a statement runs before each change, and others concurrently
 			state := topology.New(0, 0)
-			state.SetConfig(b.relay.snapshot().Config)
+			state.SetConfig(f.relay.snapshot().Config)
 			for _, id := range []string{"m1", "m2"} {
-				m := b.group.Entry(id)
+				m := f.group.Entry(id)
 				m.Draining = n%2 == 0
 				state.SetMember(0, m, false)
 			}
-			b.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1+n%3), "")
+			f.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1+n%3), "")
 		}
 	}()
-	s := newSession(b.relay, StartupRequest{Database: "bounded"})
+	s := newSession(f.relay, StartupRequest{Database: "bounded"})
 	for {
-		must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
+		must.Nil(t, f.run(s, statement.Read, "READ 1").Err)
 		select {
 		case <-done:
 			return
@@ -190,7 +190,7 @@
 	}
 }
 
-func cancelled(t *testing.T) context.Context {
+func cancelledContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
--- a/internal/relay/unresponsive_test.go
+++ b/internal/relay/unresponsive_test.go
@@ -9,34 +9,34 @@
 )
 
 // openTwoConns opens two connections to the primary and leaves them idle.
-func openTwoConns(t *testing.T, b *fixture) {
-	s, other := newSession(b.relay, StartupRequest{Database: "strict"}), newSession(b.relay, StartupRequest{Database: "strict"})
-	must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
-	must.Nil(t, b.run(other, statement.Begin, "BEGIN").Err)
-	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
-	must.Nil(t, b.run(other, statement.Commit, "COMMIT").Err)
-	must.Eq(t, 2, b.relay.upstreams.get("m1").pool.Open())
+func openTwoConns(t *testing.T, f *fixture) {
+	s, other := newSession(f.relay, StartupRequest{Database: "strict"}), newSession(f.relay, StartupRequest{Database: "strict"})
+	must.Nil(t, f.run(s, statement.Begin, "BEGIN").Err)
+	must.Nil(t, f.run(other, statement.Begin, "BEGIN").Err)
+	must.Nil(t, f.run(s, statement.Commit, "COMMIT").Err)
+	must.Nil(t, f.run(other, statement.Commit, "COMMIT").Err)
+	must.Eq(t, 2, f.relay.upstreams.get("m1").pool.Open())
 }
 
 // All open connections to a member become unresponsive, and new ones work. Only one statement may
 // wait for its timeout.
 func TestUnresponsiveConnectionsCostOneStatement(t *testing.T) {
-	b := newFixture(t)
-	openTwoConns(t, b)
-	b.group.SilenceOpen("m1")
-	s := newSession(b.relay, StartupRequest{Database: "hurried"})
-	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
-	must.Eq(t, 0, b.relay.upstreams.get("m1").pool.Open())
-	must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
+	f := newFixture(t)
+	openTwoConns(t, f)
+	f.group.SilenceOpen("m1")
+	s := newSession(f.relay, StartupRequest{Database: "hurried"})
+	must.Eq(t, statement.Unknown, f.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
+	must.Eq(t, 0, f.relay.upstreams.get("m1").pool.Open())
+	must.Nil(t, f.run(newSession(f.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 }
 
 func TestReadOnUnresponsiveConnectionIsRefused(t *testing.T) {
-	b := newFixture(t)
-	openTwoConns(t, b)
-	b.group.SilenceOpen("m1")
-	a := b.run(newSession(b.relay, StartupRequest{Database: "hurried"}), statement.Read, "READ 1")
+	f := newFixture(t)
+	openTwoConns(t, f)
+	f.group.SilenceOpen("m1")
+	a := f.run(newSession(f.relay, StartupRequest{Database: "hurried"}), statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("a read has no effect, so its outcome is not unknown"))
-	must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Read, "READ 1").Err)
+	must.Nil(t, f.run(newSession(f.relay, StartupRequest{Database: "strict"}), statement.Read, "READ 1").Err)
 }
 
 func TestTransactionOnUnresponsiveConnection(t *testing.T) {
@@ -50,17 +50,17 @@
 		"a commit that only read":   {false, statement.Commit, statement.Aborted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFixture(t)
-			s := newSession(b.relay, StartupRequest{Database: "hurried"})
-			must.Nil(t, b.run(s, statement.Begin, "BEGIN").Err)
+			f := newFixture(t)
+			s := newSession(f.relay, StartupRequest{Database: "hurried"})
+			must.Nil(t, f.run(s, statement.Begin, "BEGIN").Err)
 			if c.wrote {
-				must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
+				must.Nil(t, f.run(s, statement.Write, "WRITE 1 x").Err)
 			}
-			b.group.SilenceOpen("m1")
-			a := b.run(s, c.kind, "COMMIT")
+			f.group.SilenceOpen("m1")
+			a := f.run(s, c.kind, "COMMIT")
 			must.Eq(t, c.want, a.Err.Code)
 			must.Eq(t, statement.Idle, a.State)
-			must.Nil(t, b.run(newSession(b.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
+			must.Nil(t, f.run(newSession(f.relay, StartupRequest{Database: "strict"}), statement.Write, "WRITE 2 x").Err)
 		})
 	}
 }
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -208,8 +208,8 @@
 // absorb alone.
 const stuckReplicaAfter = time.Second
 
-// OverloadedWithoutReplicas reports whether a group's primary is saturated while every replica is stuck with more lag
-// than the routes allow.
+// OverloadedWithoutReplicas reports whether a group's primary is saturated while every replica is
+// stuck with more lag than the routes allow.
 func (u *Upstreams) OverloadedWithoutReplicas(group, primary string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -14,30 +14,30 @@
 // Of many groups, an instance serves few. A guard is created when a group is first used there, and
 // must start with the record that was last read from the store.
 func TestNewGuardHasStoredRecord(t *testing.T) {
-	b := newFixture(t)
-	b.relay.storedRecord = func(group string) StoredRecord {
-		return StoredRecord{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: b.relay.now()}
+	f := newFixture(t)
+	f.relay.storedRecord = func(group string) StoredRecord {
+		return StoredRecord{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: f.relay.now()}
 	}
-	a, err := b.relay.PrimaryGuard("later").Authority()
+	a, err := f.relay.PrimaryGuard("later").Authority()
 	must.NoError(t, err)
 	must.Eq(t, lead.Authority{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
-	b.relay.ForEachPrimaryGuard(func(string, *lead.Gate) { gates++ })
+	f.relay.ForEachPrimaryGuard(func(string, *lead.Gate) { gates++ })
 	must.Eq(t, 2, gates)
-	b.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
-	_, err = b.relay.PrimaryGuard("unknown").Authority()
+	f.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
+	_, err = f.relay.PrimaryGuard("unknown").Authority()
 	must.Error(t, err)
 }
 
 // Groups move between instances for weeks. The state of a member whose group this instance no
 // longer serves must be dropped after a while.
 func TestUnservedMembersAreForgotten(t *testing.T) {
-	b := newFixture(t)
-	upstreams, now := b.relay.upstreams, time.Hour
+	f := newFixture(t)
+	upstreams, now := f.relay.upstreams, time.Hour
 	upstreams.now = func() time.Duration { return now }
-	upstreams.Update(b.snap, &PlacementSnapshot{
+	upstreams.Update(f.snap, &PlacementSnapshot{
 		self:     "here",
-		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", carriedElsewhere(t)),
+		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", servedElsewhere(t)),
 	}, "")
 	must.NotNil(t, upstreams.find("m1"))
 	upstreams.RecordAnswer("m1")
@@ -50,8 +50,8 @@
 	must.NotNil(t, upstreams.get("m1"), must.Sprint("used again"))
 }
 
-// carriedElsewhere returns carriers of a group that do not include the instance "here".
-func carriedElsewhere(t *testing.T) placement.Carriers {
+// servedElsewhere returns carriers of a group that do not include the instance "here".
+func servedElsewhere(t *testing.T) placement.Carriers {
 	t.Helper()
 	c := placement.Place([]placement.Group{{Name: "g", MaxConnections: 10, Homes: []string{"a"}}}, placement.Fleet{Registered: 100})["g"]
 	c.Names = []string{"elsewhere"}
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -51,11 +51,11 @@
 // They are few, cost a member little, and clients wait for their result.
 const probePriority = -1
 
-// errMemberGone means that a member has no entry.
+// errMemberGone means that a member has no entry in the topology.
 var errMemberGone = errors.New("the member's entry is gone")
 
 // mayPassOn reports whether an answer of the primary may be passed on to the client. If the grant
-// is not confirmed the members are asked; reads tells that the answer is to a read.
+// is not confirmed the members are asked; reads is true for an answer to a read.
 func (r *Relay) mayPassOn(g *groupState, permit *lead.Pass, reads bool) bool {
 	switch permit.Standing() {
 	case lead.Confirmed:
