--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -11,7 +11,7 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// Of many groups, an instance serves few. A guard is created when a group is first used there, and
+// Of a thousand groups, an instance serves few. A guard is created when a group is first used there, and
 // must start with the record that was last read from the store.
 func TestNewGuardHasStoredRecord(t *testing.T) {
 	f := newFixture(t)
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -85,8 +85,8 @@
 }
 
 // A read that was sent under a confirmed grant may be delayed, in a queue or by a network
-// partition, until after a promotion. The grant must be checked when the answer arrives; otherwise
-// a read can miss an acknowledged commit, as happened in a simulated crash with a partition.
+// partition, until after a promotion. The grant must be checked when the answer arrives. In the
+// simulated day crash_cut one read missed an acknowledged commit because it was not.
 func TestDelayedReadIsVerified(t *testing.T) {
 	f := newFixture(t)
 	permit, err := f.guard.Enter(func() {})
