--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -11,8 +11,8 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// Of a thousand groups, an instance serves few. A guard is created when a group is first used there, and
-// must start with the record that was last read from the store.
+// Of a thousand groups, an instance serves few. A guard is created when a group is first used there,
+// and must start with the record that was last read from the store.
 func TestNewGuardHasStoredRecord(t *testing.T) {
 	f := newFixture(t)
 	f.relay.storedRecord = func(group string) StoredRecord {
