--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -54,8 +54,8 @@
 		case <-i.ctx.Done():
 			return nil
 		}
-		i.relay.ReportFailures(false)
-		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(abortDelay) })
+		i.relay.LogFailures(false)
+		i.relay.ForEachPrimaryGuard(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(abortDelay) })
 		if !i.stopping.Load() {
 			i.controller.Tick(i.ctx)
 			i.attest()
@@ -73,7 +73,7 @@
 
 // tickPause returns the pause before the next tick.
 func (i *Instance) tickPause() time.Duration {
-	groups := len(i.relay.Carried()) + len(i.view.Load().GroupsLedBy(i.self.Name, i.self.Incarnation))
+	groups := len(i.relay.ServedGroups()) + len(i.view.Load().GroupsLedBy(i.self.Name, i.self.Incarnation))
 	if groups == 0 {
 		return idleTick
 	}
@@ -115,7 +115,7 @@
 	now := i.now()
 	confirmed, started := time.Duration(i.grantsConfirmedAt.Load()), time.Duration(i.attestStartedAt.Load())
 	pause, minAge := attestInterval, attestAfter
-	if !i.relay.AllShared() {
+	if !i.relay.AllServeAllGroups() {
 		minAge = attestAfterPlaced
 	}
 	switch {
@@ -145,7 +145,7 @@
 
 // servesAnyGroup reports whether this instance holds connections to the members of any group.
 func (i *Instance) servesAnyGroup() bool {
-	return i.placements.Placed() == nil || len(i.placements.Placed().Carried()) > 0
+	return i.placements.Snapshot() == nil || len(i.placements.Snapshot().ServedGroups()) > 0
 }
 
 // applyChange puts an update from the follower into force.
@@ -159,7 +159,7 @@
 	}
 	if c.Snapshot || len(c.Events) > 0 {
 		previous := i.view.Swap(view)
-		i.relay.Gates(func(group string, g *lead.PrimaryGuard) {
+		i.relay.ForEachPrimaryGuard(func(group string, g *lead.PrimaryGuard) {
 			if record, revision := view.Record(group); revision > 0 {
 				g.ApplyRecord(record, revision)
 			}
@@ -179,10 +179,10 @@
 			i.registeredAt.Store(int64(i.now())) // set first, since others read it once registeredOnce is set
 			i.registeredOnce.Store(true)
 		}
-		i.relay.StartCarrying()
+		i.relay.EnableCarrier()
 		i.grantsConfirmedAt.Store(int64(c.ConfirmedAt))
 		i.limiter.ConfirmSnapshot(c.ConfirmedAt)
-		i.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.Confirm(c.ConfirmedAt) })
+		i.relay.ForEachPrimaryGuard(func(_ string, g *lead.PrimaryGuard) { g.Confirm(c.ConfirmedAt) })
 	}
 }
 
@@ -287,14 +287,14 @@
 func (i *Instance) updatePlacement(state *topology.State) {
 	snap, view := i.topology.Load(), i.view.Load()
 	for _, name := range state.TakeChanged() {
-		if g, declared := relay.GroupOf(snap, name); declared {
+		if g, declared := relay.PlacementGroup(snap, name); declared {
 			i.placements.Set(g)
 		} else {
 			i.placements.Remove(name)
 		}
 	}
 	i.placeGroups(view, len(snap.Groups))
-	i.upstreams.Update(snap, i.placements.Placed(), i.self.DataCentre)
+	i.upstreams.Update(snap, i.placements.Snapshot(), i.self.DataCentre)
 }
 
 // placementPausePerGroup is the least time between two placements, per group. When hundreds of
@@ -306,7 +306,7 @@
 // leaves this to a later tick.
 func (i *Instance) placeGroups(view *lead.View, groups int) {
 	now := i.now()
-	i.placementDue = i.placements.Placed() != nil && now-i.placedAt < time.Duration(groups)*placementPausePerGroup
+	i.placementDue = i.placements.Snapshot() != nil && now-i.placedAt < time.Duration(groups)*placementPausePerGroup
 	if i.placementDue {
 		return
 	}
@@ -316,23 +316,25 @@
 		i.placements.SetInstances(view.Alive())
 	}
 	i.placements.Update(view.CountRegistered(now), i.reportPlacement)
-	i.relay.SetCarriers(i.placements.Placed())
+	i.relay.SetPlacement(i.placements.Snapshot())
 }
 
 // storedRecord returns a group's record as this instance last read it from the store. The
 // confirmation time is read first, so that the view is at least as new as that.
-func (i *Instance) storedRecord(group string) relay.Known {
+func (i *Instance) storedRecord(group string) relay.StoredRecord {
 	confirmed := time.Duration(i.grantsConfirmedAt.Load())
 	record, revision := i.view.Load().Record(group)
-	return relay.Known{Record: record, Revision: revision, Confirmed: confirmed}
+	return relay.StoredRecord{Record: record, Revision: revision, ConfirmedAt: confirmed}
 }
 
 // environment implements lead.Environment for the controller.
 type environment struct{ i *Instance }
 
-func (s environment) Topology() *topology.Snapshot                 { return s.i.topology.Load() }
-func (s environment) View() *lead.View                             { return s.i.view.Load() }
-func (s environment) PrimaryGuard(group string) *lead.PrimaryGuard { return s.i.relay.Gate(group) }
+func (s environment) Topology() *topology.Snapshot { return s.i.topology.Load() }
+func (s environment) View() *lead.View             { return s.i.view.Load() }
+func (s environment) PrimaryGuard(group string) *lead.PrimaryGuard {
+	return s.i.relay.PrimaryGuard(group)
+}
 
 // leadDelayPerGroup is how long after its registration an instance leaves groups without a leader
 // to others, per group. Instances that start together do not know each other at once; each would
@@ -356,10 +358,14 @@
 	return kv.LeaseID(s.i.lease.Load())
 }
 
-func (s environment) SinceLastAnswer(id string) (time.Duration, bool) { return s.i.upstreams.Heard(id) }
-func (s environment) HasUnansweredAttempt(id string) bool             { return s.i.upstreams.Doubtful(id) }
-func (s environment) Serves(group string) bool                        { return s.i.relay.Carries(group) }
-func (s environment) ServedGroups() []string                          { return s.i.relay.Carried() }
+func (s environment) SinceLastAnswer(id string) (time.Duration, bool) {
+	return s.i.upstreams.SinceLastAnswer(id)
+}
+func (s environment) HasUnansweredAttempt(id string) bool {
+	return s.i.upstreams.HasUnansweredAttempt(id)
+}
+func (s environment) Serves(group string) bool { return s.i.relay.Serves(group) }
+func (s environment) ServedGroups() []string   { return s.i.relay.ServedGroups() }
 
 func (s environment) Rank(group string, limit int) int {
 	carriers := s.i.relay.CarriersOf(group)
@@ -382,11 +388,11 @@
 }
 
 func (s environment) OverloadedWithoutReplicas(group, primary string) bool {
-	return s.i.upstreams.Alone(group, primary)
+	return s.i.upstreams.OverloadedWithoutReplicas(group, primary)
 }
 
 func (s environment) ReplicaLag(name string, position group.Position) time.Duration {
-	return s.i.upstreams.Behind(name, position)
+	return s.i.upstreams.ReplicaLag(name, position)
 }
 
-func (s environment) RecordAnswer(id string) { s.i.upstreams.NoteAnswer(id) }
+func (s environment) RecordAnswer(id string) { s.i.upstreams.RecordAnswer(id) }
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -130,7 +130,7 @@
 		Grace: 6 * time.Second, LeaseTTL: 3 * time.Second, StoreSilence: 4 * time.Second, MaxClients: 100,
 	}, Platform{
 		Store: client, Promoter: f.group, Dialer: f.group, Decoder: f.decoder,
-		Client: func(conn net.Conn) relay.Caller { return platform.NewClientConn(conn) },
+		Client: func(conn net.Conn) relay.ClientConn { return platform.NewClientConn(conn) },
 		Ready:  func(ready func() bool) http.Handler { return http.NotFoundHandler() },
 	}, log)
 	must.NoError(f.t, err)
@@ -148,7 +148,7 @@
 		if inst.ctx.Err() != nil {
 			continue
 		}
-		if a, err := inst.relay.Gate(testGroup).Primary(); err != nil || a.Primary != id {
+		if a, err := inst.relay.PrimaryGuard(testGroup).Primary(); err != nil || a.Primary != id {
 			return false
 		}
 	}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -62,7 +62,7 @@
 	Promoter lead.Promoter
 	Dialer   member.Dialer
 	Decoder  Decoder
-	Client   func(net.Conn) relay.Caller
+	Client   func(net.Conn) relay.ClientConn
 	// Ready returns the handler for the platform's readiness probe.
 	Ready func(ready func() bool) http.Handler
 }
@@ -159,11 +159,11 @@
 	gcPercent   int  // in percent, 0: the runtime's default; of the follower
 	watchFailed bool // the last watch failed; of the follower
 
-	placements     *relay.Placements // this field and the next four belong to the control goroutine
-	placedView     *lead.View        // view for whose instances the groups were last placed
-	placedAt       time.Duration     // time of the last placement
-	placementDue   bool              // a placement is due
-	changedMembers []topology.Member // members that the current update has changed
+	placements     *relay.PlacementTracker // this field and the next four belong to the control goroutine
+	placedView     *lead.View              // view for whose instances the groups were last placed
+	placedAt       time.Duration           // time of the last placement
+	placementDue   bool                    // a placement is due
+	changedMembers []topology.Member       // members that the current update has changed
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -200,20 +200,20 @@
 	i.traffic = peerconn.NewTraffic(i.metricsSet, i.distanceTo)
 	i.conns.SetTraffic(i.traffic)
 	i.upstreams = relay.NewUpstreams(platform.Dialer, i.now)
-	i.placements = relay.NewPlacements(i.self, settings.Localities)
-	i.upstreams.Locate(settings.Localities)
+	i.placements = relay.NewPlacementTracker(i.self, settings.Localities)
+	i.upstreams.SetLocalities(settings.Localities)
 	i.limiter = limits.New(limits.Config{
 		Self: i.self, Rules: settings.Limits, Accounts: i.accounts, Conns: i.conns,
 		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.metricsSet,
 	})
 	i.relay = relay.New(relay.Config{
-		Started: i.started, Self: i.self, Places: settings.Localities, Topology: i.topology.Load, Current: i.isCurrent, Known: i.storedRecord, Limiter: i.limiter,
+		Started: i.started, Self: i.self, Localities: settings.Localities, Topology: i.topology.Load, TopologyIsCurrent: i.isCurrent, StoredRecord: i.storedRecord, Limiter: i.limiter,
 		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.metricsSet,
 	})
 	if i.clients, err = relay.NewServer(i.relay, platform.Client, settings.MaxClients); err != nil {
 		return nil, err
 	}
-	server := lead.NewServer(i.self.Incarnation, i.relay.Gate, i.hasReadStore, i.now, i.upstreams.Heard)
+	server := lead.NewServer(i.self.Incarnation, i.relay.PrimaryGuard, i.hasReadStore, i.now, i.upstreams.SinceLastAnswer)
 	i.controller = lead.NewController(lead.Config{
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
 		Environment: environment{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
@@ -306,7 +306,7 @@
 // to forward to.
 func (i *Instance) Ready() bool {
 	confirmed := max(i.grantsConfirmedAt.Load(), i.attestedAt.Load())
-	if !i.relay.AllShared() {
+	if !i.relay.AllServeAllGroups() {
 		// Statements that this instance may not run itself are forwarded to carriers.
 		confirmed = max(confirmed, i.snapshotConfirmedAt.Load())
 	}
@@ -343,7 +343,7 @@
 // Stop stops the instance in an orderly way. It returns within the platform's grace period.
 func (i *Instance) Stop() {
 	i.stopping.Store(true)
-	i.part("instance").WithField("callers", i.clients.Callers()).Info("instance: planned stop")
+	i.part("instance").WithField("callers", i.clients.NumClients()).Info("instance: planned stop")
 	halfGrace, cancel := context.WithTimeout(context.Background(), i.settings.Grace/2)
 	defer cancel()
 	i.deregister(halfGrace)
@@ -353,7 +353,7 @@
 	case <-halfGrace.Done():
 	}
 	i.clients.CloseListener()
-	i.clients.Stop(halfGrace)
+	i.clients.Drain(halfGrace)
 	i.close()
 }
 
@@ -386,7 +386,7 @@
 	i.upstreams.Close()
 	i.conns.Close()
 	i.done.Wait()
-	i.relay.ReportFailures(true)
+	i.relay.LogFailures(true)
 	i.background.Release()
 	i.part("instance").Info("instance: stopped")
 }
@@ -396,12 +396,12 @@
 	i.metricsSet.WritePrometheus(w)
 	i.upstreams.WriteMetrics(w)
 	now := i.now()
-	metrics.WriteGaugeUint64(w, "stackspindle_callers", uint64(i.clients.Callers()))
+	metrics.WriteGaugeUint64(w, "stackspindle_callers", uint64(i.clients.NumClients()))
 	metrics.WriteGaugeUint64(w, "stackspindle_config_version", uint64(i.topology.Load().Version))
 	metrics.WriteGaugeFloat64(w, "stackspindle_store_confirmed_seconds", (now - time.Duration(i.grantsConfirmedAt.Load())).Seconds())
 	metrics.WriteGaugeUint64(w, "stackspindle_registered", boolMetric(i.lease.Load() != 0))
 	metrics.WriteGaugeUint64(w, "stackspindle_ready", boolMetric(i.Ready()))
-	i.relay.Gates(func(group string, g *lead.PrimaryGuard) {
+	i.relay.ForEachPrimaryGuard(func(group string, g *lead.PrimaryGuard) {
 		labels := `{group="` + group + `"}`
 		authority, err := g.Primary()
 		leader, _ := i.view.Load().Leader(group)
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -174,9 +174,9 @@
 		f := newSimulatedFleet(t, instances)
 		f.start(t, 80)
 		f.settlePlacement()
-		served := len(f.inst.relay.Carried())
+		served := len(f.inst.relay.ServedGroups())
 		guards := 0
-		f.inst.relay.Gates(func(string, *lead.PrimaryGuard) { guards++ })
+		f.inst.relay.ForEachPrimaryGuard(func(string, *lead.PrimaryGuard) { guards++ })
 		must.LessEq(t, maxServed, served, must.Sprint(instances))
 		must.LessEq(t, served, guards)
 	}
@@ -196,7 +196,7 @@
 
 // tick does what the control goroutine does at each tick.
 func (f *simulatedFleet) tick() {
-	f.inst.relay.Gates(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(abortDelay) })
+	f.inst.relay.ForEachPrimaryGuard(func(_ string, g *lead.PrimaryGuard) { g.AbortOverdue(abortDelay) })
 	f.inst.controller.Tick(context.Background())
 }
 
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -17,58 +17,59 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// declare puts a configuration with accounts in force, each with a key named like it.
-func (b *bench) declare(version int64, accounts ...string) {
+// declareAccounts puts a configuration into force that has the given accounts. The key of account
+// NAME is key-NAME.
+func (f *fixture) declareAccounts(version int64, accounts ...string) {
 	declared := make([]account.Account, 0, len(accounts))
 	for _, name := range accounts {
 		declared = append(declared, account.Account{Name: name, Keys: []account.Key{account.NewKey("key-" + name)}, Limit: account.Limit{Rate: 1e9, Burst: 1e9}})
 	}
-	b.setConfig(version, account.NewDirectory(declared))
+	f.setConfig(version, account.NewDirectory(declared))
 }
 
-func (b *bench) setConfig(version int64, accounts *account.Directory) {
+func (f *fixture) setConfig(version int64, accounts *account.Directory) {
 	state := topology.New(0, 0)
-	config := b.relay.snapshot().Config
+	config := f.relay.snapshot().Config
 	config.Version, config.Accounts = version, accounts
 	config.Routes = append(config.Routes[:3:3], topology.Route{
 		Name: "p", Database: "open", Group: "g", Public: true, Timeout: generous, LatencyObjective: generous,
 	})
 	state.SetConfig(config)
 	for _, id := range []string{"m1", "m2"} {
-		state.SetMember(0, b.group.Entry(id), false)
+		state.SetMember(0, f.group.Entry(id), false)
 	}
 	snap := state.Snapshot()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.snap = snap
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.snap = snap
 }
 
-func withKey(database, name string) Start {
-	return Start{Database: database, Key: account.NewKey("key-" + name)}
+func withKey(database, name string) StartupRequest {
+	return StartupRequest{Database: database, Key: account.NewKey("key-" + name)}
 }
 
 func TestAdmit(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a", "b")
+	f := newFixture(t)
+	f.declareAccounts(2, "a", "b")
 	for name, c := range map[string]struct {
-		start   Start
+		start   StartupRequest
 		current bool
 		account string
 		code    statement.Code
 	}{
-		"a key of an account":             {withKey("strict", "a"), true, "a", 0},
-		"an unknown key":                  {withKey("strict", "c"), true, "", statement.Unauthenticated},
-		"no key":                          {Start{Database: "strict"}, true, "", statement.Unauthenticated},
-		"no key on a public route":        {Start{Database: "open"}, true, account.Anonymous, 0},
-		"a key on a public route":         {withKey("open", "a"), true, account.Anonymous, 0},
-		"no route":                        {withKey("none", "a"), true, "", statement.NoDatabase},
-		"neither route nor key":           {withKey("none", "c"), true, "", statement.NoDatabase},
-		"unknown while nothing was heard": {withKey("strict", "c"), false, "", statement.Busy},
-		"known while nothing was heard":   {withKey("strict", "a"), false, "a", 0},
+		"a key of an account":         {withKey("strict", "a"), true, "a", 0},
+		"an unknown key":              {withKey("strict", "c"), true, "", statement.Unauthenticated},
+		"no key":                      {StartupRequest{Database: "strict"}, true, "", statement.Unauthenticated},
+		"no key on a public route":    {StartupRequest{Database: "open"}, true, account.Anonymous, 0},
+		"a key on a public route":     {withKey("open", "a"), true, account.Anonymous, 0},
+		"no route":                    {withKey("none", "a"), true, "", statement.NoDatabase},
+		"no route and an unknown key": {withKey("none", "c"), true, "", statement.NoDatabase},
+		"an unknown key while the configuration may be outdated": {withKey("strict", "c"), false, "", statement.Busy},
+		"a known key while the configuration may be outdated":    {withKey("strict", "a"), false, "a", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b.relay.current = func() bool { return c.current }
-			_, got, refusal := b.relay.admit(c.start)
+			f.relay.topologyFresh = func() bool { return c.current }
+			_, got, refusal := f.relay.admit(c.start)
 			if c.code == 0 {
 				must.Nil(t, refusal)
 				must.Eq(t, c.account, got)
@@ -80,60 +81,60 @@
 	}
 }
 
-// A key that is taken away ends what its open sessions may do: the next statement is
-// refused, and an open transaction is rolled back.
-func TestKeyTakenAway(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a", "b")
-	idle, open := newSession(b.relay, withKey("strict", "a")), newSession(b.relay, withKey("strict", "a"))
-	must.Nil(t, b.run(idle, statement.Write, "WRITE 1 x").Err)
-	b.run(open, statement.Begin, "BEGIN")
-	must.Nil(t, b.run(open, statement.Write, "WRITE 2 x").Err)
-	b.declare(3, "b")
-	must.Eq(t, statement.Unauthenticated, b.run(idle, statement.Write, "WRITE 3 x").Err.Code)
-	answer := b.run(open, statement.Commit, "COMMIT")
+// Removing a key ends its open sessions: the next statement is refused, and an open transaction is
+// rolled back.
+func TestRevokedKeyEndsSessions(t *testing.T) {
+	f := newFixture(t)
+	f.declareAccounts(2, "a", "b")
+	idle, open := newSession(f.relay, withKey("strict", "a")), newSession(f.relay, withKey("strict", "a"))
+	must.Nil(t, f.run(idle, statement.Write, "WRITE 1 x").Err)
+	f.run(open, statement.Begin, "BEGIN")
+	must.Nil(t, f.run(open, statement.Write, "WRITE 2 x").Err)
+	f.declareAccounts(3, "b")
+	must.Eq(t, statement.Unauthenticated, f.run(idle, statement.Write, "WRITE 3 x").Err.Code)
+	answer := f.run(open, statement.Commit, "COMMIT")
 	must.Eq(t, statement.Aborted, answer.Err.Code)
 	must.Eq(t, statement.Idle, answer.State)
-	must.Eq(t, statement.Unauthenticated, b.run(open, statement.Read, "READ 1").Err.Code)
-	must.Len(t, 1, b.group.Log())
-	must.Nil(t, b.run(newSession(b.relay, withKey("strict", "b")), statement.Write, "WRITE 4 x").Err)
+	must.Eq(t, statement.Unauthenticated, f.run(open, statement.Read, "READ 1").Err.Code)
+	must.Len(t, 1, f.group.Log())
+	must.Nil(t, f.run(newSession(f.relay, withKey("strict", "b")), statement.Write, "WRITE 4 x").Err)
 }
 
-// A key that passes to another account brings its open sessions along, from the next
+// When a key moves to another account, its open sessions use that account from their next
 // transaction on.
 func TestKeyMovesToAnotherAccount(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a", "b")
-	s := newSession(b.relay, withKey("strict", "a"))
-	b.run(s, statement.Begin, "BEGIN")
-	b.setConfig(3, account.NewDirectory([]account.Account{{Name: "b", Keys: []account.Key{account.NewKey("key-a")}, Limit: account.Limit{Rate: 1e9, Burst: 1e9}}}))
-	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
-	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
-	must.Nil(t, b.run(s, statement.Write, "WRITE 2 x").Err)
-	runs := b.group.Runs()
+	f := newFixture(t)
+	f.declareAccounts(2, "a", "b")
+	s := newSession(f.relay, withKey("strict", "a"))
+	f.run(s, statement.Begin, "BEGIN")
+	f.setConfig(3, account.NewDirectory([]account.Account{{Name: "b", Keys: []account.Key{account.NewKey("key-a")}, Limit: account.Limit{Rate: 1e9, Burst: 1e9}}}))
+	must.Nil(t, f.run(s, statement.Write, "WRITE 1 x").Err)
+	must.Nil(t, f.run(s, statement.Commit, "COMMIT").Err)
+	must.Nil(t, f.run(s, statement.Write, "WRITE 2 x").Err)
+	runs := f.group.Runs()
 	must.Eq(t, "a", runs[len(runs)-2].Account)
 	must.Eq(t, "b", runs[len(runs)-1].Account)
 }
 
-// However sessions of several accounts use the same members: each statement reaches
-// them on a connection of its own account.
-func TestStatementsReachMembersAsTheirAccount(t *testing.T) {
-	b := newBench(t)
+// Sessions of several accounts use the same members concurrently. Each statement must reach its
+// member on a connection of its own account.
+func TestStatementsUseConnectionsOfTheirAccount(t *testing.T) {
+	f := newFixture(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
-	b.declare(2, names...)
-	var work sync.WaitGroup
+	f.declareAccounts(2, names...)
+	var wg sync.WaitGroup
 	for _, name := range names {
 		for _, database := range []string{"strict", "bounded"} {
-			work.Go(func() {
-				s := newSession(b.relay, withKey(database, name))
+			wg.Go(func() {
+				s := newSession(f.relay, withKey(database, name))
 				for n := range 50 {
-					s.handle(context.Background(), statement.Statement{ID: name + fmt.Sprint(n), Kind: statement.Read, Text: "READ 1"}, b.relay.now())
+					s.handle(context.Background(), statement.Statement{ID: name + fmt.Sprint(n), Kind: statement.Read, Text: "READ 1"}, f.relay.now())
 				}
 			})
 		}
 	}
-	work.Wait()
-	runs := b.group.Runs()
+	wg.Wait()
+	runs := f.group.Runs()
 	must.Positive(t, len(runs))
 	for _, run := range runs {
 		must.Eq(t, run.Account, run.ID[:1], must.Sprintf("%+v", run))
@@ -157,88 +158,89 @@
 
 func (unlimited) RecordSuccess(quota.Operation, time.Duration) {}
 
-// fixedRights is a Limiter that gives a number of rights.
-type fixedRights struct {
+// fixedTokens is a Limiter with a fixed number of tokens.
+type fixedTokens struct {
 	unlimited
 	left int
 }
 
-const comeBackLater = 70 * time.Millisecond
+const testRetryAfter = 70 * time.Millisecond
 
-func (r *fixedRights) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
-	r.left--
-	return quota.Token{}, quota.Shortage{RetryAfter: comeBackLater, OutOfTokens: 1}, r.left >= 0
+func (l *fixedTokens) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+	l.left--
+	return quota.Token{}, quota.Shortage{RetryAfter: testRetryAfter, OutOfTokens: 1}, l.left >= 0
 }
 
-func (r *fixedRights) Return(string, quota.Token) { r.left++ }
+func (l *fixedTokens) Return(string, quota.Token) { l.left++ }
 
-// An operation beyond the account's limit is refused at once, with when to come back; a
-// transaction counts once, whatever it holds.
+// An operation beyond the account's limit is refused at once, with a delay after which to retry. A
+// transaction counts as one operation.
 func TestOperationsBeyondTheLimitAreRefused(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a")
-	b.relay.limiter = &fixedRights{left: 2}
-	s := newSession(b.relay, withKey("strict", "a"))
-	b.run(s, statement.Begin, "BEGIN")
+	f := newFixture(t)
+	f.declareAccounts(2, "a")
+	f.relay.limiter = &fixedTokens{left: 2}
+	s := newSession(f.relay, withKey("strict", "a"))
+	f.run(s, statement.Begin, "BEGIN")
 	for range 3 {
-		must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
+		must.Nil(t, f.run(s, statement.Write, "WRITE 1 x").Err)
 	}
-	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
-	must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
-	ran := len(b.group.Runs())
-	answer := b.run(s, statement.Read, "READ 1")
+	must.Nil(t, f.run(s, statement.Commit, "COMMIT").Err)
+	must.Nil(t, f.run(s, statement.Read, "READ 1").Err)
+	ran := len(f.group.Runs())
+	answer := f.run(s, statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, answer.Err.Code)
-	must.Eq(t, comeBackLater, answer.Err.RetryAfter)
-	must.Len(t, ran, b.group.Runs())
+	must.Eq(t, testRetryAfter, answer.Err.RetryAfter)
+	must.Len(t, ran, f.group.Runs())
 }
 
-// A read that is run again elsewhere, since a member failed it, counts again.
-func TestReadThatRunsAgainCountsAgain(t *testing.T) {
-	for _, rights := range []int{1, 2} {
-		b := newBench(t)
-		b.declare(2, "a")
-		must.Nil(t, b.run(newSession(b.relay, withKey("strict", "a")), statement.Read, "READ 1").Err) // brings a sample
-		b.group.FailStatements("m1", 1)
-		b.group.FailStatements("m2", 1)
-		before := len(b.group.Runs())
-		b.relay.limiter = &fixedRights{left: rights}
-		answer := b.run(newSession(b.relay, withKey("bounded", "a")), statement.Read, "READ 1")
+// A read that is retried because a member failed it needs another token.
+func TestRetriedReadSpendsAnotherToken(t *testing.T) {
+	for _, tokens := range []int{1, 2} {
+		f := newFixture(t)
+		f.declareAccounts(2, "a")
+		must.Nil(t, f.run(newSession(f.relay, withKey("strict", "a")), statement.Read, "READ 1").Err) // adds a sample of the primary's log
+		f.group.FailStatements("m1", 1)
+		f.group.FailStatements("m2", 1)
+		before := len(f.group.Runs())
+		f.relay.limiter = &fixedTokens{left: tokens}
+		answer := f.run(newSession(f.relay, withKey("bounded", "a")), statement.Read, "READ 1")
 		must.Eq(t, statement.StatementFailed, answer.Err.Code)
-		must.Len(t, before+rights, b.group.Runs())
+		must.Len(t, before+tokens, f.group.Runs())
 	}
 }
 
-// The right to an operation that has not run is given back.
-func TestRightIsReturnedWhereNothingRan(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a")
-	rights := &fixedRights{left: 2}
-	b.relay.limiter = rights
-	must.NoError(t, b.gate.Release(t.Context(), 2, 0)) // no primary can be used
-	answer := b.run(newSession(b.relay, withKey("hurried", "a")), statement.Write, "WRITE 1 x")
+// The token of an operation that has not run is returned.
+func TestTokenIsReturnedWhenNothingRan(t *testing.T) {
+	f := newFixture(t)
+	f.declareAccounts(2, "a")
+	limiter := &fixedTokens{left: 2}
+	f.relay.limiter = limiter
+	must.NoError(t, f.guard.Release(t.Context(), 2, 0)) // no primary can be used
+	answer := f.run(newSession(f.relay, withKey("hurried", "a")), statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, answer.Err.Code)
-	must.Eq(t, 2, rights.left)
+	must.Eq(t, 2, limiter.left)
 }
 
-// What was known of a member ends with it: one that was started again under its ID gets
-// new connections, and nothing of its log, its names and its usual times is remembered.
-func TestMemberStartedAgainIsAnotherOne(t *testing.T) {
-	b := newBench(t)
-	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
-	must.Nil(t, b.run(newSession(b.relay, Start{Database: "bounded"}), statement.Read, "READ 1").Err)
-	before := b.relay.upstreams.get("m2")
+// A member that was restarted under the same ID gets new connections. Nothing observed of the
+// earlier process, such as its log position, its prepared statements or its typical durations, is
+// kept.
+func TestRestartedMemberGetsNewState(t *testing.T) {
+	f := newFixture(t)
+	must.Nil(t, f.run(newSession(f.relay, StartupRequest{Database: "bounded"}), statement.Read, "READ 1").Err)
+	must.Nil(t, f.run(newSession(f.relay, StartupRequest{Database: "bounded"}), statement.Read, "READ 1").Err)
+	before := f.relay.upstreams.get("m2")
 	must.Eq(t, 1, before.pool.NumOpen())
 	state := topology.New(0, 0)
-	state.SetConfig(b.relay.snapshot().Config)
+	state.SetConfig(f.relay.snapshot().Config)
 	for _, id := range []string{"m1", "m2"} {
-		m := b.group.Entry(id)
+		m := f.group.Entry(id)
 		if id == "m2" {
 			m.Born = 8
 		}
 		state.SetMember(0, m, false)
 	}
-	b.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1), "")
-	after := b.relay.upstreams.get("m2")
+	f.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1), "")
+	after := f.relay.upstreams.get("m2")
 	must.False(t, before == after)
 	must.Zero(t, after.pool.NumOpen())
 	must.True(t, after.position.IsZero())
@@ -246,28 +248,28 @@
 	must.ErrorIs(t, err, connpool.ErrClosed)
 }
 
-// expiring is a Limiter whose first rights have expired when they are used.
-type expiring struct {
+// expiringLimiter is a Limiter whose first tokens have expired when they are used.
+type expiringLimiter struct {
 	unlimited
 	expired, spent int
 }
 
-func (e *expiring) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
-	e.spent++
-	if e.spent <= e.expired {
+func (l *expiringLimiter) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+	l.spent++
+	if l.spent <= l.expired {
 		return quota.TokenUntil(1), quota.Shortage{}, true
 	}
 	return quota.TokenUntil(time.Hour), quota.Shortage{}, true
 }
 
-// A statement that has waited for longer than its right lasts needs another one before
-// it is sent, since rights count by when they are used.
-func TestRightThatExpiredIsNotUsed(t *testing.T) {
-	b := newBench(t)
-	b.declare(2, "a")
-	rights := &expiring{expired: 1}
-	b.relay.limiter = rights
-	must.Nil(t, b.run(newSession(b.relay, withKey("strict", "a")), statement.Read, "READ 1").Err)
-	must.Eq(t, 2, rights.spent)
-	must.Len(t, 1, b.group.Runs())
+// A statement that was queued until its token expired needs another one before it is sent, since
+// tokens count at the time of their use.
+func TestExpiredTokenIsReplacedBeforeSending(t *testing.T) {
+	f := newFixture(t)
+	f.declareAccounts(2, "a")
+	limiter := &expiringLimiter{expired: 1}
+	f.relay.limiter = limiter
+	must.Nil(t, f.run(newSession(f.relay, withKey("strict", "a")), statement.Read, "READ 1").Err)
+	must.Eq(t, 2, limiter.spent)
+	must.Len(t, 1, f.group.Runs())
 }
--- a/internal/relay/carrier.go
+++ b/internal/relay/carrier.go
@@ -11,7 +11,7 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// CarrierServer runs the statements of other instances' callers. It implements
+// CarrierServer runs statements that other instances forward for their clients. It implements
 // relaypb.CarrierServer.
 type CarrierServer struct {
 	relaypb.UnimplementedCarrierServer
@@ -20,12 +20,12 @@
 	once     sync.Once
 }
 
-// NewCarrierServer returns the server of an instance.
+// NewCarrierServer returns the carrier service of an instance.
 func NewCarrierServer(r *Relay) *CarrierServer {
 	return &CarrierServer{relay: r, stopping: make(chan struct{})}
 }
 
-// Stop takes no further transaction up. Those that are open go on.
+// Stop refuses new transactions. Open ones go on.
 func (c *CarrierServer) Stop() { c.once.Do(func() { close(c.stopping) }) }
 
 // Ping implements relaypb.CarrierServer.
@@ -33,39 +33,40 @@
 	return &relaypb.PingReply{}, nil
 }
 
-// Settings of the transactions that are open for other instances.
+// Heartbeats of forwarded transactions.
 const (
-	// entryBeat is the pause after which an instance says that a transaction of its
-	// caller, which rests at a carrier, goes on.
-	entryBeat = time.Second
-	// entrySilence is after what time without a word the transaction is rolled back: it
-	// holds one of the few connections to a member. It leaves room for two words that are late.
-	entrySilence = 3 * entryBeat
-	// beatKind is the kind of a request that is no statement but such a word.
-	beatKind = -1
+	// heartbeatInterval is the interval at which an ingress instance confirms an idle transaction
+	// that its client has open at a carrier.
+	heartbeatInterval = time.Second
+	// heartbeatTimeout is the time without a heartbeat or statement after which the carrier rolls
+	// the transaction back, because it holds one of the few connections to a member. Two heartbeats
+	// may be late.
+	heartbeatTimeout = 3 * heartbeatInterval
+	// heartbeatKind is the kind of a request that is a heartbeat and not a statement.
+	heartbeatKind = -1
 )
 
-// carriedSession is the session of another instance's caller, on one stream.
-type carriedSession struct {
-	mu      sync.Mutex // guards the rest; held while a statement runs
-	session *session
-	silence *time.Timer // ends the open transaction; nil: none was opened yet
+// forwardedSession is the session of another instance's client, on one stream.
+type forwardedSession struct {
+	mu             sync.Mutex // guards the fields below; held while a statement runs
+	session        *session
+	heartbeatTimer *time.Timer // rolls back the open transaction; nil: none was open yet
 }
 
 // Carry implements relaypb.CarrierServer.
 func (c *CarrierServer) Carry(stream grpc.BidiStreamingServer[relaypb.CarryRequest, relaypb.CarryReply]) error {
-	carried := &carriedSession{}
-	defer carried.end()
+	forwarded := &forwardedSession{}
+	defer forwarded.end()
 	for {
 		req, err := stream.Recv()
 		if err != nil {
-			return nil // the entry has ended the stream: what is open is rolled back
+			return nil // the ingress instance has ended the stream; an open transaction is rolled back
 		}
-		if req.Kind == beatKind {
-			carried.heard()
+		if req.Kind == heartbeatKind {
+			forwarded.recordHeartbeat()
 			continue
 		}
-		reply := c.run(stream.Context(), carried, req)
+		reply := c.runStatement(stream.Context(), forwarded, req)
 		if err := stream.Send(reply); err != nil {
 			return err
 		}
@@ -75,65 +76,66 @@
 	}
 }
 
-// run has a statement run in its session.
-func (c *CarrierServer) run(ctx context.Context, carried *carriedSession, req *relaypb.CarryRequest) *relaypb.CarryReply {
-	carried.mu.Lock()
-	defer carried.mu.Unlock()
-	if s := carried.session; s == nil || s.tx == nil && s.lost == "" {
-		if c.isStopping() || !c.relay.canCarry(req.Database) {
+// runStatement runs a request's statement in the stream's session.
+func (c *CarrierServer) runStatement(ctx context.Context, forwarded *forwardedSession, req *relaypb.CarryRequest) *relaypb.CarryReply {
+	forwarded.mu.Lock()
+	defer forwarded.mu.Unlock()
+	if s := forwarded.session; s == nil || s.tx == nil && s.lostReason == "" {
+		if c.isStopping() || !c.relay.canRunForwarded(req.Database) {
 			return &relaypb.CarryReply{Stopping: true}
 		}
-		carried.session = newSession(c.relay, Start{Database: req.Database})
-		carried.session.carried = true
-		carried.session.account = req.Account
-		carried.session.floor = decodePosition(req.Floor)
+		forwarded.session = newSession(c.relay, StartupRequest{Database: req.Database})
+		forwarded.session.forwarded = true
+		forwarded.session.account = req.Account
+		forwarded.session.floor = decodePosition(req.Floor)
 	}
-	s := carried.session
-	answer := s.handle(ctx, c.statement(s, req), c.relay.now()-time.Duration(req.ElapsedUs)*time.Microsecond)
-	carried.await()
+	s := forwarded.session
+	answer := s.handle(ctx, c.decodeStatement(s, req), c.relay.now()-time.Duration(req.ElapsedUs)*time.Microsecond)
+	forwarded.resetHeartbeatTimer()
 	reply := encodeReply(answer, s.floor)
 	if route, ok := c.relay.snapshot().Databases[req.Database]; ok {
-		c.relay.tell(reply, route.Group)
+		c.relay.addWaitForecast(reply, route.Group)
 	}
-	reply.AccountEmptyUs, s.accountEmpty = s.accountEmpty.Microseconds(), 0
+	reply.AccountEmptyUs, s.accountEmptyFor = s.accountEmptyFor.Microseconds(), 0
 	return reply
 }
 
-// await bounds the silence in an open transaction. The caller holds mu.
-func (s *carriedSession) await() {
+// resetHeartbeatTimer restarts the heartbeat timeout while a transaction is open, and stops it
+// otherwise. The caller holds mu.
+func (s *forwardedSession) resetHeartbeatTimer() {
 	switch {
-	case s.session.tx == nil && s.silence != nil:
-		s.silence.Stop()
+	case s.session.tx == nil && s.heartbeatTimer != nil:
+		s.heartbeatTimer.Stop()
 	case s.session.tx == nil:
-	case s.silence == nil:
-		s.silence = time.AfterFunc(entrySilence, s.abandon)
+	case s.heartbeatTimer == nil:
+		s.heartbeatTimer = time.AfterFunc(heartbeatTimeout, s.handleHeartbeatTimeout)
 	default:
-		s.silence.Reset(entrySilence)
+		s.heartbeatTimer.Reset(heartbeatTimeout)
 	}
 }
 
-// heard takes in a word of the entry.
-func (s *carriedSession) heard() {
+// recordHeartbeat handles a heartbeat of the ingress instance.
+func (s *forwardedSession) recordHeartbeat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.session != nil {
-		s.await()
+		s.resetHeartbeatTimer()
 	}
 }
 
-// abandon rolls back the transaction of an instance that has gone silent.
-func (s *carriedSession) abandon() {
+// handleHeartbeatTimeout rolls back the transaction of an unresponsive ingress instance.
+func (s *forwardedSession) handleHeartbeatTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.session.abandonTx("the instance that the caller is connected to was silent, and the transaction was rolled back")
 }
 
-// end rolls back what is open.
-func (s *carriedSession) end() {
+// end rolls back the open transaction, if there is one.
+func (s *forwardedSession) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silence != nil {
-		s.silence.Stop()
+	if s.heartbeatTimer != nil {
+		s.heartbeatTimer.Stop()
 	}
 	if s.session != nil {
 		s.session.endTx()
@@ -149,15 +151,15 @@
 	}
 }
 
-// statement decodes a request and brings the session to the caller's state.
-func (c *CarrierServer) statement(s *session, req *relaypb.CarryRequest) statement.Statement {
-	s.values = req.Values
-	if s.values == nil {
-		s.values = make(map[string]string)
+// decodeStatement decodes a request and applies the client's session state to the session.
+func (c *CarrierServer) decodeStatement(s *session, req *relaypb.CarryRequest) statement.Statement {
+	s.variables = req.Values
+	if s.variables == nil {
+		s.variables = make(map[string]string)
 	}
 	st := statement.Statement{ID: req.Id, Text: req.Text, Kind: statement.Kind(req.Kind), Name: req.Name, Args: req.Args}
 	if st.Kind == statement.Execute {
-		s.names[st.Name] = prepared{writes: req.Writes, shape: req.Shape}
+		s.prepared[st.Name] = preparedStatement{writes: req.Writes, shape: req.Shape}
 	}
 	return st
 }
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -7,56 +7,57 @@
 	"github.com/stackspindle/stackspindle/internal/lead"
 )
 
-// outages is what the traffic of a group has seen of the times without a primary.
-type outages struct {
-	learned admission.Outages
-	since   time.Duration // when the one under way began
-	seen    time.Duration // when a statement last met it; 0: none has
-	change  bool          // a change of primary was known of
+// outageTracker is what this instance has observed of a group's outages, the times without a usable
+// primary.
+type outageTracker struct {
+	durations    admission.Outages
+	startedAt    time.Duration // start of the current outage
+	lastSeenAt   time.Duration // when a statement last met it; 0: no outage was met
+	duringChange bool          // a change of primary was in progress during it
 }
 
-// outageSeen is how long before the end of an outage a statement must have met it, for its
-// length to be known.
-const outageSeen = 50 * time.Millisecond
+// maxOutageEndGap is the longest time between the last statement that met an outage and its end.
+// With a longer gap the outage's duration is not known precisely enough to learn from.
+const maxOutageEndGap = 50 * time.Millisecond
 
-// outage notes that a statement met no primary, and returns for how much longer there
-// is expected to be none.
-func (g *groupState) outage(now time.Duration, gate *lead.PrimaryGuard) time.Duration {
-	lost := gate.UnusableFor()
-	record, _ := gate.Record()
+// recordOutage records that a statement found no usable primary, and returns the expected remaining
+// duration.
+func (g *groupState) recordOutage(now time.Duration, guard *lead.PrimaryGuard) time.Duration {
+	unusableFor := guard.UnusableFor()
+	record, _ := guard.Record()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	o := &g.outages
-	if o.seen == 0 {
-		o.change = false
+	tracker := &g.outages
+	if tracker.lastSeenAt == 0 {
+		tracker.duringChange = false
 	}
-	o.since, o.seen = now-lost, now
-	o.change = o.change || record.Change != nil
-	return o.learned.Remaining(lost, o.change)
+	tracker.startedAt, tracker.lastSeenAt = now-unusableFor, now
+	tracker.duringChange = tracker.duringChange || record.Change != nil
+	return tracker.durations.Remaining(unusableFor, tracker.duringChange)
 }
 
-// outageLeft returns for how much longer the group, which has no primary, is expected to have none.
-func (g *groupState) outageLeft(gate *lead.PrimaryGuard) time.Duration {
-	record, _ := gate.Record()
+// remainingOutage returns the expected remaining duration of the group's current outage.
+func (g *groupState) remainingOutage(guard *lead.PrimaryGuard) time.Duration {
+	record, _ := guard.Record()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.outages.learned.Remaining(gate.UnusableFor(), record.Change != nil)
+	return g.outages.durations.Remaining(guard.UnusableFor(), record.Change != nil)
 }
 
-// noteAuthority notes that the group has a primary.
-func (g *groupState) noteAuthority(now time.Duration) {
+// recordPrimary records that the group has a usable primary.
+func (g *groupState) recordPrimary(now time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	o := &g.outages
-	if o.seen > 0 && now-o.seen <= outageSeen {
-		o.learned.Ended(now-o.since, o.change)
+	tracker := &g.outages
+	if tracker.lastSeenAt > 0 && now-tracker.lastSeenAt <= maxOutageEndGap {
+		tracker.durations.Ended(now-tracker.startedAt, tracker.duringChange)
 	}
-	o.seen = 0
+	tracker.lastSeenAt = 0
 }
 
-// lapse returns how long it usually takes until the grant of a primary is confirmed again.
-func (g *groupState) lapse() time.Duration {
+// typicalLapse returns how long it typically takes until the grant of a primary is confirmed again.
+func (g *groupState) typicalLapse() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.outages.learned.Lapse()
+	return g.outages.durations.Lapse()
 }
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -11,34 +11,34 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// Placed is the carriers of all groups at one moment, as one instance sees them. It is not changed
-// after it was made; nil: none are known yet.
-type Placed struct {
-	self     string
-	carriers *immutable.Map[string, placement.Carriers] // by group
-	alive    map[string]lead.Instance
-	carried  []string // groups that this instance carries, in order
-	shared   int      // groups that every instance carries
+// PlacementSnapshot is an immutable snapshot of the carriers of all groups, as this instance
+// computes them. A nil PlacementSnapshot means that none are known yet.
+type PlacementSnapshot struct {
+	self             string
+	carriers         *immutable.Map[string, placement.Carriers] // by group
+	instances        map[string]lead.Instance
+	servedGroups     []string // groups that this instance serves, sorted by name
+	servedByAllCount int      // number of groups that every instance serves
 }
 
-// Of returns the carriers of a group, false when it is not known.
-func (p *Placed) Of(group string) (Carriers, bool) {
+// CarriersOf returns the carriers of a group. It reports false when they are not known.
+func (p *PlacementSnapshot) CarriersOf(group string) (Carriers, bool) {
 	if p == nil {
 		return Carriers{}, false
 	}
-	placed, known := p.carriers.Get(group)
-	c := Carriers{Carriers: placed, Here: placed.Includes(p.self)}
+	carriers, known := p.carriers.Get(group)
+	c := Carriers{Carriers: carriers, IncludesSelf: carriers.Includes(p.self)}
 	for _, name := range c.Names {
 		if name != p.self {
-			c.Others = append(c.Others, p.alive[name])
+			c.Others = append(c.Others, p.instances[name])
 		}
 	}
 	return c, known
 }
 
-// shares returns how the carriers of a group share its members, and whether this instance is one of
-// them; false last when the group is not known.
-func (p *Placed) shares(group string) (shares placement.Carriers, here, known bool) {
+// memberShares returns how the carriers of a group share its members, whether this instance is one
+// of them, and whether the carriers are known.
+func (p *PlacementSnapshot) memberShares(group string) (shares placement.Carriers, servedHere, known bool) {
 	if p == nil {
 		return placement.Carriers{}, false, false
 	}
@@ -46,94 +46,97 @@
 	return shares, shares.Includes(p.self), known
 }
 
-// Carried returns the groups that this instance carries, in order. They must not be changed.
-func (p *Placed) Carried() []string {
+// ServedGroups returns the groups that this instance serves, sorted by name. The caller must not
+// change the slice.
+func (p *PlacementSnapshot) ServedGroups() []string {
 	if p == nil {
 		return nil
 	}
-	return p.carried
+	return p.servedGroups
 }
 
-// AllShared reports whether every instance carries every group.
-func (p *Placed) AllShared() bool { return p == nil || p.shared == p.carriers.Len() }
+// AllServeAllGroups reports whether every instance serves every group.
+func (p *PlacementSnapshot) AllServeAllGroups() bool {
+	return p == nil || p.servedByAllCount == p.carriers.Len()
+}
 
-// set takes in other carriers of a group, and returns those before.
-func (p *Placed) set(group string, c placement.Carriers) placement.Carriers {
-	before := p.remove(group)
+// set replaces the carriers of a group, and returns the previous ones.
+func (p *PlacementSnapshot) set(group string, c placement.Carriers) placement.Carriers {
+	previous := p.remove(group)
 	p.carriers = p.carriers.Set(group, c)
 	if c.Includes(p.self) {
-		at, _ := slices.BinarySearch(p.carried, group)
-		p.carried = slices.Insert(slices.Clone(p.carried), at, group)
+		at, _ := slices.BinarySearch(p.servedGroups, group)
+		p.servedGroups = slices.Insert(slices.Clone(p.servedGroups), at, group)
 	}
 	if c.AllInstances {
-		p.shared++
+		p.servedByAllCount++
 	}
-	return before
+	return previous
 }
 
-// remove drops a group, and returns its carriers.
-func (p *Placed) remove(group string) placement.Carriers {
-	before, known := p.carriers.Get(group)
+// remove removes a group, and returns its carriers.
+func (p *PlacementSnapshot) remove(group string) placement.Carriers {
+	previous, known := p.carriers.Get(group)
 	if !known {
-		return before
+		return previous
 	}
 	p.carriers = p.carriers.Delete(group)
-	if at, carried := slices.BinarySearch(p.carried, group); carried {
-		p.carried = slices.Delete(slices.Clone(p.carried), at, at+1)
+	if at, served := slices.BinarySearch(p.servedGroups, group); served {
+		p.servedGroups = slices.Delete(slices.Clone(p.servedGroups), at, at+1)
 	}
-	if before.AllInstances {
-		p.shared--
+	if previous.AllInstances {
+		p.servedByAllCount--
 	}
-	return before
+	return previous
 }
 
-// Placements keeps the carriers of all groups, as one instance sees them, while the fleet
-// changes. It belongs to one goroutine; what Placed returns may be read by all.
-type Placements struct {
-	places locality.Map
-	table  *placement.Table
-	next   Placed // as the next update is to show it
-	placed *Placed
+// PlacementTracker computes the carriers of all groups and updates them as the fleet changes. It is
+// not safe for concurrent use; the snapshots that Snapshot returns are.
+type PlacementTracker struct {
+	localities locality.Map
+	table      *placement.Table
+	next       PlacementSnapshot // working copy of the next snapshot
+	published  *PlacementSnapshot
 }
 
-// NewPlacements returns the placements of an instance, of which none is known.
-func NewPlacements(self lead.Instance, places locality.Map) *Placements {
-	return &Placements{
-		places: places, table: placement.NewTable(),
-		next: Placed{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
+// NewPlacementTracker returns the tracker of an instance, without any group.
+func NewPlacementTracker(self lead.Instance, localities locality.Map) *PlacementTracker {
+	return &PlacementTracker{
+		localities: localities, table: placement.NewTable(),
+		next: PlacementSnapshot{self: self.Name, carriers: immutable.NewMap[string, placement.Carriers](nil)},
 	}
 }
 
-// Placed returns the carriers as of the last update, nil before the first.
-func (p *Placements) Placed() *Placed { return p.placed }
+// Snapshot returns the carriers as of the last Update, nil before the first.
+func (p *PlacementTracker) Snapshot() *PlacementSnapshot { return p.published }
 
-// Set takes in a group that is new or has changed.
-func (p *Placements) Set(g placement.Group) { p.table.Set(g) }
+// Set adds or changes a group.
+func (p *PlacementTracker) Set(g placement.Group) { p.table.Set(g) }
 
-// Remove drops a group.
-func (p *Placements) Remove(group string) {
+// Remove removes a group.
+func (p *PlacementTracker) Remove(group string) {
 	p.table.Remove(group)
 	p.next.remove(group)
 }
 
-// SetInstances takes in the instances whose lease holds.
-func (p *Placements) SetInstances(alive []lead.Instance) {
+// SetInstances sets the instances whose lease is valid.
+func (p *PlacementTracker) SetInstances(alive []lead.Instance) {
 	candidates := make([]ownership.Instance, 0, len(alive))
-	p.next.alive = make(map[string]lead.Instance, len(alive))
+	p.next.instances = make(map[string]lead.Instance, len(alive))
 	for _, i := range alive {
-		p.next.alive[i.Name] = i
-		candidates = append(candidates, candidate(i))
+		p.next.instances[i.Name] = i
+		candidates = append(candidates, ownershipCandidate(i))
 	}
 	p.table.SetInstances(candidates)
 }
 
-// Update takes in how many instances may use connections; where all of them can, this instance
-// does whether its lease holds or not. It calls changed with each group that has other carriers
-// than before.
-func (p *Placements) Update(registered int, changed func(group string, before, now placement.Carriers)) {
-	p.table.Update(registered, p.places, func(group string, c placement.Carriers) {
+// Update recomputes the carriers and publishes a new snapshot. registered is the number of
+// instances that may use connections; where all of them serve a group, this instance does so even
+// without a valid lease. It calls changed for each group whose carriers changed.
+func (p *PlacementTracker) Update(registered int, changed func(group string, before, now placement.Carriers)) {
+	p.table.Update(registered, p.localities, func(group string, c placement.Carriers) {
 		changed(group, p.next.set(group, c), c)
 	})
-	placed := p.next
-	p.placed = &placed
+	snapshot := p.next
+	p.published = &snapshot
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,82 +16,82 @@
 	"github.com/stackspindle/stackspindle/internal/statement"
 )
 
-// Start is what a caller asks for when its session begins.
-type Start struct {
+// StartupRequest is what a client asks for when its session begins.
+type StartupRequest struct {
 	Database string
-	Key      account.Key // that shows its account
+	Key      account.Key // identifies the client's account
 }
 
-// Caller is the connection of one caller, in whatever protocol it speaks.
-type Caller interface {
-	// Start reads the beginning.
-	Start() (Start, error)
-	// Accept tells the caller that its session has begun.
-	Accept() error
-	// Next reads the next statement. io.EOF means a good end. An error of type
-	// *statement.Error is the caller's fault: with the statement's ID it is
-	// answered, without it the connection ends.
-	Next() (statement.Statement, error)
-	// Answer sends an answer whole.
-	Answer(a statement.Answer) error
-	// Refuse sends an error after which the connection ends.
-	Refuse(e *statement.Error) error
-	// Quiet reports whether the caller has sent nothing that was not read yet.
-	Quiet() bool
-	// Gone reports whether the caller has closed the connection, with nothing left to be
-	// read. It takes nothing from what the caller has sent, and may be called beside all else
-	// but Start and Next.
-	Gone() bool
-	// SetReadDeadline bounds the wait in Next.
+// ClientConn is the connection of one client; implementations speak a particular protocol.
+type ClientConn interface {
+	// ReadStartup reads the startup request.
+	ReadStartup() (StartupRequest, error)
+	// ConfirmStartup tells the client that its session has begun.
+	ConfirmStartup() error
+	// ReadStatement reads the next statement. It returns io.EOF when the client closed the
+	// connection in an orderly way. A *statement.Error is a protocol error by the client: if the
+	// statement's ID is known the error is sent as its answer, otherwise the connection is closed.
+	ReadStatement() (statement.Statement, error)
+	// SendAnswer sends a complete answer.
+	SendAnswer(a statement.Answer) error
+	// SendRefusal sends an error; the connection is closed afterwards.
+	SendRefusal(e *statement.Error) error
+	// InputEmpty reports whether no unread input from the client is pending.
+	InputEmpty() bool
+	// PeerClosed reports whether the client has closed the connection and no input is left to read.
+	// It consumes no input, and may be called concurrently with all methods but ReadStartup and
+	// ReadStatement.
+	PeerClosed() bool
+	// SetReadDeadline sets the deadline of ReadStatement.
 	SetReadDeadline(t time.Time) error
-	// Close ends the connection.
+	// Close closes the connection.
 	Close() error
 }
 
-// Settings of the server.
+// Timeouts and intervals of the server.
 const (
-	startTimeout  = 5 * time.Second        // for the first message; callers send it at once
-	acceptPause   = 5 * time.Millisecond   // after a failed accept, as when descriptors run out
-	keepAliveIdle = 5 * time.Second        // after which a silent caller's far end is checked
-	keepAliveStep = 2 * time.Second        // between two checks
-	keepAliveMax  = 3                      // checks without an answer
-	stopPoll      = 20 * time.Millisecond  // between two looks at what is still open
-	stopNudge     = 100 * time.Millisecond // between two attempts to end idle sessions
+	startupTimeout         = 5 * time.Second        // for the startup request, which clients send at once
+	acceptRetryDelay       = 5 * time.Millisecond   // after a failed accept, for example when file descriptors run out
+	keepAliveIdle          = 5 * time.Second        // idle time after which TCP probes whether the client is still reachable
+	keepAliveInterval      = 2 * time.Second        // between two probes
+	keepAliveProbes        = 3                      // unanswered probes until the connection is closed
+	drainPollInterval      = 20 * time.Millisecond  // between two checks whether clients are still connected
+	drainInterruptInterval = 100 * time.Millisecond // between two interruptions of idle sessions
 )
 
-// Server accepts callers.
+// Server accepts client connections and serves their statements.
 type Server struct {
-	relay *Relay
-	wrap  func(net.Conn) Caller
-	pool  *ants.Pool
+	relay         *Relay
+	newClientConn func(net.Conn) ClientConn
+	pool          *ants.Pool
 
-	mu       sync.Mutex // guards the rest
-	callers  map[*callerConn]struct{}
-	closing  bool // sessions end as soon as they are idle
+	mu       sync.Mutex // guards the fields below
+	clients  map[*clientHandler]struct{}
+	draining bool // sessions end as soon as they are idle
 	listener net.Listener
 }
 
-// callerConn is one caller with its session.
-type callerConn struct {
+// clientHandler serves the connection of one client.
+type clientHandler struct {
 	server  *Server
-	caller  Caller
+	conn    ClientConn
 	session *session
 
-	mu   sync.Mutex // guards the rest
+	mu   sync.Mutex // guards the fields below
 	busy bool       // a statement is being served
 	inTx bool
 }
 
-// NewServer returns a server of at most maxCallers callers at once.
-func NewServer(relay *Relay, wrap func(net.Conn) Caller, maxCallers int) (*Server, error) {
-	pool, err := ants.NewPool(maxCallers, ants.WithNonblocking(true))
+// NewServer returns a server for at most maxClients concurrent clients.
+func NewServer(relay *Relay, newClientConn func(net.Conn) ClientConn, maxClients int) (*Server, error) {
+	pool, err := ants.NewPool(maxClients, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, fmt.Errorf("callers: %w", err)
+		return nil, fmt.Errorf("client pool: %w", err)
 	}
-	return &Server{relay: relay, wrap: wrap, pool: pool, callers: make(map[*callerConn]struct{})}, nil
+	return &Server{relay: relay, newClientConn: newClientConn, pool: pool, clients: make(map[*clientHandler]struct{})}, nil
 }
 
-// Serve accepts callers until the listener is closed.
+// Serve accepts clients until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -102,8 +102,8 @@
 			return nil
 		}
 		if err != nil {
-			s.relay.log.WithError(err).Warn("relay: a caller could not be accepted")
-			time.Sleep(acceptPause)
+			s.relay.log.WithError(err).Warn("relay: accepting a client connection failed")
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.accept(conn)
@@ -112,208 +112,212 @@
 
 func (s *Server) accept(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		err := tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveStep, Count: keepAliveMax})
+		err := tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes})
 		if err != nil {
-			s.relay.log.WithError(err).Debug("relay: keep-alive could not be set")
+			s.relay.log.WithError(err).Debug("relay: setting TCP keep-alive failed")
 		}
 	}
-	c := &callerConn{server: s, caller: s.wrap(conn)}
-	if err := s.pool.Submit(c.serve); err != nil {
-		// The caller's first message is not awaited: it can go elsewhere at once.
-		_ = c.caller.Refuse(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: comeBack})
-		_ = c.caller.Close()
+	handler := &clientHandler{server: s, conn: s.newClientConn(conn)}
+	if err := s.pool.Submit(handler.serve); err != nil {
+		// Refused without waiting for the startup request, so that the client can connect to
+		// another instance at once.
+		_ = handler.conn.SendRefusal(&statement.Error{Code: statement.Busy, Detail: "too many callers", RetryAfter: defaultRetryAfter})
+		_ = handler.conn.Close()
 	}
 }
 
-// serve runs a caller's connection until its end.
-func (c *callerConn) serve() {
-	defer c.caller.Close()
-	if !c.begin() {
+// serve runs the session until the connection ends.
+func (c *clientHandler) serve() {
+	defer c.conn.Close()
+	if !c.startSession() {
 		return
 	}
-	defer c.end()
-	for c.next() {
+	defer c.endSession()
+	for c.serveNext() {
 	}
 }
 
-// begin answers the first message.
-func (c *callerConn) begin() bool {
+// startSession reads the startup request and accepts or refuses it. It reports whether the session
+// has begun.
+func (c *clientHandler) startSession() bool {
 	relay := c.server.relay
-	if c.caller.SetReadDeadline(time.Now().Add(startTimeout)) != nil {
+	if c.conn.SetReadDeadline(time.Now().Add(startupTimeout)) != nil {
 		return false
 	}
-	start, err := c.caller.Start()
+	startup, err := c.conn.ReadStartup()
 	var refusal *statement.Error
 	switch {
 	case errors.As(err, &refusal):
 	case err != nil:
-		return false // the caller has gone, or says nothing
+		return false // the client disconnected, or sent nothing in time
 	default:
-		_, _, refusal = relay.admit(start)
+		_, _, refusal = relay.admit(startup)
 	}
 	if refusal != nil {
-		_ = c.caller.Refuse(refusal)
+		_ = c.conn.SendRefusal(refusal)
 		return false
 	}
-	c.session = newSession(relay, start)
+	c.session = newSession(relay, startup)
 	c.server.mu.Lock()
-	c.server.callers[c] = struct{}{}
+	c.server.clients[c] = struct{}{}
 	c.server.mu.Unlock()
-	return c.caller.Accept() == nil
+	return c.conn.ConfirmStartup() == nil
 }
 
-func (c *callerConn) end() {
+func (c *clientHandler) endSession() {
 	c.server.mu.Lock()
-	delete(c.server.callers, c)
+	delete(c.server.clients, c)
 	c.server.mu.Unlock()
 	c.session.endTx()
 }
 
-// next serves one statement and reports whether the connection goes on.
-func (c *callerConn) next() bool {
-	if !c.await() {
+// serveNext serves one statement and reports whether the session goes on.
+func (c *clientHandler) serveNext() bool {
+	if !c.setReadDeadline() {
 		return false
 	}
-	st, err := c.caller.Next()
+	st, err := c.conn.ReadStatement()
 	arrived := c.server.relay.now()
-	var fault *statement.Error
+	var protocolErr *statement.Error
 	switch {
-	case errors.As(err, &fault) && st.ID != "":
-		return c.reply(statement.Answer{State: c.session.state, Err: fault})
-	case errors.As(err, &fault):
-		_ = c.caller.Refuse(fault)
+	case errors.As(err, &protocolErr) && st.ID != "":
+		return c.sendAnswer(statement.Answer{State: c.session.state, Err: protocolErr})
+	case errors.As(err, &protocolErr):
+		_ = c.conn.SendRefusal(protocolErr)
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return c.idleTooLong()
+		return c.handleIdleTimeout()
 	case err != nil:
 		if !errors.Is(err, io.EOF) {
-			c.server.relay.log.WithError(err).Debug("relay: a caller's connection ended")
+			c.server.relay.log.WithError(err).Debug("relay: a client connection failed")
 		}
 		return false
 	}
 	c.setBusy(true)
-	ctx, end := watchDeparture(c.caller)
+	ctx, stopWatch := watchDisconnect(c.conn)
 	answer := c.session.handle(ctx, st, arrived)
-	end()
-	ok := c.reply(answer)
-	c.noteFailure(st, answer, ok)
+	stopWatch()
+	ok := c.sendAnswer(answer)
+	c.recordFailure(st, answer, ok)
 	c.setBusy(false)
 	return ok
 }
 
-// noteFailure remembers a request that did not succeed, or whose answer the caller
-// was not there to take.
-func (c *callerConn) noteFailure(st statement.Statement, answer statement.Answer, delivered bool) {
+// recordFailure adds a failed statement, or one whose answer could not be delivered, to the failure
+// log.
+func (c *clientHandler) recordFailure(st statement.Statement, answer statement.Answer, delivered bool) {
 	relay := c.server.relay
-	reason := cause{group: relay.snapshot().Databases[c.session.start.Database].Group}
+	cause := failureCause{group: relay.snapshot().Databases[c.session.startup.Database].Group}
 	switch {
 	case answer.Err != nil:
-		reason.outcome, reason.why = answer.Err.Code.String(), answer.Err.Detail
+		cause.outcome, cause.detail = answer.Err.Code.String(), answer.Err.Detail
 	case !delivered:
-		reason.outcome, reason.why = "undelivered", "it succeeded, and the caller's connection had ended"
+		cause.outcome, cause.detail = "undelivered", "it succeeded, and the caller's connection had ended"
 	default:
 		return
 	}
-	relay.failures.note(reason, st.ID)
+	relay.failureLog.add(cause, st.ID)
 }
 
-func (c *callerConn) reply(a statement.Answer) bool { return c.caller.Answer(a) == nil }
+func (c *clientHandler) sendAnswer(a statement.Answer) bool { return c.conn.SendAnswer(a) == nil }
 
-// await sets the bound of the wait for the next statement.
-func (c *callerConn) await() bool {
+// setReadDeadline sets the deadline for the next statement. It reports false when the session is to
+// end.
+func (c *clientHandler) setReadDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	closing := c.server.isClosing()
-	if closing && !c.inTx && c.caller.Quiet() {
+	draining := c.server.isDraining()
+	if draining && !c.inTx && c.conn.InputEmpty() {
 		return false
 	}
 	var deadline time.Time
-	if closing && !c.inTx {
-		deadline = time.Now().Add(stopNudge) // for the rest of what has begun to arrive
+	if draining && !c.inTx {
+		deadline = time.Now().Add(drainInterruptInterval) // lets the client finish a statement that it has begun to send
 	}
 	if limit := c.server.relay.snapshot().Config.IdleInTransaction; c.inTx && limit > 0 {
 		deadline = time.Now().Add(limit)
 	}
-	return c.caller.SetReadDeadline(deadline) == nil
+	return c.conn.SetReadDeadline(deadline) == nil
 }
 
-// idleTooLong ends a transaction that rests, or a session that is to end.
-func (c *callerConn) idleTooLong() bool {
-	if c.session.tx != nil || c.session.remote != nil {
+// handleIdleTimeout rolls back the open transaction, if there is one, after the client sent nothing
+// until the read deadline. It reports whether the session goes on.
+func (c *clientHandler) handleIdleTimeout() bool {
+	if c.session.tx != nil || c.session.forwardedTx != nil {
 		c.session.abandonTx("the transaction rested for too long and was rolled back")
-		c.server.relay.noteRested(c.session.start.Database)
+		c.server.relay.recordIdleTransaction(c.session.startup.Database)
 		c.setBusy(false)
 		return true
 	}
-	return true // await tells whether the session ends
+	return true // setReadDeadline ends the session while the server is draining
 }
 
-func (c *callerConn) setBusy(busy bool) {
+func (c *clientHandler) setBusy(busy bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = busy
-	c.inTx = c.session.state != statement.Idle && c.session.lost == ""
+	c.inTx = c.session.state != statement.Idle && c.session.lostReason == ""
 }
 
-func (s *Server) isClosing() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing
+	return s.draining
 }
 
-// Callers returns how many callers are connected.
-func (s *Server) Callers() int {
+// NumClients returns the number of connected clients.
+func (s *Server) NumClients() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.callers)
+	return len(s.clients)
 }
 
-// Stop lets callers go: sessions end between two statements, and open
-// transactions may end by themselves until the context does.
-func (s *Server) Stop(ctx context.Context) {
+// Drain ends all sessions: idle ones at once, others after their statement. Open transactions may
+// go on until they end or ctx is done.
+func (s *Server) Drain(ctx context.Context) {
 	s.mu.Lock()
-	s.closing = true
+	s.draining = true
 	s.mu.Unlock()
-	nudge := time.NewTicker(stopNudge)
-	defer nudge.Stop()
-	poll := time.NewTicker(stopPoll)
+	interrupt := time.NewTicker(drainInterruptInterval)
+	defer interrupt.Stop()
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	s.endIdle(false)
-	for s.Callers() > 0 {
+	s.interruptIdle(false)
+	for s.NumClients() > 0 {
 		select {
 		case <-ctx.Done():
-			s.endIdle(true)
+			s.interruptIdle(true)
 			return
-		case <-nudge.C:
-			s.endIdle(false)
+		case <-interrupt.C:
+			s.interruptIdle(false)
 		case <-poll.C:
 		}
 	}
 }
 
-// endIdle interrupts the wait of sessions that have nothing to do, so that they
-// end themselves: a statement that was read whole is always answered.
-func (s *Server) endIdle(transactionsToo bool) {
+// interruptIdle expires the read deadline of idle sessions, so that they end. A statement that was
+// read completely is always answered.
+func (s *Server) interruptIdle(includeTransactions bool) {
 	s.mu.Lock()
-	callers := make([]*callerConn, 0, len(s.callers))
-	for c := range s.callers {
-		callers = append(callers, c)
+	clients := make([]*clientHandler, 0, len(s.clients))
+	for c := range s.clients {
+		clients = append(clients, c)
 	}
 	s.mu.Unlock()
-	for _, c := range callers {
+	for _, c := range clients {
 		c.mu.Lock()
-		if !c.busy && (!c.inTx || transactionsToo) {
-			_ = c.caller.SetReadDeadline(time.Now()) // a broken connection ends by itself
+		if !c.busy && (!c.inTx || includeTransactions) {
+			_ = c.conn.SetReadDeadline(time.Now()) // a broken connection ends by itself
 		}
 		c.mu.Unlock()
 	}
 }
 
-// CloseListener stops accepting.
+// CloseListener stops accepting connections.
 func (s *Server) CloseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener != nil {
-		_ = s.listener.Close() // no caller depends on it
+		_ = s.listener.Close() // an error affects no client
 	}
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -12,166 +12,167 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// prepared is a statement that the session has named.
-type prepared struct {
+// preparedStatement is a statement that the client has prepared in its session.
+type preparedStatement struct {
 	writes bool
 	shape  string
 }
 
-// session is what belongs to one caller. It is used by one goroutine.
+// session is the state of one client's session. It is used by one goroutine.
 type session struct {
-	relay   *Relay
-	start   Start
-	account string // whose work it is, as the caller's own instance found
-	values  map[string]string
-	names   map[string]prepared
-	floor   group.Position // of the session's last acknowledged commit
-	state   statement.State
-	tx      *transaction       // nil outside one, in one that was lost, and in one at a carrier
-	remote  *remoteTransaction // at a carrier; nil: none
-	carried bool               // the session is another instance's, which this one carries for
-	lost    string             // why the open transaction is gone; empty: it is not
-
-	dueBack      time.Duration // when the caller was told to come back last, for its account's limit
-	accountEmpty time.Duration // for how long the account has no tokens, as the last refusal told
+	relay       *Relay
+	startup     StartupRequest
+	account     string // client account of a forwarded statement, as the ingress instance identified it
+	variables   map[string]string
+	prepared    map[string]preparedStatement
+	floor       group.Position // lower bound of the log position that reads must see: the session's last acknowledged commit
+	state       statement.State
+	tx          *transaction          // open transaction at a member; nil: none is open, it was lost, or it runs at a carrier
+	forwardedTx *forwardedTransaction // open transaction at a carrier; nil: none
+	forwarded   bool                  // a client of another instance forwards its statements here
+	lostReason  string                // why the open transaction was lost; empty: it was not
+
+	retryAt         time.Duration // when the client may retry by the last refusal for its account's limit; 0: none is pending
+	accountEmptyFor time.Duration // remaining time without tokens for the account, by the last refusal
 }
 
 // transaction is an open transaction on a member's connection.
 type transaction struct {
-	up    *upstream
-	held  *hold
-	pass  *lead.Permit // nil on a replica
-	group *groupState
-	route topology.Route
-	wrote bool
+	upstream *upstreamState
+	conn     *leasedConn
+	permit   *lead.Permit // of the primary; nil on a replica
+	group    *groupState
+	route    topology.Route
+	wrote    bool
 }
 
-func newSession(r *Relay, start Start) *session {
+func newSession(r *Relay, startup StartupRequest) *session {
 	return &session{
-		relay:  r,
-		start:  start,
-		values: make(map[string]string),
-		names:  make(map[string]prepared),
-		state:  statement.Idle,
+		relay:     r,
+		startup:   startup,
+		variables: make(map[string]string),
+		prepared:  make(map[string]preparedStatement),
+		state:     statement.Idle,
 	}
 }
 
-// handle returns the answer to a statement that arrived at a time. ctx ends when nobody
-// waits for the answer any more.
+// handle runs a statement that arrived at the given time and returns its answer. ctx ends when the
+// client no longer waits for the answer.
 func (s *session) handle(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
-	answer := s.answer(ctx, st, arrived)
+	answer := s.dispatch(ctx, st, arrived)
 	s.state = answer.State
 	return answer
 }
 
-func (s *session) answer(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
-	ends := st.Kind == statement.Commit || st.Kind == statement.Rollback
+func (s *session) dispatch(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
+	endsTx := st.Kind == statement.Commit || st.Kind == statement.Rollback
 	switch {
-	case s.lost != "":
-		return s.afterLoss(ends)
-	case s.state != statement.Idle && s.keyEnded():
+	case s.lostReason != "":
+		return s.reportLostTx(endsTx)
+	case s.state != statement.Idle && s.keyRevoked():
 		s.endTx()
-		return statement.Failure(statement.Idle, statement.Aborted, endedKey)
-	case s.state == statement.Failed && !ends:
+		return statement.Failure(statement.Idle, statement.Aborted, keyRevokedDetail)
+	case s.state == statement.Failed && !endsTx:
 		return statement.Failure(s.state, statement.Malformed, "the transaction has failed; only its end is accepted")
 	case st.Kind == statement.Set:
-		s.values[st.Name] = st.Value
+		s.variables[st.Name] = st.Value
 		return statement.Done(s.state)
 	case st.Kind == statement.Prepare:
-		s.names[st.Name] = prepared{writes: st.Writes, shape: st.Shape}
+		s.prepared[st.Name] = preparedStatement{writes: st.Writes, shape: st.Shape}
 		return statement.Done(s.state)
 	case st.Kind == statement.Close:
-		delete(s.names, st.Name)
+		delete(s.prepared, st.Name)
 		return statement.Done(s.state)
 	case s.tx != nil:
 		return s.continueTx(ctx, st, arrived)
-	case s.remote != nil:
-		return s.continueCarried(ctx, st, arrived)
-	case ends:
+	case s.forwardedTx != nil:
+		return s.continueForwarded(ctx, st, arrived)
+	case endsTx:
 		return statement.Failure(statement.Idle, statement.Malformed, "no transaction is open")
 	}
-	return s.first(ctx, st, arrived)
+	return s.executeFirst(ctx, st, arrived)
 }
 
-// afterLoss tells the caller that its transaction is gone. Nothing of it is kept,
-// since its end was never sent.
-func (s *session) afterLoss(ends bool) statement.Answer {
-	reason := s.lost
-	s.lost = ""
-	if ends && s.state == statement.Failed {
+// reportLostTx tells the client that its transaction was lost. None of its writes persist, since no
+// COMMIT was sent for it.
+func (s *session) reportLostTx(endsTx bool) statement.Answer {
+	reason := s.lostReason
+	s.lostReason = ""
+	if endsTx && s.state == statement.Failed {
 		return statement.Done(statement.Idle)
 	}
 	return statement.Failure(statement.Idle, statement.Aborted, "%s", reason)
 }
 
-// needed returns what must be prepared at a member before the statement runs.
-func (s *session) needed(st statement.Statement) (*member.Prepared, bool) {
+// preparedFor returns what must be prepared at a member before the statement runs. It reports false
+// when the session has not prepared the statement.
+func (s *session) preparedFor(st statement.Statement) (*member.Prepared, bool) {
 	if st.Kind != statement.Execute {
 		return nil, true
 	}
-	p, ok := s.names[st.Name]
+	p, ok := s.prepared[st.Name]
 	if !ok {
 		return nil, false
 	}
 	return &member.Prepared{Name: member.PreparedName(p.writes, p.shape), Writes: p.writes, Shape: p.shape}, true
 }
 
-// reads reports whether a first statement only reads.
-func (s *session) reads(st statement.Statement) bool {
+// readsOnly reports whether the first statement of a transaction makes it read-only.
+func (s *session) readsOnly(st statement.Statement) bool {
 	switch st.Kind {
 	case statement.Read, statement.BeginRead:
 		return true
 	case statement.Execute:
-		return !s.names[st.Name].writes
+		return !s.prepared[st.Name].writes
 	}
 	return false
 }
 
-// request returns the request that has a member run the statement.
-func request(st statement.Statement, needed *member.Prepared, after group.Position, deadline time.Time) member.Request {
-	req := member.Request{Statement: st, After: after, Deadline: deadline}
-	if needed != nil {
-		req.Name = needed.Name
+// memberRequest builds the request that runs a statement at a member.
+func memberRequest(st statement.Statement, prepared *member.Prepared, minPosition group.Position, deadline time.Time) member.Request {
+	req := member.Request{Statement: st, After: minPosition, Deadline: deadline}
+	if prepared != nil {
+		req.Name = prepared.Name
 	}
 	return req
 }
 
-// busyPause is the pause before a statement of an open transaction, which its
-// member had no room for, is sent again.
-const busyPause = 5 * time.Millisecond
+// busyRetryDelay is the delay before a statement of an open transaction is sent again after its
+// member answered that it is busy.
+const busyRetryDelay = 5 * time.Millisecond
 
-// continueTx runs a further statement of the open transaction. One that its member has no
-// room for is sent again until ctx ends.
+// continueTx runs a further statement of the open transaction. While the member answers that it is
+// busy, the statement is sent again until its deadline or until ctx ends.
 func (s *session) continueTx(ctx context.Context, st statement.Statement, arrived time.Duration) statement.Answer {
-	needed, known := s.needed(st)
-	if !known {
+	prepared, ok := s.preparedFor(st)
+	if !ok {
 		return statement.Failure(s.state, statement.Unprepared, "no statement %q was prepared in this session", st.Name)
 	}
-	tx, deadline := s.tx, s.relay.wall(arrived+s.tx.route.Timeout)
-	tx.held.lease.Resume()
-	defer tx.held.lease.Park() // without effect when the transaction has ended
-	stuck := time.AfterFunc(tx.group.patience(tx.route), tx.held.lease.Park)
-	defer stuck.Stop()
+	tx, deadline := s.tx, s.relay.timeAt(arrived+s.tx.route.Timeout)
+	tx.conn.lease.Resume()
+	defer tx.conn.lease.Park() // no effect when the transaction has ended
+	parkTimer := time.AfterFunc(tx.group.maxWorkTime(tx.route), tx.conn.lease.Park)
+	defer parkTimer.Stop()
 	for {
-		if err := tx.held.lease.Conn.ApplySession(s.values, needed); err != nil {
-			return s.loseTx(st, err, false)
+		if err := tx.conn.lease.Conn.ApplySession(s.variables, prepared); err != nil {
+			return s.handleLostConn(st, err, false)
 		}
-		asked := s.relay.now()
-		answer, err := tx.held.lease.Conn.Run(request(st, needed, group.Position{}, deadline))
+		sentAt := s.relay.now()
+		answer, err := tx.conn.lease.Conn.Run(memberRequest(st, prepared, group.Position{}, deadline))
 		if err != nil {
-			return s.loseTx(st, err, true)
+			return s.handleLostConn(st, err, true)
 		}
-		s.relay.noteAnswer(tx.up, tx.group, tx.pass, asked, answer)
-		if retriableInTx(answer) && ctx.Err() == nil && time.Now().Add(busyPause).Before(deadline) {
-			time.Sleep(busyPause)
+		s.relay.recordAnswer(tx.upstream, tx.group, tx.permit, sentAt, answer)
+		if retriableInTx(answer) && ctx.Err() == nil && time.Now().Add(busyRetryDelay).Before(deadline) {
+			time.Sleep(busyRetryDelay)
 			continue
 		}
-		return s.settleTx(st, answer)
+		return s.finishTxStatement(st, answer)
 	}
 }
 
-// retriableInTx reports whether a statement of a transaction did not run and may
-// be sent again, while the transaction goes on.
+// retriableInTx reports whether a statement of a transaction did not run and may be sent again in
+// the same transaction.
 func retriableInTx(a statement.Answer) bool {
 	if a.Err == nil || a.State != statement.InTransaction {
 		return false
@@ -179,16 +180,17 @@
 	return a.Err.Code == statement.Busy || a.Err.Code == statement.Unprepared
 }
 
-// settleTx passes an answer on and lets go of the connection at the end.
-func (s *session) settleTx(st statement.Statement, answer statement.Answer) statement.Answer {
+// finishTxStatement handles a member's answer inside a transaction. It releases the connection when
+// the transaction has ended.
+func (s *session) finishTxStatement(st statement.Statement, answer statement.Answer) statement.Answer {
 	tx := s.tx
-	if answer.Err == nil && (st.Kind == statement.Write || st.Kind == statement.Execute && s.names[st.Name].writes) {
+	if answer.Err == nil && (st.Kind == statement.Write || st.Kind == statement.Execute && s.prepared[st.Name].writes) {
 		tx.wrote = true
 	}
 	if answer.State != statement.Idle {
-		return s.settleRead(st, answer)
+		return s.finishTxRead(st, answer)
 	}
-	valid := st.Kind != statement.Commit || !tx.wrote || s.relay.stands(tx.group, tx.pass, false)
+	valid := st.Kind != statement.Commit || !tx.wrote || s.relay.mayPassOn(tx.group, tx.permit, false)
 	s.endTx()
 	if st.Kind != statement.Commit || answer.Err != nil {
 		return answer
@@ -202,25 +204,25 @@
 	return answer
 }
 
-// settleRead passes the answer to a statement inside a transaction on. What was read
-// from a primary whose grant is not confirmed is verified first.
-func (s *session) settleRead(st statement.Statement, answer statement.Answer) statement.Answer {
+// finishTxRead handles the answer to a statement that leaves the transaction open. What a read
+// returned from a primary whose grant is not confirmed is verified before it is passed on.
+func (s *session) finishTxRead(st statement.Statement, answer statement.Answer) statement.Answer {
 	tx := s.tx
-	if tx.pass == nil || answer.Err != nil || !s.reads(st) || s.relay.stands(tx.group, tx.pass, true) {
+	if tx.permit == nil || answer.Err != nil || !s.readsOnly(st) || s.relay.mayPassOn(tx.group, tx.permit, true) {
 		return answer
 	}
 	s.endTx()
 	return statement.Failure(statement.Idle, statement.Aborted, "the primary may have been replaced before what was read could be passed on")
 }
 
-// loseTx ends a transaction whose connection cannot be used any more.
-func (s *session) loseTx(st statement.Statement, cause error, sent bool) statement.Answer {
+// handleLostConn ends a transaction whose connection cannot be used any more.
+func (s *session) handleLostConn(st statement.Statement, cause error, sent bool) statement.Answer {
 	tx := s.tx
-	cause = tx.held.breaker.cause(cause)
-	s.relay.logLost(s, st, tx.up.id, cause)
-	tx.up.noteBroken(cause)
+	cause = tx.conn.canceller.cause(cause)
+	s.relay.logLostAnswer(s, st, tx.upstream.id, cause)
+	tx.upstream.handleBrokenConn(cause)
 	if sent && errors.Is(cause, member.ErrBroken) {
-		tx.up.noteMiss(s.relay.now())
+		tx.upstream.recordFailedAttempt(s.relay.now())
 	}
 	s.endTx()
 	if sent && st.Kind == statement.Commit && tx.wrote {
@@ -229,26 +231,26 @@
 	return statement.Failure(statement.Idle, statement.Aborted, "the connection to the member was lost: %v", cause)
 }
 
-// endTx returns the transaction's connection. What is still open on it is rolled
-// back, or the connection is closed.
+// endTx ends the open transaction, if there is one, and returns its connection to the pool.
+// Uncommitted work is rolled back, or the connection is closed.
 func (s *session) endTx() {
-	s.dropCarried()
+	s.abortForwarded()
 	if s.tx == nil {
 		return
 	}
-	s.tx.held.release()
-	if s.tx.pass != nil {
-		s.tx.pass.Done()
+	s.tx.conn.release()
+	if s.tx.permit != nil {
+		s.tx.permit.Done()
 	}
 	s.tx = nil
 }
 
-// abandonTx rolls the open transaction back although its caller has not asked
-// for that. The caller hears of it with its next statement.
+// abandonTx rolls back the open transaction without a request by the client, which gets reason as
+// the answer to its next statement.
 func (s *session) abandonTx(reason string) {
-	if s.tx == nil && s.remote == nil {
+	if s.tx == nil && s.forwardedTx == nil {
 		return
 	}
 	s.endTx()
-	s.lost = reason
+	s.lostReason = reason
 }
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -20,25 +20,25 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// bench is a relay before one group, without a fleet.
-type bench struct {
+// fixture is a relay with one group of two members, without other instances.
+type fixture struct {
 	relay *Relay
 	group *membergroup.Group
-	gate  *lead.PrimaryGuard
+	guard *lead.PrimaryGuard
 
 	mu   sync.Mutex // guards snap
 	snap *topology.Snapshot
 }
 
-func (b *bench) topology() *topology.Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.snap
+func (f *fixture) topology() *topology.Snapshot {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.snap
 }
 
-const generous = time.Minute // a bound that no test reaches
+const generous = time.Minute // a timeout that no test reaches
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	group := membergroup.New("g", "m1", "m2")
 	state := topology.New(0, 0)
 	state.SetConfig(topology.Config{Version: 1, Groups: []topology.Group{{Name: "g", MaxConnections: 10}}, Routes: []topology.Route{
@@ -56,131 +56,131 @@
 	upstreams := NewUpstreams(group, func() time.Duration { return time.Since(started) })
 	upstreams.Update(snap, placedFor(snap, 1), "")
 	t.Cleanup(upstreams.Close)
-	b := &bench{group: group, snap: snap}
-	b.relay = New(Config{
-		Started: started, Topology: b.topology, Current: func() bool { return true }, Known: func(string) Known { return Known{} }, Limiter: unlimited{},
+	f := &fixture{group: group, snap: snap}
+	f.relay = New(Config{
+		Started: started, Topology: f.topology, TopologyIsCurrent: func() bool { return true }, StoredRecord: func(string) StoredRecord { return StoredRecord{} }, Limiter: unlimited{},
 		Upstreams: upstreams, Conns: peerconn.New(), Log: log.WithField("part", "relay"), Metrics: metrics.NewSet(),
 	})
-	b.gate = b.relay.Gate("g")
-	b.gate.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
-	b.gate.Confirm(b.relay.now())
-	return b
+	f.guard = f.relay.PrimaryGuard("g")
+	f.guard.ApplyRecord(lead.Record{Group: "g", Primary: "m1", Term: 1}, 1)
+	f.guard.Confirm(f.relay.now())
+	return f
 }
 
-// placedFor returns the placement before a number of registered instances.
-func placedFor(snap *topology.Snapshot, registered int) *Placed {
-	placements := NewPlacements(lead.Instance{}, locality.Map{})
+// placedFor returns the placement for a number of registered instances.
+func placedFor(snap *topology.Snapshot, registered int) *PlacementSnapshot {
+	placements := NewPlacementTracker(lead.Instance{}, locality.Map{})
 	for name := range snap.Groups {
-		g, _ := GroupOf(snap, name)
+		g, _ := PlacementGroup(snap, name)
 		placements.Set(g)
 	}
 	placements.Update(registered, func(string, placement.Carriers, placement.Carriers) {})
-	return placements.Placed()
+	return placements.Snapshot()
 }
 
-// run has a session answer a statement that arrives now.
-func (b *bench) run(s *session, kind statement.Kind, text string) statement.Answer {
-	return s.handle(context.Background(), statement.Statement{ID: "x", Kind: kind, Text: text}, b.relay.now())
+// run runs a statement that arrives now in a session.
+func (f *fixture) run(s *session, kind statement.Kind, text string) statement.Answer {
+	return s.handle(context.Background(), statement.Statement{ID: "x", Kind: kind, Text: text}, f.relay.now())
 }
 
-func TestRestingTransactionIsRolledBack(t *testing.T) {
-	b := newBench(t)
-	s := newSession(b.relay, Start{Database: "strict"})
-	must.Eq(t, statement.InTransaction, b.run(s, statement.Begin, "BEGIN").State)
-	must.Eq(t, statement.InTransaction, b.run(s, statement.Write, "WRITE 1 x").State)
+func TestIdleTransactionIsRolledBack(t *testing.T) {
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
+	must.Eq(t, statement.InTransaction, f.run(s, statement.Begin, "BEGIN").State)
+	must.Eq(t, statement.InTransaction, f.run(s, statement.Write, "WRITE 1 x").State)
 	s.abandonTx("the transaction rested for too long")
-	a := b.run(s, statement.Commit, "COMMIT")
+	a := f.run(s, statement.Commit, "COMMIT")
 	must.Eq(t, statement.Aborted, a.Err.Code)
 	must.Eq(t, statement.Idle, a.State)
-	must.SliceEmpty(t, b.group.Log())
-	must.Nil(t, b.run(s, statement.Write, "WRITE 2 x").Err)
-	must.Len(t, 1, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
+	must.Nil(t, f.run(s, statement.Write, "WRITE 2 x").Err)
+	must.Len(t, 1, f.group.Log())
 }
 
-// A change of primary breaks off a transaction that does not end in its time, and
-// releases only when nothing of it is under way any more.
+// A release of the primary cancels a transaction that doesn't end in time, and completes only when
+// nothing of it is in progress.
 func TestReleaseEndsOpenTransactions(t *testing.T) {
-	b := newBench(t)
-	s := newSession(b.relay, Start{Database: "strict"})
-	b.run(s, statement.Begin, "BEGIN")
-	b.run(s, statement.Write, "WRITE 1 x")
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
+	f.run(s, statement.Begin, "BEGIN")
+	f.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
-	go func() { released <- b.gate.Release(t.Context(), 2, time.Millisecond) }()
+	go func() { released <- f.guard.Release(t.Context(), 2, time.Millisecond) }()
 	var a statement.Answer
 	for a.Err == nil {
-		a = b.run(s, statement.Write, "WRITE 1 x")
+		a = f.run(s, statement.Write, "WRITE 1 x")
 	}
 	must.Eq(t, statement.Aborted, a.Err.Code)
 	must.NoError(t, <-released)
-	must.SliceEmpty(t, b.group.Log())
-	h := newSession(b.relay, Start{Database: "hurried"})
-	a = b.run(h, statement.Write, "WRITE 2 x")
+	must.SliceEmpty(t, f.group.Log())
+	h := newSession(f.relay, StartupRequest{Database: "hurried"})
+	a = f.run(h, statement.Write, "WRITE 2 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
 	must.Positive(t, a.Err.RetryAfter)
-	must.SliceEmpty(t, b.group.Log())
+	must.SliceEmpty(t, f.group.Log())
 }
 
-// What a released session was told to be done is done: the release waits.
-func TestReleaseWaitsForTransactionsThatEnd(t *testing.T) {
-	b := newBench(t)
-	s := newSession(b.relay, Start{Database: "strict"})
-	b.run(s, statement.Begin, "BEGIN")
-	b.run(s, statement.Write, "WRITE 1 x")
+// A release waits for an open transaction that ends in time, so that its commit is acknowledged.
+func TestReleaseWaitsForOpenTransaction(t *testing.T) {
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "strict"})
+	f.run(s, statement.Begin, "BEGIN")
+	f.run(s, statement.Write, "WRITE 1 x")
 	released := make(chan error, 1)
-	go func() { released <- b.gate.Release(t.Context(), 2, generous) }()
+	go func() { released <- f.guard.Release(t.Context(), 2, generous) }()
 	for {
-		if _, err := b.gate.Primary(); err != nil {
+		if _, err := f.guard.Primary(); err != nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	must.Nil(t, b.run(s, statement.Commit, "COMMIT").Err)
+	must.Nil(t, f.run(s, statement.Commit, "COMMIT").Err)
 	must.NoError(t, <-released)
-	must.Len(t, 1, b.group.Log())
+	must.Len(t, 1, f.group.Log())
 }
 
-func TestBoundedReadsGoToReplicasOnceThePrimaryWasHeard(t *testing.T) {
-	b := newBench(t)
-	s := newSession(b.relay, Start{Database: "bounded"})
-	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
-	must.Eq(t, "m2.x", b.run(s, statement.Read, "READ 1").Receipt)
-	b.group.SetReach("m2", membergroup.Dead)
-	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt)
+func TestBoundedReadsUseReplicasAfterFirstSample(t *testing.T) {
+	f := newFixture(t)
+	s := newSession(f.relay, StartupRequest{Database: "bounded"})
+	must.Eq(t, "m1.x", f.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
+	must.Eq(t, "m2.x", f.run(s, statement.Read, "READ 1").Receipt)
+	f.group.SetReach("m2", membergroup.Dead)
+	must.Eq(t, "m1.x", f.run(s, statement.Read, "READ 1").Receipt)
 }
 
-func TestWritesToAReplacedPrimaryAreNotAcknowledged(t *testing.T) {
-	b := newBench(t)
-	pass, err := b.gate.Acquire(func() {})
+func TestReleaseRevokesPermits(t *testing.T) {
+	f := newFixture(t)
+	permit, err := f.guard.Acquire(func() {})
 	must.NoError(t, err)
-	must.True(t, pass.Confirmed())
-	must.Error(t, b.gate.Release(cancelled(t), 2, 0), must.Sprint("the pass is still out"))
-	must.False(t, pass.Confirmed())
-	pass.Done()
-	pass.Done()
-	must.NoError(t, b.gate.Release(t.Context(), 2, 0))
+	must.True(t, permit.Confirmed())
+	must.Error(t, f.guard.Release(cancelledContext(t), 2, 0), must.Sprint("a permit is still in use"))
+	must.False(t, permit.Confirmed())
+	permit.Done()
+	permit.Done()
+	must.NoError(t, f.guard.Release(t.Context(), 2, 0))
 }
 
-// The members change while statements run; the race detector watches.
+// The members change while statements run; relies on the race detector.
 func TestMembersChangeUnderTraffic(t *testing.T) {
-	b := newBench(t)
+	f := newFixture(t)
 	served, done := make(chan struct{}, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		for n := range 50 {
-			<-served // so that a statement runs before each change, and others beside it
+			<-served // so that a statement runs before each change, and others concurrently
 			state := topology.New(0, 0)
-			state.SetConfig(b.relay.snapshot().Config)
+			state.SetConfig(f.relay.snapshot().Config)
 			for _, id := range []string{"m1", "m2"} {
-				m := b.group.Entry(id)
+				m := f.group.Entry(id)
 				m.Draining = n%2 == 0
 				state.SetMember(0, m, false)
 			}
-			b.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1+n%3), "")
+			f.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1+n%3), "")
 		}
 	}()
-	s := newSession(b.relay, Start{Database: "bounded"})
+	s := newSession(f.relay, StartupRequest{Database: "bounded"})
 	for {
-		must.Nil(t, b.run(s, statement.Read, "READ 1").Err)
+		must.Nil(t, f.run(s, statement.Read, "READ 1").Err)
 		select {
 		case <-done:
 			return
@@ -190,7 +190,7 @@
 	}
 }
 
-func cancelled(t *testing.T) context.Context {
+func cancelledContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -18,158 +18,159 @@
 	"github.com/stackspindle/stackspindle/internal/routing"
 )
 
-// upstream is one member with its connections and what was seen of it.
-type upstream struct {
-	id      string
-	group   string
-	address string
-	born    int64 // the member's start that all this is of
-	madeAt  time.Duration
-	pool    *connpool.Pool[*member.PooledConn]
+// upstreamState is one member with its connection pool and what this instance has observed of it.
+type upstreamState struct {
+	id        string
+	group     string
+	address   string
+	born      int64 // start of the member that this state belongs to; a restarted member gets a new state
+	createdAt time.Duration
+	pool      *connpool.Pool[*member.PooledConn]
 
-	mu       sync.Mutex // guards the rest
-	draining bool
-	distance locality.Distance // from this instance
-	answered uint64            // in all
-	carried  bool              // this instance is a carrier of the group, or none is known
-	health   member.Health
-	failing  outlier.FailureRate
-	turns    outlier.Sampler // of the choices in which the member takes part
-	position group.Position  // end of its log, as its answers told
-	behind   time.Duration   // how long ago the primary was there; negative: not known
-	growing  bool            // that has become more since the answer before
-	behindAt time.Duration   // when that was told
-	lagUntil time.Duration   // before which a read that it could not serve is not tried again
-	lagged   int             // reads in a row that it could not serve
-	lagSince time.Duration   // when the first of them was
-	recent   tally
-	window   pacing.Throttle
-	room     pacing.SpareCapacity // beyond share
-	share    int                  // statements outside transactions that this instance may have running there
-	most     int                  // that all together may
-	mayRun   int                  // of which this instance makes use: its share and the room
-	levels   [admission.NumTargets][lowestPriority + 1]admission.Controller
-	probing  bool // a statement is on its way that will show whether the member is there
+	mu             sync.Mutex // guards the fields below
+	draining       bool
+	distance       locality.Distance // network distance from this instance
+	answers        uint64            // total
+	served         bool              // this instance serves the group, or the carriers are not known yet
+	health         member.Health
+	failureRate    outlier.FailureRate
+	readSampler    outlier.Sampler // selects the reads for which a failing member is a candidate
+	position       group.Position  // end of its log, by its last answer
+	lag            time.Duration   // replication lag; negative: not known
+	lagGrowing     bool            // the lag is larger than at the answer before
+	lagAt          time.Duration   // when the lag was observed
+	skipReadsUntil time.Duration   // end of the backoff after a read was rejected because of the lag
+	lagRejections  int             // reads rejected in a row because of the lag
+	lagSince       time.Duration   // time of the first of them
+	recentStats    attemptStats
+	throttle       pacing.Throttle
+	spareCapacity  pacing.SpareCapacity // statements that may run beyond activeShare
+	activeShare    int                  // this instance's share of the member's concurrent statements outside transactions
+	activeLimit    int                  // limit of the concurrent statements of all instances together
+	activeAllowed  int                  // activeShare plus the spare capacity in use
+	controllers    [admission.NumTargets][lastPriorityLevel + 1]admission.Controller
+	probing        bool // a statement is being sent that will show whether the member answers again
 }
 
-// tally is what came of the attempts at a member since the last report.
-type tally struct {
-	answered int
-	lagging  int
-	unheard  int           // attempts that got no answer
-	took     time.Duration // all answers together
-	longest  time.Duration
+// attemptStats are the results of requests to a member since the last report.
+type attemptStats struct {
+	answered    int
+	lagging     int
+	unanswered  int           // requests without an answer
+	totalTime   time.Duration // sum over all answers
+	longestTime time.Duration
 }
 
-// setShare takes in how many statements outside transactions this instance, and all
-// together, may have running at the member.
-func (up *upstream) setShare(share, most int) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	if share != up.share || most != up.most {
-		up.share, up.most, up.room, up.mayRun = share, most, pacing.SpareCapacity{}, share
-		up.pool.SetMaxActive(share)
+// setActiveLimits sets how many statements outside transactions this instance, and all instances
+// together, may run concurrently at the member.
+func (u *upstreamState) setActiveLimits(share, limit int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if share != u.activeShare || limit != u.activeLimit {
+		u.activeShare, u.activeLimit, u.spareCapacity, u.activeAllowed = share, limit, pacing.SpareCapacity{}, share
+		u.pool.SetMaxActive(share)
 	}
 }
 
-// noteAnswer records an answer to a question of that time.
-func (up *upstream) noteAnswer(asked, now time.Duration, p group.Position) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.health.RecordAnswer(now)
-	up.failing.RecordSuccess()
-	up.answered++
-	up.recent.answered++
-	up.recent.took += now - asked
-	up.recent.longest = max(up.recent.longest, now-asked)
+// recordAnswer records an answer to a request sent at sentAt.
+func (u *upstreamState) recordAnswer(sentAt, now time.Duration, p group.Position) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.health.RecordAnswer(now)
+	u.failureRate.RecordSuccess()
+	u.answers++
+	u.recentStats.answered++
+	u.recentStats.totalTime += now - sentAt
+	u.recentStats.longestTime = max(u.recentStats.longestTime, now-sentAt)
 	if !p.IsZero() {
-		up.position = p
+		u.position = p
 	}
 }
 
-func (up *upstream) noteMiss(now time.Duration) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.health.RecordNoAnswer(now)
-	up.failing.RecordFailure()
-	up.recent.unheard++
+func (u *upstreamState) recordFailedAttempt(now time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.health.RecordNoAnswer(now)
+	u.failureRate.RecordFailure()
+	u.recentStats.unanswered++
 }
 
-// takesPart reports whether the member takes part in the next choice, which it does in a share
-// of them.
-func (up *upstream) takesPart(share float64) bool {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.turns.Next(share)
+// inRotation reports whether the member is a candidate for the next read, which it is for the given
+// share of them.
+func (u *upstreamState) inRotation(share float64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.readSampler.Next(share)
 }
 
-// isCarried reports whether this instance is to hold connections to the member.
-func (up *upstream) isCarried() bool {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	return up.carried
+// isServed reports whether this instance should hold connections to the member.
+func (u *upstreamState) isServed() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.served
 }
 
-// unheardFor returns how long ago the member answered, or since when it is used here.
-func (up *upstream) unheardFor(now time.Duration) time.Duration {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	if since, heard := up.health.SinceAnswer(now); heard {
+// sinceLastAnswer returns the time since the member's last answer, or since this state was created
+// if there was none.
+func (u *upstreamState) sinceLastAnswer(now time.Duration) time.Duration {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if since, ok := u.health.SinceAnswer(now); ok {
 		return since
 	}
-	return now - up.madeAt
+	return now - u.createdAt
 }
 
-// noteBroken closes the idle connections when one in use has gone silent: whatever
-// silenced it may have silenced them, and each would cost a statement its timeout.
-func (up *upstream) noteBroken(cause error) {
+// handleBrokenConn closes the idle connections after a timeout on a connection in use. The same
+// fault, such as a network partition, may have affected them too, and each would cost a statement
+// its timeout.
+func (u *upstreamState) handleBrokenConn(cause error) {
 	if errors.Is(cause, os.ErrDeadlineExceeded) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, syscall.ETIMEDOUT) {
-		up.pool.DropIdle()
+		u.pool.DropIdle()
 	}
 }
 
-// noteProgress records where a replica's log ends.
-func (up *upstream) noteProgress(behind time.Duration, lagging bool, now time.Duration) {
-	up.mu.Lock()
-	defer up.mu.Unlock()
-	up.growing = behind > up.behind
-	up.behind, up.behindAt = behind, now
+// recordLag records the replication lag of a replica, and whether it rejected a read because of it.
+func (u *upstreamState) recordLag(lag time.Duration, lagging bool, now time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.lagGrowing = lag > u.lag
+	u.lag, u.lagAt = lag, now
 	if !lagging {
-		up.lagged = 0
+		u.lagRejections = 0
 		return
 	}
-	up.recent.lagging++
-	if up.lagged == 0 {
-		up.lagSince = now
+	u.recentStats.lagging++
+	if u.lagRejections == 0 {
+		u.lagSince = now
 	}
-	up.lagUntil = now + min(minLagPause<<min(up.lagged, maxLagShift), maxLagPause)
-	up.lagged++
+	u.skipReadsUntil = now + min(minLagBackoff<<min(u.lagRejections, maxLagShift), maxLagBackoff)
+	u.lagRejections++
 }
 
-// Bounds of how long a member that was found lagging is not tried again, for
-// reads that need more than it had. Each try costs a round trip, and a connection
-// meanwhile.
+// Backoff after a replica rejected a read because it lags. Each attempt costs a round trip, and
+// occupies a connection meanwhile.
 const (
-	minLagPause = 15 * time.Millisecond
-	maxLagPause = 120 * time.Millisecond
-	maxLagShift = 3
+	minLagBackoff = 15 * time.Millisecond
+	maxLagBackoff = 120 * time.Millisecond
+	maxLagShift   = 3
 )
 
-// view returns what routing needs to know of the member.
-func (up *upstream) view(now time.Duration) routing.Candidate {
-	up.mu.Lock()
-	defer up.mu.Unlock()
+// candidate returns the member's state for routing.
+func (u *upstreamState) candidate(now time.Duration) routing.Candidate {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	return routing.Candidate{
-		ID:          up.id,
-		Distance:    up.distance,
-		Draining:    up.draining,
-		Usable:      up.health.Usable(now),
-		LagRejected: now < up.lagUntil,
-		Position:    up.position,
-		Lag:         up.behind,
-		LagGrowing:  up.growing,
-		LagAge:      now - up.behindAt,
-		FailureRate: up.failing.Value(),
-		Load:        up.pool.Load(),
+		ID:          u.id,
+		Distance:    u.distance,
+		Draining:    u.draining,
+		Usable:      u.health.Usable(now),
+		LagRejected: now < u.skipReadsUntil,
+		Position:    u.position,
+		Lag:         u.lag,
+		LagGrowing:  u.lagGrowing,
+		LagAge:      now - u.lagAt,
+		FailureRate: u.failureRate.Value(),
+		Load:        u.pool.Load(),
 	}
 }
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -11,37 +11,37 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// The load: a thousand groups, of which this instance carries few. A gate is made when a group is first
-// used here, and knows what the store was last heard to hold.
-func TestGateMadeLaterKnowsTheRecord(t *testing.T) {
-	b := newBench(t)
-	b.relay.known = func(group string) Known {
-		return Known{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, Confirmed: b.relay.now()}
+// Of a thousand groups, an instance serves few. A guard is created when a group is first used there,
+// and must start with the record that was last read from the store.
+func TestNewGuardHasStoredRecord(t *testing.T) {
+	f := newFixture(t)
+	f.relay.storedRecord = func(group string) StoredRecord {
+		return StoredRecord{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: f.relay.now()}
 	}
-	a, err := b.relay.Gate("later").Primary()
+	a, err := f.relay.PrimaryGuard("later").Primary()
 	must.NoError(t, err)
 	must.Eq(t, lead.PrimaryRef{Primary: "m7", Term: 3, Revision: 9}, a)
 	gates := 0
-	b.relay.Gates(func(string, *lead.PrimaryGuard) { gates++ })
+	f.relay.ForEachPrimaryGuard(func(string, *lead.PrimaryGuard) { gates++ })
 	must.Eq(t, 2, gates)
-	b.relay.known = func(string) Known { return Known{} }
-	_, err = b.relay.Gate("unknown").Primary()
+	f.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
+	_, err = f.relay.PrimaryGuard("unknown").Primary()
 	must.Error(t, err)
 }
 
-// The load: groups move from instance to instance for weeks. What was seen of members that others
-// carry is kept for a while, and dropped then.
-func TestMembersThatOthersCarryAreForgotten(t *testing.T) {
-	b := newBench(t)
-	upstreams, now := b.relay.upstreams, time.Hour
+// Groups move between instances for weeks. The state of a member whose group this instance no
+// longer serves must be dropped after a while.
+func TestUnservedMembersAreForgotten(t *testing.T) {
+	f := newFixture(t)
+	upstreams, now := f.relay.upstreams, time.Hour
 	upstreams.now = func() time.Duration { return now }
-	upstreams.Update(b.snap, &Placed{
+	upstreams.Update(f.snap, &PlacementSnapshot{
 		self:     "here",
-		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", carriedElsewhere(t)),
+		carriers: immutable.NewMap[string, placement.Carriers](nil).Set("g", servedElsewhere(t)),
 	}, "")
 	must.NotNil(t, upstreams.find("m1"))
-	upstreams.NoteAnswer("m1")
-	now += forgetAfter - 1
+	upstreams.RecordAnswer("m1")
+	now += forgetUnservedAfter - 1
 	upstreams.Shrink()
 	must.NotNil(t, upstreams.find("m1"))
 	now++
@@ -50,8 +50,8 @@
 	must.NotNil(t, upstreams.get("m1"), must.Sprint("used again"))
 }
 
-// carriedElsewhere returns carriers of a group among which "here" is not.
-func carriedElsewhere(t *testing.T) placement.Carriers {
+// servedElsewhere returns carriers of a group that do not include the instance "here".
+func servedElsewhere(t *testing.T) placement.Carriers {
 	t.Helper()
 	c := placement.Place([]placement.Group{{Name: "g", MaxConnections: 10, MemberDataCentres: []string{"a"}}}, placement.Fleet{Registered: 100})["g"]
 	c.Names = []string{"elsewhere"}
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -14,190 +14,191 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Settings of the verification of a grant that is not confirmed.
+// Limits of the verification of a grant that is not confirmed.
 const (
-	// verifyTimeout bounds one round of questions. A member may have a queue of
-	// statements before the question; one that takes longer is of no use to callers
-	// who wait for an answer already.
+	// verifyTimeout limits one verification round. A member may have statements queued before the
+	// status request; a member that takes longer than this is of no use to the clients that already
+	// wait for an answer.
 	verifyTimeout = 250 * time.Millisecond
-	// verifiedFor is for how long after a round that succeeded a write is sent before
-	// it is verified. Its answer is verified in any case; that the members answer at
-	// all is known by then, so that few writes end with an outcome that is not known.
-	verifiedFor = 500 * time.Millisecond
-	// roundPause is the pause between two rounds: answers that come meanwhile share the
-	// next. Each question is charged, and takes a slot of a member for a moment.
-	roundPause = 20 * time.Millisecond
+	// verificationValidity is how long after a successful round a write may be sent without a new
+	// verification. Its answer is verified in any case. A recent success shows that the members
+	// answer, so that few writes end with an unknown outcome.
+	verificationValidity = 500 * time.Millisecond
+	// verificationPause is the pause between two rounds, in which further answers collect for the
+	// next round. Each status request is charged by the member, and takes one of its slots for a
+	// moment.
+	verificationPause = 20 * time.Millisecond
 )
 
-// round is a round of questions to the members of a group, shared by all who wait
-// for one that begins after they asked.
-type round struct {
-	authority lead.PrimaryRef
-	done      chan struct{} // closed at the end
-	reads     bool          // an answer to a read waits for it; guarded by the group's mu until it begins
-	ok        bool          // no other member leads; valid once done is closed
-	leads     bool          // the primary says that it leads; valid once done is closed, where reads was set
+// verificationRound asks the members of a group for their status. All answers that arrived before
+// it began share its result.
+type verificationRound struct {
+	primaryRef       lead.PrimaryRef
+	done             chan struct{} // closed when the round has ended
+	askPrimary       bool          // the primary is asked too, because an answer to a read waits; guarded by the group's mu until the round begins
+	noNewerPrimary   bool          // no other member is primary; valid once done is closed
+	primaryConfirmed bool          // the primary confirmed its role; valid once done is closed, if askPrimary was set
 }
 
-// verifier verifies that no other member leads a group. The group's mu guards it.
+// verifier runs the verification rounds of a group. It is guarded by the group's mu.
 type verifier struct {
-	running bool
-	next    *round        // begins when the running one ends; nil: nobody waits
-	okAt    time.Duration // when the last round that succeeded ended; 0: none did
+	running     bool
+	next        *verificationRound // begins after the running one; nil: no answer waits
+	lastSuccess time.Duration      // end of the last successful round; 0: none
 }
 
-// ownPriority is that of questions which the instance itself asks members. They are few,
-// cost a member no work, and callers wait for what they tell.
-const ownPriority = -1
+// probePriority is the priority of the instance's own status requests, ahead of all statements.
+// They are few, cost a member little, and clients wait for their result.
+const probePriority = -1
 
-// errGone says that nothing is known of a member.
-var errGone = errors.New("the member's entry is gone")
+// errMemberGone means that a member has no entry in the topology.
+var errMemberGone = errors.New("the member's entry is gone")
 
-// stands reports whether an answer of the primary, to a read or to what writes, may be
-// passed on. Where the grant is not confirmed the members are asked.
-func (r *Relay) stands(g *groupState, pass *lead.Permit, reads bool) bool {
-	switch pass.State() {
+// mayPassOn reports whether an answer of the primary may be passed on to the client. If the grant
+// is not confirmed the members are asked; reads is true for an answer to a read.
+func (r *Relay) mayPassOn(g *groupState, permit *lead.Permit, reads bool) bool {
+	switch permit.State() {
 	case lead.Confirmed:
 		return true
 	case lead.Unconfirmed:
-		return r.verify(context.Background(), g, pass.PrimaryRef, reads)
+		return r.verify(context.Background(), g, permit.PrimaryRef, reads)
 	}
 	return false
 }
 
-// verify reports whether no other member led the group in a newer term at some
-// moment after the call. It asks every member that this instance knows of but the
-// primary; one that does not answer might lead. For a read it asks the primary as well: one
-// that has stepped down refuses to write, and would go on reading while a member leads of
-// which this instance does not know. Once ctx has ended it is not waited for.
-func (r *Relay) verify(ctx context.Context, g *groupState, a lead.PrimaryRef, reads bool) bool {
+// verify reports whether, at some moment after the call, no other member was primary of the group
+// in a newer term. It asks every known member except the primary; a member that doesn't answer
+// might be primary. For a read it asks the primary as well: a primary that has stepped down refuses
+// writes, but goes on serving reads while a member unknown to this instance is primary. verify
+// returns false when ctx ends.
+func (r *Relay) verify(ctx context.Context, g *groupState, ref lead.PrimaryRef, reads bool) bool {
 	g.mu.Lock()
-	wanted := g.verifier.next
-	if wanted == nil {
-		wanted = &round{authority: a, done: make(chan struct{})}
-		g.verifier.next = wanted
+	pending := g.verifier.next
+	if pending == nil {
+		pending = &verificationRound{primaryRef: ref, done: make(chan struct{})}
+		g.verifier.next = pending
 	}
-	if wanted.authority != a {
+	if pending.primaryRef != ref {
 		g.mu.Unlock()
-		return false // the primary has been replaced, or is known to have been elsewhere here
+		return false // the primary has been replaced, or was a different one for the pending round
 	}
-	wanted.reads = wanted.reads || reads
+	pending.askPrimary = pending.askPrimary || reads
 	if !g.verifier.running {
 		g.verifier.running = true
-		go r.runRounds(g)
+		go r.runVerificationRounds(g)
 	}
 	g.mu.Unlock()
 	select {
-	case <-wanted.done:
-		return wanted.ok && (wanted.leads || !reads)
+	case <-pending.done:
+		return pending.noNewerPrimary && (pending.primaryConfirmed || !reads)
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// runRounds runs rounds, one after another, while somebody waits for one.
-func (r *Relay) runRounds(g *groupState) {
+// runVerificationRounds runs one round after another while answers wait for one.
+func (r *Relay) runVerificationRounds(g *groupState) {
 	for {
 		g.mu.Lock()
-		current := g.verifier.next
+		round := g.verifier.next
 		g.verifier.next = nil
-		if current == nil {
+		if round == nil {
 			g.verifier.running = false
 			g.mu.Unlock()
 			return
 		}
 		g.mu.Unlock()
-		r.ask(current, g.name)
+		r.askMembers(round, g.name)
 		g.mu.Lock()
-		if current.ok {
-			g.verifier.okAt = r.now()
+		if round.noNewerPrimary {
+			g.verifier.lastSuccess = r.now()
 		}
 		g.mu.Unlock()
-		close(current.done)
-		time.Sleep(roundPause)
+		close(round.done)
+		time.Sleep(verificationPause)
 	}
 }
 
-// verifiedLately reports whether a round has succeeded a moment ago.
-func (g *groupState) verifiedLately(now time.Duration) bool {
+// recentlyVerified reports whether a round succeeded within verificationValidity.
+func (g *groupState) recentlyVerified(now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.verifier.okAt > 0 && now-g.verifier.okAt < verifiedFor
+	return g.verifier.lastSuccess > 0 && now-g.verifier.lastSuccess < verificationValidity
 }
 
-// ask asks the members at once, the primary only where a read waits.
-func (r *Relay) ask(current *round, group string) {
-	a, snap := current.authority, r.snapshot()
+// askMembers asks all members concurrently, the primary only when an answer to a read waits.
+func (r *Relay) askMembers(round *verificationRound, group string) {
+	ref, snap := round.primaryRef, r.snapshot()
 	if len(snap.DepartedFrom(group)) > 0 {
-		return // one of them may have come back and been promoted, and cannot be asked
+		return // a member whose entry is gone may have returned and been promoted, and cannot be asked
 	}
 	var asked sync.WaitGroup
-	follow := make(map[string]*bool) // by member; each is written by the goroutine that asks it
+	replies := make(map[string]*bool) // by member; each is written by the goroutine that asks it
 	for _, m := range snap.MembersOf(group) {
-		if m.ID == a.Primary {
+		if m.ID == ref.Primary {
 			continue
 		}
 		reply := new(bool)
-		follow[m.ID] = reply
-		asked.Go(func() { *reply = r.follows(m, a) })
+		replies[m.ID] = reply
+		asked.Go(func() { *reply = r.confirmsFollower(m, ref) })
 	}
-	if current.reads {
-		asked.Go(func() { current.leads = r.leads(a) })
+	if round.askPrimary {
+		asked.Go(func() { round.primaryConfirmed = r.confirmsPrimary(ref) })
 	}
 	asked.Wait()
-	current.ok = true
-	for _, follows := range follow {
-		current.ok = current.ok && *follows
+	round.noNewerPrimary = true
+	for _, follows := range replies {
+		round.noNewerPrimary = round.noNewerPrimary && *follows
 	}
 }
 
-// leads reports whether the primary of an authority says that it leads.
-func (r *Relay) leads(a lead.PrimaryRef) bool {
-	status, err := r.upstreams.status(a.Primary, verifyTimeout)
-	if err == nil && status.Primary && status.Term == a.Term {
+// confirmsPrimary reports whether the primary confirms that it is primary in the term of ref.
+func (r *Relay) confirmsPrimary(ref lead.PrimaryRef) bool {
+	status, err := r.upstreams.status(ref.Primary, verifyTimeout)
+	if err == nil && status.Primary && status.Term == ref.Term {
 		return true
 	}
-	if leftOut, ok := r.sampler.Allow("verify" + a.Primary); ok {
+	if suppressed, ok := r.logSampler.Allow("verify" + ref.Primary); ok {
 		r.log.WithError(err).WithFields(logrus.Fields{
-			"primary": a.Primary, "term": a.Term, "record": a.Revision, "leads": status.Primary, "its_term": status.Term, "left_out": leftOut,
-		}).Info("relay: the grant is not confirmed, and the primary does not say that it leads; what was read there is not passed on")
+			"primary": ref.Primary, "term": ref.Term, "record": ref.Revision, "leads": status.Primary, "its_term": status.Term, "left_out": suppressed,
+		}).Info("relay: the grant is not confirmed, and the primary does not confirm its role; reads from it are not passed on")
 	}
 	return false
 }
 
-// follows reports whether a member says that it does not lead, in the term of an
-// authority or before.
-func (r *Relay) follows(m topology.Member, a lead.PrimaryRef) bool {
-	log := func() *logrus.Entry {
-		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": a.Primary, "term": a.Term, "record": a.Revision})
+// confirmsFollower reports whether a member confirms that it is not primary, and knows no newer
+// term than that of ref.
+func (r *Relay) confirmsFollower(m topology.Member, ref lead.PrimaryRef) bool {
+	entry := func() *logrus.Entry {
+		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": ref.Primary, "term": ref.Term, "record": ref.Revision})
 	}
 	status, err := r.upstreams.status(m.ID, verifyTimeout)
 	switch {
 	case err != nil:
-		if leftOut, ok := r.sampler.Allow("verify" + m.ID); ok {
-			log().WithError(err).WithField("left_out", leftOut).Info("relay: the grant is not confirmed, and a member that might lead does not answer")
+		if suppressed, ok := r.logSampler.Allow("verify" + m.ID); ok {
+			entry().WithError(err).WithField("left_out", suppressed).Info("relay: the grant is not confirmed, and a member that might lead does not answer")
 		}
 		return false
-	case status.Primary || status.Term > a.Term:
-		if leftOut, ok := r.sampler.Allow("verify" + m.ID); ok {
-			log().WithFields(logrus.Fields{"leads": status.Primary, "its_term": status.Term, "left_out": leftOut}).
-				Info("relay: the grant is not confirmed, and a member leads in a newer term")
+	case status.Primary || status.Term > ref.Term:
+		if suppressed, ok := r.logSampler.Allow("verify" + m.ID); ok {
+			entry().WithFields(logrus.Fields{"leads": status.Primary, "its_term": status.Term, "left_out": suppressed}).
+				Info("relay: the grant is not confirmed, and another member is primary or knows a newer term")
 		}
 		return false
 	}
 	return true
 }
 
-// status asks a member about itself on a connection of the pool.
+// status asks a member for its status on a pooled connection.
 func (u *Upstreams) status(id string, timeout time.Duration) (member.Status, error) {
-	up := u.get(id)
-	if up == nil {
-		return member.Status{}, errGone
+	upstream := u.get(id)
+	if upstream == nil {
+		return member.Status{}, errMemberGone
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	asked := u.now()
-	lease, err := up.pool.Acquire(ctx, pool.Request{AnyAccount: true, Priority: ownPriority, Deadline: asked + timeout}, nil)
+	sentAt := u.now()
+	lease, err := upstream.pool.Acquire(ctx, pool.Request{AnyAccount: true, Priority: probePriority, Deadline: sentAt + timeout}, nil)
 	if err != nil {
 		return member.Status{}, err
 	}
@@ -205,7 +206,7 @@
 	deadline, _ := ctx.Deadline()
 	status, err := lease.Conn.Status(deadline)
 	if err == nil {
-		up.noteAnswer(u.now(), u.now(), status.Received)
+		upstream.recordAnswer(u.now(), u.now(), status.Received)
 	}
 	return status, err
 }
