--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -43,7 +43,7 @@
 // target is the member that is to run a statement.
 type target struct {
 	upstream    *upstreamState
-	permit      *lead.Permit     // of the primary; nil: a replica
+	permit      *lead.Permit   // of the primary; nil: a replica
 	canceller   *workCanceller // set with a permit only
 	minPosition group.Position // position that the member's log must have reached; zero: any
 }
@@ -62,7 +62,7 @@
 		Priority:  a.route.Priority,
 		Work:      a.group.typicalDuration(classOf(a.route)),
 		Objective: a.arrived + a.route.LatencyObjective,
-		Flexible: !a.needsPrimary(),
+		Flexible:  !a.needsPrimary(),
 		Write:     !a.reads,
 		Deadline:  max(waitUntil, a.now()),
 	}, func(c *member.PooledConn) int { return c.Match(a.session.variables) })
--- a/internal/relay/queueing_test.go
+++ b/internal/relay/queueing_test.go
@@ -32,7 +32,9 @@
 		leases = append(leases, lease)
 	}
 	for range waiting {
-		go func() { _, _ = p.Acquire(t.Context(), pool.Request{AnyAccount: true, Work: work, Deadline: generous}, nil) }() // never granted
+		go func() {
+			_, _ = p.Acquire(t.Context(), pool.Request{AnyAccount: true, Work: work, Deadline: generous}, nil)
+		}() // never granted
 	}
 	awaitWaiting(f.relay.upstreams.get("m1"), waiting)
 	return leases
