--- a/internal/failover/bench_test.go
+++ b/internal/failover/bench_test.go
@@ -9,35 +9,35 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// BenchmarkSilenceTrade shows what the limit of silence costs and saves: the
-// share of a living primary's pauses (100 ms to 2 s, as under load) that move it,
-// and the time until a dead one is noticed.
-func BenchmarkSilenceTrade(b *testing.B) {
-	for _, silence := range []time.Duration{300, 600, 1200, 2400} {
-		silence *= time.Millisecond
-		b.Run(fmt.Sprintf("silence=%s", silence), func(b *testing.B) {
+// BenchmarkMemberTimeout shows the trade-off of the member timeout: the share of a
+// healthy primary's pauses (100 ms to 2 s, as under load) that cause a failover,
+// and the time until a failed primary is detected.
+func BenchmarkMemberTimeout(b *testing.B) {
+	for _, timeout := range []time.Duration{300, 600, 1200, 2400} {
+		timeout *= time.Millisecond
+		b.Run(fmt.Sprintf("silence=%s", timeout), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			moved, pauses, noticed := 0, 0, time.Duration(0)
+			replaced, pauses, noticed := 0, 0, time.Duration(0)
 			for b.Loop() {
 				pause := 100*time.Millisecond + time.Duration(rng.Int64N(int64(1900*time.Millisecond)))
 				offset := time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
 				pauses++
-				if detect(silence, pause, offset) > 0 {
-					moved++
+				if timeToReplace(timeout, pause, offset) > 0 {
+					replaced++
 				}
-				noticed += detect(silence, time.Hour, offset)
+				noticed += timeToReplace(timeout, time.Hour, offset)
 			}
-			b.ReportMetric(100*float64(moved)/float64(pauses), "%pauses-moved")
+			b.ReportMetric(100*float64(replaced)/float64(pauses), "%pauses-moved")
 			b.ReportMetric(float64(noticed.Milliseconds())/float64(pauses), "ms-to-notice")
 		})
 	}
 }
 
-// detect runs a serving owner whose primary pauses, and returns after what time
-// it is replaced, or 0.
-func detect(silence, pause, offset time.Duration) time.Duration {
+// timeToReplace simulates an owner whose primary pauses. It returns the time from
+// the start of the pause to the failover, or 0 if there is none.
+func timeToReplace(timeout, pause, offset time.Duration) time.Duration {
 	cfg := DefaultConfig()
-	cfg.Silence = silence
+	cfg.Silence = timeout
 	s := New(cfg, "me", []string{"a", "b", "c"})
 	now := time.Second
 	answer := func(name string, op Op, st group.Status) {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,13 +1,15 @@
-// Package failover decides who may write to a database group. It is a state
-// machine without I/O, clock or goroutine: State.Step takes one event with its
-// time and returns the actions to carry out.
+// Package failover decides which instance may write to a database group and
+// which member is its primary. It is a state machine without I/O, clock or
+// goroutines: State.Step takes one event and its time and returns the actions
+// that the caller (package owner) must carry out.
 //
-// Authority rests on the group's own terms. An owner claims a group by fencing
-// a majority of its members at a higher term; a fenced member refuses all work
-// of lower terms. The right to acknowledge writes is a lease that lasts
-// Config.Lease from the sending of the last heartbeat that a majority answered
-// in the owner's term. A successor that has fenced a majority waits until every
-// lease that could have been granted before has lapsed. No store is involved.
+// Ownership rests on terms, which the members store; no external store is
+// involved. An instance claims a group by fencing a majority of its members at a
+// higher term. A fenced member refuses all requests of lower terms. The owner may
+// acknowledge writes while it holds a lease, which lasts Config.Lease from the
+// time at which it sent the last heartbeat that a majority answered in its term.
+// A successor that has fenced a majority waits until every lease that a former
+// owner could hold has expired.
 package failover
 
 import (
@@ -18,25 +20,26 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Config bounds the decisions. All durations are local and monotonic.
+// Config holds the timeouts and limits of failover. All durations are measured
+// on the instance's own monotonic clock.
 type Config struct {
-	Heartbeat      time.Duration // between two heartbeats to a member
-	Silence        time.Duration // without an answer after which a member counts as dead
-	OwnerSilence   time.Duration // without a heartbeat after which an owner counts as gone
-	Lease          time.Duration // right to acknowledge, from the sending of a heartbeat
-	DriftPerMille  int64         // bound on the rate difference of two clocks
-	Collect        time.Duration // longest wait for members beyond the majority
-	Isolation      time.Duration // replicas without their primary before it is replaced, ReplicaAck only
-	DrainBound     time.Duration // longest wait for open transactions of a leaving primary
-	ReplicaAck     bool          // a write is acknowledged once a replica holds it
-	MaxSilence     time.Duration // upper bound of the damped Silence
-	DampingWindow  time.Duration // moves within it double Silence
-	MaxMoves       int           // moves allowed within DampingWindow
-	HardFailures   int           // refused connections in a row that count as death
-	RetryUnsettled time.Duration // before a claim without majority is tried again
+	Heartbeat      time.Duration // interval between two heartbeats to a member
+	Silence        time.Duration // a member that has not answered for this long counts as failed
+	OwnerSilence   time.Duration // an owner that has not contacted a member for this long counts as failed
+	Lease          time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
+	DriftPerMille  int64         // upper bound of the rate difference of two clocks
+	Collect        time.Duration // how long a claim waits for members beyond the majority
+	Isolation      time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
+	DrainBound     time.Duration // how long a leaving primary may keep open transactions
+	ReplicaAck     bool          // acknowledge a write only when a replica has it
+	MaxSilence     time.Duration // upper bound of Silence after damping
+	DampingWindow  time.Duration // each change of the primary within this window doubles Silence
+	MaxMoves       int           // changes of the primary allowed within DampingWindow
+	HardFailures   int           // consecutive connection failures after which a member counts as failed
+	RetryUnsettled time.Duration // delay, after Collect, before a claim without a majority is retried
 }
 
-// DefaultConfig returns the settings used when nothing else is configured.
+// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		Heartbeat:      250 * time.Millisecond,
@@ -55,18 +58,18 @@
 	}
 }
 
-// Phase is what an instance is doing about a group.
+// Phase is the state of a group on one instance.
 type Phase int
 
-// The phases, in the order of a take-over.
+// The phases, in the order in which a take-over passes through them.
 const (
 	Standby   Phase = iota // not the owner
-	Observing              // asking the members who owns the group
-	Fencing                // moving the members to a new term
-	Waiting                // until the leases of former owners have lapsed
-	Promoting              // making the successor primary
+	Observing              // asking the members which instance owns the group
+	Fencing                // fencing the members at a new term
+	Waiting                // waiting for the leases of former owners to expire
+	Promoting              // promoting the member chosen as primary
 	Serving                // owner, with a primary
-	Draining               // owner, emptying a primary that leaves
+	Draining               // owner, waiting for the transactions on a leaving primary to end
 )
 
 // String returns the name of the phase.
@@ -75,10 +78,10 @@
 	return names[p]
 }
 
-// Op is a request to a member.
+// Op is the kind of a request to a member.
 type Op int
 
-// The requests.
+// The kinds of requests.
 const (
 	OpStatus Op = iota
 	OpHeartbeat
@@ -88,28 +91,28 @@
 	OpRelease
 )
 
-// Failure tells how a request to a member ended.
+// Failure classifies the outcome of a request to a member.
 type Failure int
 
-// The failures. FailTerm comes with the member's status unless it is unknown.
+// The outcomes.
 const (
 	FailNone    Failure = iota
 	FailSilent          // no answer in time
-	FailHard            // connection refused or reset
-	FailRefused         // answered with an error, as for a term that has passed
+	FailHard            // connection refused or reset by the peer
+	FailRefused         // the member answered with an error, for example because of an old term
 )
 
-// Event is something that happened.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Claim asks for the group to be taken over.
+// Claim requests that this instance take the group over.
 type Claim struct {
 	Reason string
-	// Patience is added to the silence after which an owner counts as gone, so
-	// that several candidates do not claim at the same moment.
+	// Patience is added to Config.OwnerSilence, so that several candidates do not
+	// claim at the same moment.
 	Patience time.Duration
-	From     string         // former owner that has stopped and consents, or ""
-	Term     uint64         // term that From gave up
+	From     string         // former owner that has handed the group over, or ""
+	Term     uint64         // term in which From owned the group
 	Acked    group.Position // highest position that From acknowledged
 }
 
@@ -117,24 +120,24 @@
 type Reply struct {
 	Member  string
 	Op      Op
-	Term    uint64        // that the request was made in
+	Term    uint64        // term of the request
 	Sent    time.Duration // when the request was sent
 	Status  group.Status
 	Failure Failure
 }
 
-// Tick passes time.
+// Tick reports that time has passed. It is sent periodically.
 type Tick struct {
 	Acked group.Position // highest position acknowledged so far
 }
 
-// Leave tells which members are to get no new work.
+// Leave replaces the set of members that must get no new work.
 type Leave struct{ Members []string }
 
-// Drained tells that no transaction is open on the primary any more.
+// Drained reports that no transaction is open on the leaving primary.
 type Drained struct{}
 
-// Resign gives the group up.
+// Resign makes this instance give up the ownership.
 type Resign struct{ Reason string }
 
 func (Claim) event()   {}
@@ -144,10 +147,10 @@
 func (Drained) event() {}
 func (Resign) event()  {}
 
-// Action is something to be done.
+// Action is an output of the state machine, for the caller to carry out.
 type Action interface{ action() }
 
-// Send asks for a request to a member.
+// Send requests that a request be sent to a member.
 type Send struct {
 	Member string
 	Op     Op
@@ -156,29 +159,30 @@
 	Acked  group.Position // OpHeartbeat
 }
 
-// Serve tells that the group has a primary in a new term.
+// Serve reports that the group has a primary in a new term.
 type Serve struct {
 	Term    uint64
 	Primary string
-	Base    group.Position // the log that the term starts from
-	History group.History  // terms in that log, as far as the primary knows
-	Moved   bool           // the primary is another member than before
+	Base    group.Position // log position at which the term starts
+	History group.History  // the terms in that log that the primary knows
+	Moved   bool           // the primary has changed
 	Claimed bool           // the instance has just become the owner
 }
 
-// Suspend stops new work on the primary. Terminal: no answer of the term may be passed on.
+// Suspend stops new work on the primary. If it is Terminal, no answer of the
+// term may be passed on to a client.
 type Suspend struct {
 	Reason   string
 	Terminal bool
 }
 
-// Resigned tells that the instance no longer owns the group.
+// Resigned reports that the instance no longer owns the group.
 type Resigned struct {
 	Reason string
-	Owner  string // who does, when known
+	Owner  string // the new owner, or "" if unknown
 }
 
-// Record is an entry for the time line.
+// Record is an event for the group's time line.
 type Record struct {
 	Kind   string
 	Member string
@@ -191,50 +195,50 @@
 func (Resigned) action() {}
 func (Record) action()   {}
 
-// member is what is known of one member.
+// member is the last known state of one member.
 type member struct {
-	status   group.Status
-	asked    time.Duration // when the request that gave status was sent
-	told     bool          // whom to follow, since status
-	answered time.Duration // when it last answered anything
-	inTerm   time.Duration // when the last request that it answered in our term was sent
-	held     bool          // inTerm is set for the current term
-	fenced   bool          // answered the fence of the current claim
-	failed   bool          // the fence of the current claim failed
-	hard     int           // hard failures in a row
-	down     bool          // reported as down in the time line
-	unlinked time.Duration // since when a replica has not heard its primary
-	isolated bool
+	status            group.Status
+	statusSentAt      time.Duration // when the request that returned status was sent
+	followSent        bool          // a follow request was sent since the last status
+	answeredAt        time.Duration // time of the last answer to any request
+	heartbeatSentAt   time.Duration // when the last heartbeat that the member answered in the current term was sent
+	heartbeatAnswered bool          // heartbeatSentAt is valid for the current term
+	fenced            bool          // the fence request of the current claim succeeded
+	fenceFailed       bool          // the fence request of the current claim failed
+	connFailures      int           // consecutive connection failures
+	reportedDown      bool          // the time line has the member as down
+	unlinkedSince     time.Duration // since when the replica has had no link to its primary
+	isolated          bool          // a replica without a link to its primary
 }
 
-// State is the control state of one group on one instance. It is used by one
-// goroutine only.
+// State is the failover state of one group on one instance. It is not safe for
+// concurrent use.
 type State struct {
 	cfg     Config
 	self    string
 	names   []string
 	members map[string]*member
 
-	phase     Phase
-	term      uint64
-	primary   string
-	suspect   string // member that need not be waited for while fencing
-	avoid     string // member that is not to be promoted
-	from      string // former owner whose lease need not be waited for
-	fromTerm  uint64
-	patience  time.Duration
-	reason    string // of the current claim
-	acked     group.Position
-	started   time.Duration // of the current phase
-	until     time.Duration // when the leases of all former owners have lapsed
-	lastTick  time.Duration
-	lastBeat  time.Duration
-	moves     []time.Duration
-	leaving   map[string]bool
-	claimed   bool
-	drained   bool
-	lastDrain time.Duration
-	former    string // primary before the current claim
+	phase             Phase
+	term              uint64
+	primary           string
+	suspect           string // presumed failed: fencing does not wait for it
+	excluded          string // member that should not be promoted
+	formerOwner       string // former owner that has handed over: its lease need not expire first
+	formerOwnerTerm   uint64
+	extraOwnerTimeout time.Duration
+	reason            string // reason of the current claim
+	acked             group.Position
+	phaseStarted      time.Duration // when the current phase began
+	leasesExpireAt    time.Duration // when the leases of all former owners have expired
+	lastTick          time.Duration
+	lastHeartbeat     time.Duration
+	primaryChanges    []time.Duration
+	leaving           map[string]bool
+	claimed           bool
+	drained           bool
+	lastDrain         time.Duration
+	formerPrimary     string // last primary before the current claim or failover
 }
 
 // New returns the state of an instance that does not own the group.
@@ -252,34 +256,35 @@
 	return s
 }
 
-// Phase returns what the instance is doing.
+// Phase returns the current phase.
 func (s *State) Phase() Phase { return s.phase }
 
-// Term returns the current term of a claim or of the ownership.
+// Term returns the term of the current claim or ownership.
 func (s *State) Term() uint64 { return s.term }
 
-// Primary returns the primary that is served, or "".
+// Primary returns the current primary, or "" if there is none.
 func (s *State) Primary() string { return s.primary }
 
-// Member returns the last status of a member and when it answered.
+// Member returns the last status of a member and the time of its last answer.
 func (s *State) Member(name string) (group.Status, time.Duration) {
 	m := s.members[name]
-	return m.status, m.answered
+	return m.status, m.answeredAt
 }
 
 func (s *State) majority() int { return len(s.names)/2 + 1 }
 
-// LeaseEnd returns until when answers of the current term may be acknowledged.
-// It is the instant at which the majority's last answered requests were sent,
-// plus the lease; zero when no majority has answered in this term.
+// LeaseEnd returns the time until which work of the current term may be
+// acknowledged: Config.Lease after the latest time since which a majority has
+// answered a heartbeat, counted from when the heartbeats were sent. It is zero
+// if no majority has answered in this term.
 func (s *State) LeaseEnd() time.Duration {
 	if s.phase != Serving && s.phase != Draining {
 		return 0
 	}
 	sent := make([]time.Duration, 0, len(s.names))
 	for _, m := range s.members {
-		if m.held {
-			sent = append(sent, m.inTerm)
+		if m.heartbeatAnswered {
+			sent = append(sent, m.heartbeatSentAt)
 		}
 	}
 	if len(sent) < s.majority() {
@@ -289,13 +294,13 @@
 	return sent[len(sent)-s.majority()] + s.cfg.Lease
 }
 
-// Step applies one event and returns what is to be done about it.
+// Step applies one event and returns the actions to carry out, in order.
 func (s *State) Step(now time.Duration, ev Event) []Action {
 	switch e := ev.(type) {
 	case Claim:
-		return s.claim(now, e)
+		return s.handleClaim(now, e)
 	case Reply:
-		return s.reply(now, e)
+		return s.handleReply(now, e)
 	case Tick:
 		return s.tick(now, e)
 	case Leave:
@@ -309,24 +314,24 @@
 	return nil
 }
 
-func (s *State) claim(now time.Duration, e Claim) []Action {
+func (s *State) handleClaim(now time.Duration, e Claim) []Action {
 	if s.phase != Standby {
 		return nil
 	}
-	s.from, s.fromTerm, s.patience = e.From, e.Term, e.Patience
+	s.formerOwner, s.formerOwnerTerm, s.extraOwnerTimeout = e.From, e.Term, e.Patience
 	s.acked = group.Max(s.acked, e.Acked)
 	s.claimed = true
 	s.enter(now, Observing)
 	s.reason = e.Reason
 	for _, m := range s.members {
-		m.fenced, m.failed, m.held = false, false, false
+		m.fenced, m.fenceFailed, m.heartbeatAnswered = false, false, false
 	}
 	return s.broadcast(OpStatus)
 }
 
 func (s *State) enter(now time.Duration, p Phase) {
 	s.phase = p
-	s.started = now
+	s.phaseStarted = now
 }
 
 func (s *State) broadcast(op Op) []Action {
@@ -337,12 +342,13 @@
 	return actions
 }
 
-// fence starts a new term. The caller has set suspect and avoid.
+// fence starts a new term and fences all members at it. The caller must have set
+// suspect and excluded.
 func (s *State) fence(now time.Duration) []Action {
 	highest := s.term
 	for _, m := range s.members {
 		highest = max(highest, m.status.Term)
-		m.fenced, m.failed, m.held = false, false, false
+		m.fenced, m.fenceFailed, m.heartbeatAnswered = false, false, false
 	}
 	s.term = highest + 1
 	s.enter(now, Fencing)
@@ -358,21 +364,21 @@
 	return append(actions, s.standDown(e.Reason, "")...)
 }
 
-// standDown forgets the ownership.
+// standDown ends a claim or an ownership and returns to Standby.
 func (s *State) standDown(reason, owner string) []Action {
-	noteworthy := s.phase > Observing // a claim that finds an owner changes nothing
+	hadFenced := s.phase > Observing // a claim that finds a live owner has changed nothing
 	s.phase = Standby
-	s.primary, s.suspect, s.avoid = "", "", ""
+	s.primary, s.suspect, s.excluded = "", "", ""
 	s.claimed = false
 	for _, m := range s.members {
-		m.held = false
+		m.heartbeatAnswered = false
 	}
 	actions := []Action{Resigned{Reason: reason, Owner: owner}}
-	if noteworthy {
+	if hadFenced {
 		actions = append(actions, Record{Kind: "released", Text: reason})
 	}
 	return actions
 }
 
-// Leaving reports whether the member is to get no new work.
+// Leaving reports whether the member must get no new work.
 func (s *State) Leaving(name string) bool { return s.leaving[name] }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -9,24 +9,24 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// script drives a State of three members by hand.
-type script struct {
+// harness drives a State with three members, step by step.
+type harness struct {
 	t   *testing.T
 	s   *State
 	now time.Duration
 }
 
-func newScript(t *testing.T, cfg Config) *script {
-	return &script{t: t, s: New(cfg, "me", []string{"a", "b", "c"}), now: time.Second}
+func newHarness(t *testing.T, cfg Config) *harness {
+	return &harness{t: t, s: New(cfg, "me", []string{"a", "b", "c"}), now: time.Second}
 }
 
-func (x *script) step(ev Event) []Action { return x.s.Step(x.now, ev) }
+func (h *harness) step(ev Event) []Action { return h.s.Step(h.now, ev) }
 
-func (x *script) wait(d time.Duration) { x.now += d }
+func (h *harness) advance(d time.Duration) { h.now += d }
 
-// answer replies to a request as if it had been sent just now.
-func (x *script) answer(member string, op Op, st group.Status) []Action {
-	return x.step(Reply{Member: member, Op: op, Term: x.s.Term(), Sent: x.now, Status: st})
+// reply delivers an answer to a request that was sent at the current time.
+func (h *harness) reply(member string, op Op, st group.Status) []Action {
+	return h.step(Reply{Member: member, Op: op, Term: h.s.Term(), Sent: h.now, Status: st})
 }
 
 func primaryStatus(term, index uint64) group.Status {
@@ -37,32 +37,32 @@
 	return group.Status{Term: term, Role: group.RoleReplica, Linked: true, Position: group.Position{Term: term, Index: index}, HeartbeatAge: -1}
 }
 
-// serve brings the state to serving with a as primary in term 2.
-func (x *script) serve() {
-	x.step(Claim{Reason: "test"})
-	x.answer("a", OpStatus, primaryStatus(1, 10))
-	x.answer("b", OpStatus, replicaStatus(1, 10))
-	x.answer("c", OpStatus, replicaStatus(1, 9))
+// startServing brings the state to Serving with primary a in term 2.
+func (h *harness) startServing() {
+	h.step(Claim{Reason: "test"})
+	h.reply("a", OpStatus, primaryStatus(1, 10))
+	h.reply("b", OpStatus, replicaStatus(1, 10))
+	h.reply("c", OpStatus, replicaStatus(1, 9))
 	for _, name := range []string{"a", "b", "c"} {
-		x.answer(name, OpFence, group.Status{Term: 2, Role: group.RoleFenced, Position: group.Position{Term: 1, Index: 10}, HeartbeatAge: -1})
+		h.reply(name, OpFence, group.Status{Term: 2, Role: group.RoleFenced, Position: group.Position{Term: 1, Index: 10}, HeartbeatAge: -1})
 	}
-	x.answer("a", OpPromote, primaryStatus(2, 10))
-	must.Eq(x.t, Serving, x.s.Phase())
-	must.Eq(x.t, "a", x.s.Primary())
+	h.reply("a", OpPromote, primaryStatus(2, 10))
+	must.Eq(h.t, Serving, h.s.Phase())
+	must.Eq(h.t, "a", h.s.Primary())
 }
 
-// beat answers heartbeats of the named members for a while.
-func (x *script) beat(d time.Duration, names ...string) []Action {
+// runHeartbeats lets d pass while the named members answer heartbeats.
+func (h *harness) runHeartbeats(d time.Duration, names ...string) []Action {
 	var all []Action
-	for end := x.now + d; x.now < end; x.wait(50 * time.Millisecond) {
-		all = append(all, x.step(Tick{})...)
+	for end := h.now + d; h.now < end; h.advance(50 * time.Millisecond) {
+		all = append(all, h.step(Tick{})...)
 		for _, name := range names {
-			st := replicaStatus(x.s.Term(), 10)
-			if name == x.s.Primary() {
-				st = primaryStatus(x.s.Term(), 10)
+			st := replicaStatus(h.s.Term(), 10)
+			if name == h.s.Primary() {
+				st = primaryStatus(h.s.Term(), 10)
 			}
-			if x.s.Phase() == Serving || x.s.Phase() == Draining {
-				all = append(all, x.answer(name, OpHeartbeat, st)...)
+			if h.s.Phase() == Serving || h.s.Phase() == Draining {
+				all = append(all, h.reply(name, OpHeartbeat, st)...)
 			}
 		}
 	}
@@ -79,179 +79,180 @@
 	return names
 }
 
-// A fence of ours that was answered late or never hides nobody: the lease of the
-// last holder is waited for all the same.
-func TestSecondFenceKeepsWaitingForTheFirstOwner(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.step(Claim{Reason: "test"})
+// A fence whose answer was lost or late must not hide the last lease holder: a
+// repeated fence still waits for that lease to expire.
+func TestRepeatedFenceStillWaitsForFormerLease(t *testing.T) {
+	h := newHarness(t, DefaultConfig())
+	h.step(Claim{Reason: "test"})
 	for _, name := range []string{"a", "b", "c"} {
 		st := replicaStatus(1, 10)
 		st.Owner, st.OwnerAge, st.Holder, st.HeartbeatAge = "me", 0, "other", 650*time.Millisecond
-		x.answer(name, OpStatus, st)
+		h.reply(name, OpStatus, st)
 	}
-	must.Eq(t, Fencing, x.s.Phase())
+	must.Eq(t, Fencing, h.s.Phase())
 	fenced := group.Status{Term: 2, Role: group.RoleFenced, Owner: "me", Holder: "other", HeartbeatAge: 10 * time.Millisecond}
-	x.answer("a", OpFence, fenced)
-	x.answer("b", OpFence, fenced)
-	x.step(Reply{Member: "c", Op: OpFence, Term: 2, Failure: FailHard})
-	must.Eq(t, Waiting, x.s.Phase())
-	must.Greater(t, x.now+600*time.Millisecond, x.s.until)
+	h.reply("a", OpFence, fenced)
+	h.reply("b", OpFence, fenced)
+	h.step(Reply{Member: "c", Op: OpFence, Term: 2, Failure: FailHard})
+	must.Eq(t, Waiting, h.s.Phase())
+	must.Greater(t, h.now+600*time.Millisecond, h.s.leasesExpireAt)
 }
 
-func TestClaimEndsWhenTheMembersHearAnOwner(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.step(Claim{Reason: "test"})
+func TestClaimEndsWhenOwnerIsAlive(t *testing.T) {
+	h := newHarness(t, DefaultConfig())
+	h.step(Claim{Reason: "test"})
 	st := replicaStatus(4, 10)
 	st.Owner, st.OwnerAge = "other", 100*time.Millisecond
-	x.answer("b", OpStatus, st)
-	must.Eq(t, Standby, x.s.Phase())
+	h.reply("b", OpStatus, st)
+	must.Eq(t, Standby, h.s.Phase())
 }
 
-func TestTakeOverWaitsForThePrimaryAndKeepsIt(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.step(Claim{Reason: "test"})
-	x.answer("b", OpStatus, replicaStatus(1, 9))
-	x.answer("c", OpStatus, replicaStatus(1, 9))
-	must.Eq(t, Observing, x.s.Phase(), must.Sprint("a majority without the primary is not yet enough"))
-	x.answer("a", OpStatus, primaryStatus(1, 10))
-	must.Eq(t, Fencing, x.s.Phase())
+func TestClaimWaitsForPrimaryStatus(t *testing.T) {
+	h := newHarness(t, DefaultConfig())
+	h.step(Claim{Reason: "test"})
+	h.reply("b", OpStatus, replicaStatus(1, 9))
+	h.reply("c", OpStatus, replicaStatus(1, 9))
+	must.Eq(t, Observing, h.s.Phase(), must.Sprint("a majority without the primary is not yet enough"))
+	h.reply("a", OpStatus, primaryStatus(1, 10))
+	must.Eq(t, Fencing, h.s.Phase())
 }
 
-// A primary that answers slowly, or a replica that is silent, moves nothing.
-func TestGrayFailuresMoveNothing(t *testing.T) {
-	cases := map[string]func(x *script){
-		"a silent replica":       func(x *script) { x.beat(3*time.Second, "a", "b") },
-		"both replicas silent":   func(x *script) { x.beat(3*time.Second, "a") },
-		"an answer every second": func(x *script) { slowPrimary(x, time.Second) },
-		"one refused connection": func(x *script) {
-			x.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
-			x.beat(time.Second, "a", "b", "c")
+// A slow primary, unresponsive replicas or a partitioned instance must not cause a
+// failover.
+func TestPartialFailuresKeepPrimary(t *testing.T) {
+	cases := map[string]func(h *harness){
+		"a silent replica":       func(h *harness) { h.runHeartbeats(3*time.Second, "a", "b") },
+		"both replicas silent":   func(h *harness) { h.runHeartbeats(3*time.Second, "a") },
+		"an answer every second": func(h *harness) { slowPrimary(h, time.Second) },
+		"one refused connection": func(h *harness) {
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
+			h.runHeartbeats(time.Second, "a", "b", "c")
 		},
-		"an instance cut off from all": func(x *script) { x.beat(3 * time.Second) },
+		"an instance cut off from all": func(h *harness) { h.runHeartbeats(3 * time.Second) },
 	}
 	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
-			x := newScript(t, DefaultConfig())
-			x.serve()
-			run(x)
-			must.Eq(t, Serving, x.s.Phase())
-			must.Eq(t, "a", x.s.Primary())
-			must.Eq(t, uint64(2), x.s.Term())
+			h := newHarness(t, DefaultConfig())
+			h.startServing()
+			run(h)
+			must.Eq(t, Serving, h.s.Phase())
+			must.Eq(t, "a", h.s.Primary())
+			must.Eq(t, uint64(2), h.s.Term())
 		})
 	}
 }
 
-func slowPrimary(x *script, every time.Duration) {
+func slowPrimary(h *harness, every time.Duration) {
 	for range 10 {
-		x.beat(every, "b", "c")
-		x.answer("a", OpHeartbeat, primaryStatus(2, 10))
+		h.runHeartbeats(every, "b", "c")
+		h.reply("a", OpHeartbeat, primaryStatus(2, 10))
 	}
 }
 
-func TestDeadPrimaryIsReplaced(t *testing.T) {
-	cases := map[string]func(x *script) []Action{
-		"silent": func(x *script) []Action { return x.beat(1500*time.Millisecond, "b", "c") },
-		"refusing": func(x *script) []Action {
-			x.beat(400*time.Millisecond, "a", "b", "c")
-			x.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
-			x.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
-			return x.step(Tick{})
+func TestFailedPrimaryIsReplaced(t *testing.T) {
+	cases := map[string]func(h *harness) []Action{
+		"silent": func(h *harness) []Action { return h.runHeartbeats(1500*time.Millisecond, "b", "c") },
+		"refusing": func(h *harness) []Action {
+			h.runHeartbeats(400*time.Millisecond, "a", "b", "c")
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
+			return h.step(Tick{})
 		},
 	}
 	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
-			x := newScript(t, DefaultConfig())
-			x.serve()
-			must.SliceContainsAll(t, sends(run(x), OpFence), []string{"a", "b", "c"})
-			x.answer("b", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 11}})
-			actions := x.answer("c", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 12}})
-			must.Eq(t, []string{"c"}, sends(actions, OpPromote), must.Sprint("the highest position, without waiting for the dead"))
-			x.answer("c", OpPromote, primaryStatus(3, 12))
-			must.Eq(t, "c", x.s.Primary())
-			// The old primary comes back and still believes that it leads.
-			x.step(Reply{Member: "a", Op: OpHeartbeat, Term: 3, Sent: x.now, Failure: FailRefused})
-			must.Eq(t, []string{"a"}, sends(x.answer("a", OpStatus, primaryStatus(2, 15)), OpFollow))
+			h := newHarness(t, DefaultConfig())
+			h.startServing()
+			must.SliceContainsAll(t, sends(run(h), OpFence), []string{"a", "b", "c"})
+			h.reply("b", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 11}})
+			actions := h.reply("c", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 12}})
+			must.Eq(t, []string{"c"}, sends(actions, OpPromote), must.Sprint("promotes the highest position without waiting for the failed member"))
+			h.reply("c", OpPromote, primaryStatus(3, 12))
+			must.Eq(t, "c", h.s.Primary())
+			// The old primary returns and still reports the primary role in its old term.
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 3, Sent: h.now, Failure: FailRefused})
+			must.Eq(t, []string{"a"}, sends(h.reply("a", OpStatus, primaryStatus(2, 15)), OpFollow))
 		})
 	}
 }
 
-// The silence of the members during a pause of this process shows nothing.
-func TestOwnPauseIsNoSilence(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.serve()
-	x.beat(time.Second, "a", "b", "c")
-	x.wait(10 * time.Second)
-	x.step(Tick{})
-	must.Eq(t, Serving, x.s.Phase())
-	must.Less(t, x.now, x.s.LeaseEnd(), must.Sprint("the lease has lapsed meanwhile"))
+// After a pause of this process, missing answers do not count against the members.
+func TestProcessPauseRestartsTimeouts(t *testing.T) {
+	h := newHarness(t, DefaultConfig())
+	h.startServing()
+	h.runHeartbeats(time.Second, "a", "b", "c")
+	h.advance(10 * time.Second)
+	h.step(Tick{})
+	must.Eq(t, Serving, h.s.Phase())
+	must.Less(t, h.now, h.s.LeaseEnd(), must.Sprint("the lease expired during the pause"))
 }
 
-func TestMovesAreDampedAndBounded(t *testing.T) {
+func TestFailoversAreDampedAndBounded(t *testing.T) {
 	cfg := DefaultConfig()
-	x := newScript(t, cfg)
-	x.serve()
-	must.Eq(t, cfg.Silence, x.s.silence(x.now))
-	x.s.moves = []time.Duration{x.now}
-	must.Eq(t, 2*cfg.Silence, x.s.silence(x.now))
+	h := newHarness(t, cfg)
+	h.startServing()
+	must.Eq(t, cfg.Silence, h.s.primaryTimeout(h.now))
+	h.s.primaryChanges = []time.Duration{h.now}
+	must.Eq(t, 2*cfg.Silence, h.s.primaryTimeout(h.now))
 	for range cfg.MaxMoves {
-		x.s.moves = append(x.s.moves, x.now)
+		h.s.primaryChanges = append(h.s.primaryChanges, h.now)
 	}
-	must.Eq(t, cfg.MaxSilence, x.s.silence(x.now))
-	x.beat(10*time.Second, "b", "c")
-	must.Eq(t, Serving, x.s.Phase(), must.Sprint("the bound on moves is reached"))
-	must.Eq(t, cfg.Silence, x.s.silence(x.now+cfg.DampingWindow))
+	must.Eq(t, cfg.MaxSilence, h.s.primaryTimeout(h.now))
+	h.runHeartbeats(10*time.Second, "b", "c")
+	must.Eq(t, Serving, h.s.Phase(), must.Sprint("the maximum number of failovers is reached"))
+	must.Eq(t, cfg.Silence, h.s.primaryTimeout(h.now+cfg.DampingWindow))
 }
 
-// A primary that nobody replicates from is replaced only where acknowledged
-// writes are sure to be on a replica.
+// A primary without a link to any replica is replaced only if acknowledged writes
+// are guaranteed to be on a replica.
 func TestIsolatedPrimary(t *testing.T) {
 	for _, replicaAck := range []bool{false, true} {
 		cfg := DefaultConfig()
 		cfg.ReplicaAck = replicaAck
-		x := newScript(t, cfg)
-		x.serve()
+		h := newHarness(t, cfg)
+		h.startServing()
 		var all []Action
 		for range 60 {
-			all = append(all, x.beat(50*time.Millisecond, "a")...)
+			all = append(all, h.runHeartbeats(50*time.Millisecond, "a")...)
 			for _, name := range []string{"b", "c"} {
-				st := replicaStatus(x.s.Term(), 10)
+				st := replicaStatus(h.s.Term(), 10)
 				st.Linked = false
-				if x.s.Phase() == Serving {
-					all = append(all, x.answer(name, OpHeartbeat, st)...)
+				if h.s.Phase() == Serving {
+					all = append(all, h.reply(name, OpHeartbeat, st)...)
 				}
 			}
 		}
 		must.Eq(t, replicaAck, len(sends(all, OpFence)) > 0)
-		must.Eq(t, replicaAck, x.s.avoid == "a")
+		must.Eq(t, replicaAck, h.s.excluded == "a")
 	}
 }
 
 func TestLeavingPrimaryIsDrainedAndReplaced(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.serve()
-	x.beat(time.Second, "a", "b", "c")
-	x.step(Leave{Members: []string{"a"}})
-	must.Eq(t, Draining, x.s.Phase())
-	x.beat(300*time.Millisecond, "a", "b", "c")
-	must.Eq(t, Draining, x.s.Phase(), must.Sprint("transactions are still open"))
-	x.step(Drained{})
-	x.beat(50*time.Millisecond, "a", "b", "c")
-	must.Eq(t, Fencing, x.s.Phase())
+	h := newHarness(t, DefaultConfig())
+	h.startServing()
+	h.runHeartbeats(time.Second, "a", "b", "c")
+	h.step(Leave{Members: []string{"a"}})
+	must.Eq(t, Draining, h.s.Phase())
+	h.runHeartbeats(300*time.Millisecond, "a", "b", "c")
+	must.Eq(t, Draining, h.s.Phase(), must.Sprint("transactions are still open"))
+	h.step(Drained{})
+	h.runHeartbeats(50*time.Millisecond, "a", "b", "c")
+	must.Eq(t, Fencing, h.s.Phase())
 	for _, name := range []string{"a", "b", "c"} {
-		x.answer(name, OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 10}})
+		h.reply(name, OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 10}})
 	}
-	must.Eq(t, Promoting, x.s.Phase())
-	must.NotEq(t, "a", x.s.primary)
+	must.Eq(t, Promoting, h.s.Phase())
+	must.NotEq(t, "a", h.s.primary)
 }
 
 func TestHigherTermEndsTheOwnership(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.serve()
+	h := newHarness(t, DefaultConfig())
+	h.startServing()
 	st := replicaStatus(7, 10)
 	st.Owner = "other"
-	actions := x.answer("b", OpStatus, st)
-	must.Eq(t, Standby, x.s.Phase())
-	must.Eq(t, time.Duration(0), x.s.LeaseEnd())
+	actions := h.reply("b", OpStatus, st)
+	must.Eq(t, Standby, h.s.Phase())
+	must.Eq(t, time.Duration(0), h.s.LeaseEnd())
 	found := false
 	for _, a := range actions {
 		if s, ok := a.(Suspend); ok && s.Terminal {
@@ -261,52 +262,52 @@
 	must.True(t, found)
 }
 
-// Two claims at once: the one that finds the members fenced by the other ends,
-// and does not raise the term against it.
+// Of two concurrent claims, the one that finds a member already fenced by the
+// other ends instead of raising the term again.
 func TestRefusedFenceEndsTheClaim(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.step(Claim{Reason: "test"})
+	h := newHarness(t, DefaultConfig())
+	h.step(Claim{Reason: "test"})
 	for _, name := range []string{"a", "b", "c"} {
-		x.answer(name, OpStatus, replicaStatus(1, 10))
+		h.reply(name, OpStatus, replicaStatus(1, 10))
 	}
-	must.Eq(t, Fencing, x.s.Phase())
-	x.step(Reply{Member: "a", Op: OpFence, Term: x.s.Term(), Failure: FailRefused})
-	must.Eq(t, Standby, x.s.Phase())
+	must.Eq(t, Fencing, h.s.Phase())
+	h.step(Reply{Member: "a", Op: OpFence, Term: h.s.Term(), Failure: FailRefused})
+	must.Eq(t, Standby, h.s.Phase())
 }
 
-// Only what the members remember as a heartbeat may extend the lease: a
-// successor learns of nothing else.
+// Only requests that members record as heartbeats may extend the lease, because
+// a successor sees nothing else.
 func TestOnlyHeartbeatsExtendTheLease(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.serve()
-	must.Eq(t, 0, x.s.LeaseEnd(), must.Sprint("fences are no heartbeats"))
+	h := newHarness(t, DefaultConfig())
+	h.startServing()
+	must.Eq(t, 0, h.s.LeaseEnd(), must.Sprint("fences must not extend the lease"))
 	for _, name := range []string{"b", "c"} {
-		x.answer(name, OpHeartbeat, replicaStatus(2, 10))
+		h.reply(name, OpHeartbeat, replicaStatus(2, 10))
 	}
-	end := x.s.LeaseEnd()
-	must.Greater(t, x.now, end)
-	x.wait(100 * time.Millisecond)
+	end := h.s.LeaseEnd()
+	must.Greater(t, h.now, end)
+	h.advance(100 * time.Millisecond)
 	for _, name := range []string{"b", "c"} {
-		x.answer(name, OpFollow, replicaStatus(2, 10))
-		x.answer(name, OpStatus, replicaStatus(2, 10))
+		h.reply(name, OpFollow, replicaStatus(2, 10))
+		h.reply(name, OpStatus, replicaStatus(2, 10))
 	}
-	must.Eq(t, end, x.s.LeaseEnd())
+	must.Eq(t, end, h.s.LeaseEnd())
 	for _, name := range []string{"b", "c"} {
-		x.answer(name, OpHeartbeat, replicaStatus(2, 10))
+		h.reply(name, OpHeartbeat, replicaStatus(2, 10))
 	}
-	must.Eq(t, end+100*time.Millisecond, x.s.LeaseEnd())
+	must.Eq(t, end+100*time.Millisecond, h.s.LeaseEnd())
 }
 
-// A member to be avoided is passed over only when that cannot lose what was
-// acknowledged, even if the acknowledgement is too recent to be known here.
-func TestAvoidedMemberIsKeptForItsWork(t *testing.T) {
+// An excluded member is skipped only if no acknowledged write can be lost, even
+// one whose acknowledgement is too recent to be known here.
+func TestExcludedPrimaryKeptIfAheadOfOthers(t *testing.T) {
 	at := func(index uint64) *member {
 		return &member{fenced: true, status: group.Status{Position: group.Position{Term: 1, Index: index}}}
 	}
 	cases := []struct {
 		name       string
 		replicaAck bool
-		a, b, c    *member // a is to be avoided
+		a, b, c    *member // a is excluded
 		want       string
 	}{
 		{"others hold all", false, at(9), at(9), at(8), "b"},
@@ -321,23 +322,23 @@
 			cfg.ReplicaAck = k.replicaAck
 			s := New(cfg, "me", []string{"a", "b", "c"})
 			s.members["a"], s.members["b"], s.members["c"] = k.a, k.b, k.c
-			s.avoid, s.former = "a", "a"
+			s.excluded, s.formerPrimary = "a", "a"
 			must.Eq(t, k.want, s.successor())
 		})
 	}
 }
 
-// A status that was on its way while the member was fenced comes late and must
-// not hide the position that the fence has found.
-func TestLateStatusDoesNotHideTheFencedPosition(t *testing.T) {
-	x := newScript(t, DefaultConfig())
-	x.serve()
-	x.beat(time.Second, "a", "b", "c")
-	asked := x.now
-	x.beat(1500*time.Millisecond, "b", "c")
-	must.Eq(t, Fencing, x.s.Phase())
-	x.answer("b", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 12}})
-	x.step(Reply{Member: "b", Op: OpHeartbeat, Term: 2, Sent: asked, Status: replicaStatus(2, 10)})
-	actions := x.answer("c", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 11}})
+// A status that was sent before the member was fenced but arrives afterwards must
+// not overwrite the position that the fence returned.
+func TestDelayedStatusKeepsFencedPosition(t *testing.T) {
+	h := newHarness(t, DefaultConfig())
+	h.startServing()
+	h.runHeartbeats(time.Second, "a", "b", "c")
+	asked := h.now
+	h.runHeartbeats(1500*time.Millisecond, "b", "c")
+	must.Eq(t, Fencing, h.s.Phase())
+	h.reply("b", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 12}})
+	h.step(Reply{Member: "b", Op: OpHeartbeat, Term: 2, Sent: asked, Status: replicaStatus(2, 10)})
+	actions := h.reply("c", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 11}})
 	must.Eq(t, []string{"b"}, sends(actions, OpPromote))
 }
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -15,7 +15,7 @@
 )
 
 func init() {
-	// The same verdict on every run.
+	// A fixed seed makes each run deterministic.
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true", "rapid.checks": "400"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -23,19 +23,19 @@
 	}
 }
 
-// world is a discrete simulation of one group and two instances that both want
-// to own it, with clocks that drift, messages that are late, lost or doubled,
-// links that are cut, members that die and instances that are paused.
-type world struct {
-	now     time.Duration
-	rng     *rand.Rand
-	queue   tasks
-	members []*fakeMember
-	nodes   []*fakeNode
-	loss    float64
-	served  []serveRecord
-	acked   []group.Position
-	ack     bool // ReplicaAck
+// simulation is a discrete-event simulation of one group and two instances that
+// compete to own it. Clocks drift; messages are delayed, lost or duplicated; links
+// are partitioned; members crash; instances are paused.
+type simulation struct {
+	now        time.Duration
+	rng        *rand.Rand
+	queue      eventQueue
+	members    []*fakeMember
+	instances  []*fakeInstance
+	loss       float64
+	served     []serveRecord
+	acked      []group.Position
+	replicaAck bool // ReplicaAck
 }
 
 type serveRecord struct {
@@ -43,18 +43,18 @@
 	at   time.Duration
 }
 
-type task struct {
+type scheduledEvent struct {
 	at time.Duration
 	f  func()
 }
 
-type tasks []task
+type eventQueue []scheduledEvent
 
-func (q tasks) Len() int           { return len(q) }
-func (q tasks) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q tasks) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *tasks) Push(x any)        { *q = append(*q, x.(task)) }
-func (q *tasks) Pop() any {
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -62,22 +62,22 @@
 }
 
 type fakeMember struct {
-	name     string
-	rate     float64
-	up       bool
-	term     uint64
-	role     group.Role
-	owner    string
-	seen     time.Duration // last fence or heartbeat, member clock
-	holder   string
-	beat     time.Duration // last heartbeat, member clock
-	released bool
-	log      []group.Position
-	leader   *fakeMember
-	cut      map[string]bool // peers and instances it cannot talk with
-}
-
-type fakeNode struct {
+	name          string
+	rate          float64
+	up            bool
+	term          uint64
+	role          group.Role
+	owner         string
+	lastContact   time.Duration // time of the last fence or heartbeat, member clock
+	holder        string
+	lastHeartbeat time.Duration // time of the last heartbeat, member clock
+	released      bool
+	log           []group.Position
+	leader        *fakeMember
+	unreachable   map[string]bool // members and instances that it has no connection to
+}
+
+type fakeInstance struct {
 	name    string
 	rate    float64
 	state   *State
@@ -86,111 +86,113 @@
 	t       *rapid.T
 }
 
-func newWorld(t *rapid.T, seed uint64, replicaAck bool) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), ack: replicaAck}
+func newSimulation(t *rapid.T, seed uint64, replicaAck bool) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), replicaAck: replicaAck}
 	for i := range 3 {
-		w.members = append(w.members, &fakeMember{
-			name: fmt.Sprintf("m%d", i), rate: w.drift(), up: true, term: 1, role: group.RoleReplica, cut: map[string]bool{},
+		sim.members = append(sim.members, &fakeMember{
+			name: fmt.Sprintf("m%d", i), rate: sim.clockRate(), up: true, term: 1, role: group.RoleReplica, unreachable: map[string]bool{},
 		})
 	}
-	w.members[0].role = group.RolePrimary
-	w.members[1].leader, w.members[2].leader = w.members[0], w.members[0]
+	sim.members[0].role = group.RolePrimary
+	sim.members[1].leader, sim.members[2].leader = sim.members[0], sim.members[0]
 	cfg := DefaultConfig()
 	cfg.ReplicaAck = replicaAck
 	for i := range 2 {
-		n := &fakeNode{name: fmt.Sprintf("n%d", i), rate: w.drift(), t: t}
-		n.state = New(cfg, n.name, []string{"m0", "m1", "m2"})
-		w.nodes = append(w.nodes, n)
-		w.every(30*time.Millisecond, func() { w.deliver(n, Tick{}) })
+		inst := &fakeInstance{name: fmt.Sprintf("n%d", i), rate: sim.clockRate(), t: t}
+		inst.state = New(cfg, inst.name, []string{"m0", "m1", "m2"})
+		sim.instances = append(sim.instances, inst)
+		sim.every(30*time.Millisecond, func() { sim.deliver(inst, Tick{}) })
 	}
-	w.every(10*time.Millisecond, w.replicate)
-	return w
+	sim.every(10*time.Millisecond, sim.replicate)
+	return sim
 }
 
-// drift is a clock rate within the stated bound of two clocks' difference.
-func (w *world) drift() float64 {
-	return 1 + (w.rng.Float64()-0.5)*float64(DefaultConfig().DriftPerMille)/1000
+// clockRate returns a random clock rate. The rates of two clocks differ by at most
+// DriftPerMille.
+func (sim *simulation) clockRate() float64 {
+	return 1 + (sim.rng.Float64()-0.5)*float64(DefaultConfig().DriftPerMille)/1000
 }
 
-func (w *world) after(d time.Duration, f func()) {
-	heap.Push(&w.queue, task{at: w.now + d, f: f})
+func (sim *simulation) after(d time.Duration, f func()) {
+	heap.Push(&sim.queue, scheduledEvent{at: sim.now + d, f: f})
 }
 
-func (w *world) every(d time.Duration, f func()) {
-	w.after(d, func() { f(); w.every(d, f) })
+func (sim *simulation) every(d time.Duration, f func()) {
+	sim.after(d, func() { f(); sim.every(d, f) })
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		next := heap.Pop(&w.queue).(task)
-		w.now = next.at
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		next := heap.Pop(&sim.queue).(scheduledEvent)
+		sim.now = next.at
 		next.f()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (n *fakeNode) clock(w *world) time.Duration {
-	return time.Second + time.Duration(float64(w.now)*n.rate)
+func (inst *fakeInstance) clock(sim *simulation) time.Duration {
+	return time.Second + time.Duration(float64(sim.now)*inst.rate)
 }
 
-// latency is mostly short and now and then long.
-func (w *world) latency() time.Duration {
-	if w.rng.IntN(20) == 0 {
-		return time.Duration(w.rng.IntN(900)) * time.Millisecond
+// latency returns a random delay: mostly below 8 ms, one in 20 up to 900 ms.
+func (sim *simulation) latency() time.Duration {
+	if sim.rng.IntN(20) == 0 {
+		return time.Duration(sim.rng.IntN(900)) * time.Millisecond
 	}
-	return time.Duration(w.rng.IntN(8)) * time.Millisecond
+	return time.Duration(sim.rng.IntN(8)) * time.Millisecond
 }
 
-func (w *world) lost() bool { return w.rng.Float64() < w.loss }
+func (sim *simulation) dropMessage() bool { return sim.rng.Float64() < sim.loss }
 
-// deliver hands an event to an instance; a paused one gets it when it resumes.
-func (w *world) deliver(n *fakeNode, ev Event) {
+// deliver applies an event to an instance. A paused instance gets it when it
+// resumes, except for ticks, which are dropped.
+func (sim *simulation) deliver(inst *fakeInstance, ev Event) {
 	handle := func() {
-		for _, a := range n.state.Step(n.clock(w), ev) {
-			w.act(n, a)
+		for _, a := range inst.state.Step(inst.clock(sim), ev) {
+			sim.perform(inst, a)
 		}
 	}
-	if n.paused {
+	if inst.paused {
 		if _, tick := ev.(Tick); !tick {
-			n.backlog = append(n.backlog, handle)
+			inst.backlog = append(inst.backlog, handle)
 		}
 		return
 	}
 	handle()
 }
 
-func (w *world) act(n *fakeNode, a Action) {
+func (sim *simulation) perform(inst *fakeInstance, a Action) {
 	switch a := a.(type) {
 	case Send:
-		w.send(n, a)
-		if w.rng.IntN(15) == 0 {
-			w.send(n, a) // doubled on the way
+		sim.send(inst, a)
+		if sim.rng.IntN(15) == 0 {
+			sim.send(inst, a) // duplicated in the network
 		}
 	case Serve:
-		w.served = append(w.served, serveRecord{term: a.Term, at: w.now})
-		if w.ack {
-			w.checkHeld(n, a)
+		sim.served = append(sim.served, serveRecord{term: a.Term, at: sim.now})
+		if sim.replicaAck {
+			sim.checkLogComplete(inst, a)
 		}
 	}
 }
 
-// checkHeld: what was acknowledged in earlier terms must be in the log of whoever
-// serves. An owner may still come to serve in a term that has been overtaken; that
-// it then acknowledges nothing is the other property.
-func (w *world) checkHeld(n *fakeNode, a Serve) {
+// checkLogComplete checks that the log of a new primary has all writes that were
+// acknowledged in earlier terms. An owner may start to serve in a term that has
+// already been superseded; acknowledge checks that it then acknowledges nothing.
+func (sim *simulation) checkLogComplete(inst *fakeInstance, a Serve) {
 	held := make(map[group.Position]bool)
-	for _, p := range w.member(a.Primary).log {
+	for _, p := range sim.member(a.Primary).log {
 		held[p] = true
 	}
-	for _, p := range w.acked {
+	for _, p := range sim.acked {
 		if p.Term < a.Term && !held[p] {
-			n.t.Fatalf("at %s: acknowledged %s is not held by %s, which serves in term %d", w.now, p, a.Primary, a.Term)
+			inst.t.Fatalf("at %s: acknowledged %s is not held by %s, which serves in term %d", sim.now, p, a.Primary, a.Term)
 		}
 	}
 }
 
-func (w *world) member(name string) *fakeMember {
-	for _, m := range w.members {
+func (sim *simulation) member(name string) *fakeMember {
+	for _, m := range sim.members {
 		if m.name == name {
 			return m
 		}
@@ -198,50 +200,50 @@
 	return nil
 }
 
-func (w *world) send(n *fakeNode, s Send) {
-	m := w.member(s.Member)
-	sent := n.clock(w)
+func (sim *simulation) send(inst *fakeInstance, s Send) {
+	m := sim.member(s.Member)
+	sent := inst.clock(sim)
 	fail := func(f Failure, d time.Duration) {
-		w.after(d, func() {
-			w.deliver(n, Reply{Member: s.Member, Op: s.Op, Term: s.Term, Sent: sent, Failure: f})
+		sim.after(d, func() {
+			sim.deliver(inst, Reply{Member: s.Member, Op: s.Op, Term: s.Term, Sent: sent, Failure: f})
 		})
 	}
 	if !m.up {
 		fail(FailHard, time.Millisecond)
 		return
 	}
-	if m.cut[n.name] || w.lost() {
+	if m.unreachable[inst.name] || sim.dropMessage() {
 		fail(FailSilent, 600*time.Millisecond)
 		return
 	}
-	w.after(w.latency(), func() {
+	sim.after(sim.latency(), func() {
 		if !m.up {
 			fail(FailHard, 0)
 			return
 		}
 		reply := Reply{Member: s.Member, Op: s.Op, Term: s.Term, Sent: sent}
-		reply.Status, reply.Failure = m.handle(w, n.name, s)
-		if m.cut[n.name] || w.lost() {
+		reply.Status, reply.Failure = m.handle(sim, inst.name, s)
+		if m.unreachable[inst.name] || sim.dropMessage() {
 			fail(FailSilent, 600*time.Millisecond)
 			return
 		}
-		w.after(w.latency(), func() { w.deliver(n, reply) })
+		sim.after(sim.latency(), func() { sim.deliver(inst, reply) })
 	})
 }
 
-func (m *fakeMember) clock(w *world) time.Duration {
-	return time.Second + time.Duration(float64(w.now)*m.rate)
+func (m *fakeMember) clock(sim *simulation) time.Duration {
+	return time.Second + time.Duration(float64(sim.now)*m.rate)
 }
 
-func (m *fakeMember) status(w *world) group.Status {
+func (m *fakeMember) status(sim *simulation) group.Status {
 	st := group.Status{Term: m.term, Role: m.role, Owner: m.owner, Holder: m.holder, OwnerAge: -1, HeartbeatAge: -1, Released: m.released, Position: m.position()}
-	if m.seen > 0 {
-		st.OwnerAge = m.clock(w) - m.seen
+	if m.lastContact > 0 {
+		st.OwnerAge = m.clock(sim) - m.lastContact
 	}
-	if m.beat > 0 {
-		st.HeartbeatAge = m.clock(w) - m.beat
+	if m.lastHeartbeat > 0 {
+		st.HeartbeatAge = m.clock(sim) - m.lastHeartbeat
 	}
-	st.Linked = m.leader != nil && m.leader.up && !m.cut[m.leader.name]
+	st.Linked = m.leader != nil && m.leader.up && !m.unreachable[m.leader.name]
 	return st
 }
 
@@ -252,21 +254,21 @@
 	return m.log[len(m.log)-1]
 }
 
-// handle is what a member does on a request, as the stand-in does it.
-func (m *fakeMember) handle(w *world, from string, s Send) (group.Status, Failure) {
+// handle applies a request to a member, like the simulated database does.
+func (m *fakeMember) handle(sim *simulation, from string, s Send) (group.Status, Failure) {
 	switch s.Op {
 	case OpHeartbeat:
 		if s.Term != m.term {
 			return group.Status{}, FailRefused
 		}
-		m.owner, m.holder, m.beat, m.seen, m.released = from, from, m.clock(w), m.clock(w), false
+		m.owner, m.holder, m.lastHeartbeat, m.lastContact, m.released = from, from, m.clock(sim), m.clock(sim), false
 	case OpFence:
 		if s.Term <= m.term {
 			return group.Status{}, FailRefused
 		}
 		m.term, m.role, m.leader = s.Term, group.RoleFenced, nil
-		st := m.status(w)
-		m.owner, m.seen = from, m.clock(w)
+		st := m.status(sim)
+		m.owner, m.lastContact = from, m.clock(sim)
 		return st, FailNone
 	case OpPromote:
 		if s.Term != m.term {
@@ -277,222 +279,227 @@
 		if s.Term < m.term {
 			return group.Status{}, FailRefused
 		}
-		m.term, m.role, m.leader = s.Term, group.RoleReplica, w.member(s.Leader)
+		m.term, m.role, m.leader = s.Term, group.RoleReplica, sim.member(s.Leader)
 	}
-	return m.status(w), FailNone
+	return m.status(sim), FailNone
 }
 
-// replicate copies a random part of what followers lack, after a rewind.
-func (w *world) replicate() {
-	for _, m := range w.members {
+// replicate truncates each replica's log where it diverges from its primary's and
+// appends a random number of the missing entries.
+func (sim *simulation) replicate() {
+	for _, m := range sim.members {
 		l := m.leader
-		if l == nil || m.role != group.RoleReplica || !m.up || !l.up || m.cut[l.name] || l.role != group.RolePrimary || l.term != m.term {
+		if l == nil || m.role != group.RoleReplica || !m.up || !l.up || m.unreachable[l.name] || l.role != group.RolePrimary || l.term != m.term {
 			continue
 		}
 		n := min(len(m.log), len(l.log))
 		for n > 0 && m.log[n-1] != l.log[n-1] {
 			n--
 		}
-		m.log = append(m.log[:n:n], l.log[n:n+w.rng.IntN(len(l.log)-n+1)]...)
+		m.log = append(m.log[:n:n], l.log[n:n+sim.rng.IntN(len(l.log)-n+1)]...)
 	}
 }
 
-// write runs one write as an owner does: to the primary, back, checked, acked.
-func (w *world) write(n *fakeNode) {
-	if n.paused || n.state.Phase() != Serving {
+// write runs one write the way an owner does: send it to the primary, receive the
+// answer, check the lease, acknowledge.
+func (sim *simulation) write(inst *fakeInstance) {
+	if inst.paused || inst.state.Phase() != Serving {
 		return
 	}
-	term, m := n.state.Term(), w.member(n.state.Primary())
-	if m.cut[n.name] {
+	term, m := inst.state.Term(), sim.member(inst.state.Primary())
+	if m.unreachable[inst.name] {
 		return
 	}
-	w.after(w.latency(), func() {
+	sim.after(sim.latency(), func() {
 		if !m.up || m.role != group.RolePrimary || m.term != term {
 			return
 		}
 		p := group.Position{Term: term, Index: m.position().Index + 1}
 		m.log = append(m.log, p)
-		w.after(w.latency(), func() { w.answer(n, term, p) })
+		sim.after(sim.latency(), func() { sim.finishWrite(inst, term, p) })
 	})
 }
 
-func (w *world) answer(n *fakeNode, term uint64, p group.Position) {
+func (sim *simulation) finishWrite(inst *fakeInstance, term uint64, p group.Position) {
 	check := func() {
-		if n.state.Term() != term || n.clock(w) >= n.state.LeaseEnd() {
+		if inst.state.Term() != term || inst.clock(sim) >= inst.state.LeaseEnd() {
 			return
 		}
-		if w.ack && !w.confirmed(n, p) {
-			if w.rng.IntN(50) > 0 {
-				w.after(20*time.Millisecond, func() { w.answer(n, term, p) })
+		if sim.replicaAck && !sim.replicaConfirmed(inst, p) {
+			if sim.rng.IntN(50) > 0 {
+				sim.after(20*time.Millisecond, func() { sim.finishWrite(inst, term, p) })
 			}
 			return
 		}
-		w.acknowledge(n, term, p)
+		sim.acknowledge(inst, term, p)
 	}
-	if n.paused {
-		n.backlog = append(n.backlog, check)
+	if inst.paused {
+		inst.backlog = append(inst.backlog, check)
 		return
 	}
 	check()
 }
 
-// confirmed: a replica has reported the position to the owner.
-func (w *world) confirmed(n *fakeNode, p group.Position) bool {
-	for _, m := range w.members {
-		st, _ := n.state.Member(m.name)
-		if m.name != n.state.Primary() && st.Term == n.state.Term() && st.Position.AtLeast(p) {
+// replicaConfirmed reports whether a replica has reported the position to the
+// owner.
+func (sim *simulation) replicaConfirmed(inst *fakeInstance, p group.Position) bool {
+	for _, m := range sim.members {
+		st, _ := inst.state.Member(m.name)
+		if m.name != inst.state.Primary() && st.Term == inst.state.Term() && st.Position.AtLeast(p) {
 			return true
 		}
 	}
 	return false
 }
 
-// acknowledge: nobody may have begun to serve in a higher term before.
-func (w *world) acknowledge(n *fakeNode, term uint64, p group.Position) {
-	for _, s := range w.served {
+// acknowledge records an acknowledged write. It fails the test if a higher term
+// was served before.
+func (sim *simulation) acknowledge(inst *fakeInstance, term uint64, p group.Position) {
+	for _, s := range sim.served {
 		if s.term > term {
-			n.t.Fatalf("%s acknowledged in term %d at %s, term %d was served since %s", n.name, term, w.now, s.term, s.at)
+			inst.t.Fatalf("%s acknowledged in term %d at %s, term %d was served since %s", inst.name, term, sim.now, s.term, s.at)
 		}
 	}
-	w.acked = append(w.acked, p)
+	sim.acked = append(sim.acked, p)
 }
 
-// disturb applies one random fault or repair.
-func (w *world) disturb(choice, a, b int) {
-	m, other, n := w.members[a%3], w.members[b%3], w.nodes[b%2]
+// injectFault applies one fault or repair.
+func (sim *simulation) injectFault(choice, a, b int) {
+	m, other, inst := sim.members[a%3], sim.members[b%3], sim.instances[b%2]
 	switch choice {
 	case 0:
-		m.cut[n.name] = !m.cut[n.name]
+		m.unreachable[inst.name] = !m.unreachable[inst.name]
 	case 1:
 		if m != other {
-			cut := !m.cut[other.name]
-			m.cut[other.name], other.cut[m.name] = cut, cut
+			cut := !m.unreachable[other.name]
+			m.unreachable[other.name], other.unreachable[m.name] = cut, cut
 		}
 	case 2:
 		m.up = !m.up
 	case 3:
-		w.setPaused(n, !n.paused)
+		sim.setPaused(inst, !inst.paused)
 	case 4, 5:
-		w.deliver(n, Claim{Reason: "test"})
+		sim.deliver(inst, Claim{Reason: "test"})
 	case 6:
-		w.heal()
+		sim.repairAll()
 	case 7:
-		w.deliver(n, Leave{Members: []string{m.name}})
-		w.deliver(n, Drained{})
+		sim.deliver(inst, Leave{Members: []string{m.name}})
+		sim.deliver(inst, Drained{})
 	case 8:
-		w.loss = float64(a%3) / 10
+		sim.loss = float64(a%3) / 10
 	case 9:
-		w.takeOver(n, func() { w.setPaused(n, true) })
+		sim.takeOver(inst, func() { sim.setPaused(inst, true) })
 	case 10:
-		w.takeOver(n, func() { w.cutOff(n, true) })
+		sim.takeOver(inst, func() { sim.setUnreachable(inst, true) })
 	}
 }
 
-// takeOver disables an instance, lets the other claim, and brings the first back.
-func (w *world) takeOver(n *fakeNode, disable func()) {
-	w.heal()
+// takeOver disables an instance, lets the other one claim the group, and restores
+// the first.
+func (sim *simulation) takeOver(inst *fakeInstance, disable func()) {
+	sim.repairAll()
 	disable()
-	other := w.nodes[0]
-	if n == other {
-		other = w.nodes[1]
+	other := sim.instances[0]
+	if inst == other {
+		other = sim.instances[1]
 	}
 	for range 15 {
-		w.run(w.now + 100*time.Millisecond)
-		w.deliver(other, Claim{Reason: "the owner is gone"})
-		w.write(n)
-		w.write(other)
+		sim.run(sim.now + 100*time.Millisecond)
+		sim.deliver(other, Claim{Reason: "the owner is gone"})
+		sim.write(inst)
+		sim.write(other)
 	}
-	w.heal()
-	w.write(n)
+	sim.repairAll()
+	sim.write(inst)
 }
 
-func (w *world) cutOff(n *fakeNode, cut bool) {
-	for _, m := range w.members {
-		m.cut[n.name] = cut
+func (sim *simulation) setUnreachable(inst *fakeInstance, cut bool) {
+	for _, m := range sim.members {
+		m.unreachable[inst.name] = cut
 	}
 }
 
-func (w *world) setPaused(n *fakeNode, paused bool) {
-	n.paused = paused
+func (sim *simulation) setPaused(inst *fakeInstance, paused bool) {
+	inst.paused = paused
 	if paused {
 		return
 	}
-	backlog := n.backlog
-	n.backlog = nil
+	backlog := inst.backlog
+	inst.backlog = nil
 	for _, f := range backlog {
 		f()
 	}
 }
 
-func (w *world) heal() {
-	w.loss = 0
-	for _, m := range w.members {
-		m.cut = map[string]bool{}
+func (sim *simulation) repairAll() {
+	sim.loss = 0
+	for _, m := range sim.members {
+		m.unreachable = map[string]bool{}
 		m.up = true
 	}
-	for _, n := range w.nodes {
-		w.setPaused(n, false)
+	for _, inst := range sim.instances {
+		sim.setPaused(inst, false)
 	}
 }
 
-func runWorld(t *rapid.T, replicaAck bool) *world {
-	w := newWorld(t, rapid.Uint64().Draw(t, "seed"), replicaAck)
-	w.deliver(w.nodes[0], Claim{Reason: "start"})
-	w.run(500 * time.Millisecond)
+func runSimulation(t *rapid.T, replicaAck bool) *simulation {
+	sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), replicaAck)
+	sim.deliver(sim.instances[0], Claim{Reason: "start"})
+	sim.run(500 * time.Millisecond)
 	steps := rapid.IntRange(5, 60).Draw(t, "steps")
 	for range steps {
-		w.disturb(rapid.IntRange(0, 10).Draw(t, "fault"), rapid.IntRange(0, 5).Draw(t, "a"), rapid.IntRange(0, 5).Draw(t, "b"))
+		sim.injectFault(rapid.IntRange(0, 10).Draw(t, "fault"), rapid.IntRange(0, 5).Draw(t, "a"), rapid.IntRange(0, 5).Draw(t, "b"))
 		pause := time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
-		for end := w.now + pause; w.now < end; {
-			for _, n := range w.nodes {
-				w.write(n)
+		for end := sim.now + pause; sim.now < end; {
+			for _, inst := range sim.instances {
+				sim.write(inst)
 			}
-			w.run(min(w.now+40*time.Millisecond, end))
+			sim.run(min(sim.now+40*time.Millisecond, end))
 		}
 	}
-	return w
+	return sim
 }
 
-// Whatever is paused, cut, late, lost or doubled, no write is acknowledged in a
-// term once another instance serves in a higher one.
+// No write is acknowledged in a term once a higher term is served, whichever
+// processes are paused and whichever messages are delayed, lost or duplicated.
 func TestNoAcknowledgementAfterReplacement(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { runWorld(t, false) })
+	rapid.Check(t, func(t *rapid.T) { runSimulation(t, false) })
 }
 
-// With acknowledgement by a replica, whoever serves holds all that was
-// acknowledged.
-func TestReplicaAcknowledgedIsNeverLost(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { runWorld(t, true) })
+// If acknowledgements need a replica, each new primary has all writes that were
+// acknowledged in earlier terms.
+func TestReplicaAcknowledgedWritesSurviveFailover(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { runSimulation(t, true) })
 }
 
-// Once all is healed, some instance serves again and writes are acknowledged.
-func TestServesAgainAfterHealing(t *testing.T) {
+// Once all faults are repaired, an instance serves again and acknowledges writes.
+func TestServesAgainAfterFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := runWorld(t, rapid.Bool().Draw(t, "ack"))
-		w.heal()
-		before := len(w.acked)
+		sim := runSimulation(t, rapid.Bool().Draw(t, "ack"))
+		sim.repairAll()
+		before := len(sim.acked)
 		for range 60 {
-			w.deliver(w.nodes[0], Leave{})
-			for i, n := range w.nodes {
-				w.deliver(n, Claim{Reason: "candidate", Patience: time.Duration(i) * 150 * time.Millisecond})
-				w.write(n)
+			sim.deliver(sim.instances[0], Leave{})
+			for i, inst := range sim.instances {
+				sim.deliver(inst, Claim{Reason: "candidate", Patience: time.Duration(i) * 150 * time.Millisecond})
+				sim.write(inst)
 			}
-			w.run(w.now + 200*time.Millisecond)
+			sim.run(sim.now + 200*time.Millisecond)
 		}
-		if len(w.acked) == before {
-			t.Fatalf("nothing was acknowledged within 12 s of healing: phases %s %s", w.nodes[0].state.Phase(), w.nodes[1].state.Phase())
+		if len(sim.acked) == before {
+			t.Fatalf("nothing was acknowledged within 12 s of healing: phases %s %s", sim.instances[0].state.Phase(), sim.instances[1].state.Phase())
 		}
 	})
 }
 
-// The simulation does acknowledge, fail over and move owners: the properties
-// above are not empty.
-func TestSimulationIsNotIdle(t *testing.T) {
+// The simulation must acknowledge writes and fail over often enough for the
+// properties above to test anything.
+func TestSimulationCoversFailovers(t *testing.T) {
 	acked, served := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := runWorld(t, false)
-		acked += len(w.acked)
-		served += len(w.served)
+		sim := runSimulation(t, false)
+		acked += len(sim.acked)
+		served += len(sim.served)
 	})
 	must.Greater(t, 2000, acked)
 	must.Greater(t, 1000, served)
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -7,7 +7,7 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-func (s *State) reply(now time.Duration, r Reply) []Action {
+func (s *State) handleReply(now time.Duration, r Reply) []Action {
 	m := s.members[r.Member]
 	if m == nil {
 		return nil
@@ -15,37 +15,38 @@
 	var actions []Action
 	switch r.Failure {
 	case FailSilent:
-		m.failed = m.failed || r.Op == OpFence && r.Term == s.term
+		m.fenceFailed = m.fenceFailed || r.Op == OpFence && r.Term == s.term
 	case FailHard:
-		m.hard++
-		m.failed = m.failed || r.Op == OpFence && r.Term == s.term
+		m.connFailures++
+		m.fenceFailed = m.fenceFailed || r.Op == OpFence && r.Term == s.term
 	default:
-		actions = s.answered(now, r, m)
+		actions = s.handleAnswer(now, r, m)
 	}
 	if s.phase == Standby {
 		return actions
 	}
 	if r.Op == OpPromote && r.Term == s.term && s.phase == Promoting {
-		return append(actions, s.promoted(now, r)...)
+		return append(actions, s.handlePromoted(now, r)...)
 	}
 	return append(actions, s.advance(now)...)
 }
 
-// answered takes in a status. A term above ours ends a claim or an ownership.
-func (s *State) answered(now time.Duration, r Reply, m *member) []Action {
-	m.hard = 0
-	m.answered = now
+// handleAnswer applies an answer of a member. A term above the current one ends a
+// claim or an ownership.
+func (s *State) handleAnswer(now time.Duration, r Reply, m *member) []Action {
+	m.connFailures = 0
+	m.answeredAt = now
 	if r.Failure == FailRefused {
-		return s.refused(r, m)
+		return s.handleRefused(r, m)
 	}
-	s.takeStatus(r, m)
-	s.noteLink(now, m)
+	s.updateStatus(r, m)
+	s.updateLink(now, m)
 	if s.phase >= Fencing && r.Status.Term > s.term {
 		return s.superseded(r)
 	}
 	var actions []Action
-	if m.down && s.phase >= Serving {
-		m.down = false
+	if m.reportedDown && s.phase >= Serving {
+		m.reportedDown = false
 		actions = append(actions, Record{Kind: "member-up", Member: r.Member, Text: "answers again"})
 	}
 	if r.Term != s.term || s.phase < Fencing {
@@ -55,37 +56,39 @@
 	case OpFence:
 		m.fenced = true
 	case OpHeartbeat:
-		s.hold(m, r.Sent)
+		s.recordHeartbeat(m, r.Sent)
 	}
 	return actions
 }
 
-// takeStatus keeps the newest status. Answers can overtake one another: an older
-// one must not hide the position that a fence has found.
-func (s *State) takeStatus(r Reply, m *member) {
-	if r.Op == OpFence && r.Term != s.term || r.Sent < m.asked || r.Status.Term < m.status.Term {
+// updateStatus stores a status unless a newer one is known. Answers can arrive
+// out of order: an older one must not overwrite the position that a fence
+// returned.
+func (s *State) updateStatus(r Reply, m *member) {
+	if r.Op == OpFence && r.Term != s.term || r.Sent < m.statusSentAt || r.Status.Term < m.status.Term {
 		return
 	}
 	m.status = r.Status
-	m.asked = r.Sent
-	m.told = false
+	m.statusSentAt = r.Sent
+	m.followSent = false
 }
 
-// hold notes that the member has answered in our term a heartbeat sent then. Only
-// heartbeats count, since the age of the last one is what the member will tell a
-// successor, whatever fences lie between.
-func (s *State) hold(m *member, sent time.Duration) {
-	if !m.held || sent > m.inTerm {
-		m.inTerm = sent
-		m.held = true
+// recordHeartbeat records that the member answered a heartbeat in the current
+// term. Only heartbeats extend the lease, because a member reports only the age
+// of its last heartbeat to a successor, regardless of fences in between.
+func (s *State) recordHeartbeat(m *member, sent time.Duration) {
+	if !m.heartbeatAnswered || sent > m.heartbeatSentAt {
+		m.heartbeatSentAt = sent
+		m.heartbeatAnswered = true
 	}
 }
 
-// refused deals with a member that would not do what was asked: it is either
-// ahead of our term, which the next status shows, or behind it. A refused fence
-// means that somebody else has claimed the group since: to raise the term
-// against that claim would only start a duel, so this one ends.
-func (s *State) refused(r Reply, m *member) []Action {
+// handleRefused handles a request that a member refused because its term is
+// above or below the current one; a status request finds out which. A refused
+// fence means that another instance has claimed the group meanwhile. This claim
+// then ends, because two claims that raise the term against each other would
+// never finish.
+func (s *State) handleRefused(r Reply, m *member) []Action {
 	if r.Op == OpFence && r.Term == s.term && s.phase == Fencing && !m.fenced {
 		return s.standDown("another claim is under way", "")
 	}
@@ -95,6 +98,7 @@
 	return []Action{Send{Member: r.Member, Op: OpStatus, Term: s.term}}
 }
 
+// superseded ends the claim or ownership because a member has a higher term.
 func (s *State) superseded(r Reply) []Action {
 	reason := fmt.Sprintf("%s is at term %d", r.Member, r.Status.Term)
 	s.members[r.Member].status = r.Status
@@ -102,15 +106,17 @@
 	return append(actions, s.standDown(reason, r.Status.Owner)...)
 }
 
-func (s *State) noteLink(now time.Duration, m *member) {
+// updateLink records since when a replica has had no link to its primary.
+func (s *State) updateLink(now time.Duration, m *member) {
 	unlinked := m.status.Role == group.RoleReplica && !m.status.Linked
 	if unlinked && !m.isolated {
-		m.unlinked = now
+		m.unlinkedSince = now
 	}
 	m.isolated = unlinked
 }
 
-// advance moves a claim on when its conditions are met.
+// advance enters the next phase if the conditions for leaving the current one are
+// met.
 func (s *State) advance(now time.Duration) []Action {
 	switch s.phase {
 	case Observing:
@@ -122,92 +128,96 @@
 	case Draining:
 		return s.advanceDraining(now)
 	case Serving:
-		return s.repair()
+		return s.repointMembers()
 	}
 	return nil
 }
 
-// advanceObserving fences once a majority has answered and no owner is alive.
+// advanceObserving starts fencing once a majority has answered and reported no
+// live owner, and either all members have answered or Collect has passed.
 func (s *State) advanceObserving(now time.Duration) []Action {
 	count := 0
 	for _, name := range s.names {
 		m := s.members[name]
-		if m.answered < s.started {
+		if m.answeredAt < s.phaseStarted {
 			continue
 		}
 		count++
-		if m.status.Term > s.fromTerm {
-			s.from = ""
+		if m.status.Term > s.formerOwnerTerm {
+			s.formerOwner = ""
 		}
 		if owner := s.liveOwner(m.status); owner != "" {
 			s.claimed = false
 			return s.standDown("owned by "+owner, owner)
 		}
 		if m.status.Role == group.RolePrimary && m.status.Term >= s.term {
-			s.term, s.former = m.status.Term, name
+			s.term, s.formerPrimary = m.status.Term, name
 		}
 		s.acked = group.Max(s.acked, m.status.Acknowledged)
 	}
-	waited := now-s.started >= s.cfg.Collect
+	waited := now-s.phaseStarted >= s.cfg.Collect
 	if count < s.majority() || count < len(s.names) && !waited {
 		return nil
 	}
 	return append([]Action{Record{Kind: "claim", Text: s.reason}}, s.fence(now)...)
 }
 
-// liveOwner returns another instance that the member has heard of just now.
+// liveOwner returns the owner that a member reports, or "" if it is this
+// instance, has given the group up, or has not contacted the member recently.
 func (s *State) liveOwner(st group.Status) string {
-	if st.Owner == "" || st.Owner == s.self || st.Owner == s.from || st.Released && st.Owner == st.Holder {
+	if st.Owner == "" || st.Owner == s.self || st.Owner == s.formerOwner || st.Released && st.Owner == st.Holder {
 		return ""
 	}
-	if st.OwnerAge < 0 || st.OwnerAge > s.cfg.OwnerSilence+s.patience {
+	if st.OwnerAge < 0 || st.OwnerAge > s.cfg.OwnerSilence+s.extraOwnerTimeout {
 		return ""
 	}
 	return st.Owner
 }
 
-// advanceFencing goes on once a majority is fenced and nobody worth waiting for
-// is missing: all others have failed, are suspect, or had Collect to answer.
+// advanceFencing ends the fencing phase once a majority is fenced and each other
+// member has failed, is suspect, or has had Collect to answer.
 func (s *State) advanceFencing(now time.Duration) []Action {
 	fenced, missing := 0, 0
 	for name, m := range s.members {
 		switch {
 		case m.fenced:
 			fenced++
-		case !m.failed && name != s.suspect:
+		case !m.fenceFailed && name != s.suspect:
 			missing++
 		}
 	}
-	if fenced < s.majority() || missing > 0 && now-s.started < s.cfg.Collect {
+	if fenced < s.majority() || missing > 0 && now-s.phaseStarted < s.cfg.Collect {
 		return nil
 	}
-	s.until = s.leasesEnd(now)
+	s.leasesExpireAt = s.formerLeasesEnd(now)
 	s.enter(now, Waiting)
 	return s.advanceWaiting(now)
 }
 
-// leasesEnd returns when every lease of a former owner has lapsed. Each
-// majority that granted one shares a member with the fenced majority, and that
-// member's heartbeat age, taken when it was fenced, bounds what is left. The
-// time since the fence was answered is not counted, which is on the safe side.
-// Heartbeats are sent only by owners that have waited likewise, so the last one
-// stands for all before it; fences, whose answers may be lost, hide none.
-func (s *State) leasesEnd(now time.Duration) time.Duration {
-	var left time.Duration
+// formerLeasesEnd returns the time at which every lease of a former owner has
+// expired. Each majority that granted a lease shares a member with the fenced
+// majority. The heartbeat age that this member reported when it was fenced bounds
+// the remaining time of the lease. The time since the member answered is not
+// subtracted, which can only lengthen the wait. Only the last heartbeat matters:
+// its sender has itself waited for the leases before. Fences do not replace the
+// last heartbeat in a member's status, so a fence whose answer was lost hides no
+// lease.
+func (s *State) formerLeasesEnd(now time.Duration) time.Duration {
+	var remaining time.Duration
 	for _, m := range s.members {
 		holder := m.status.Holder
-		if !m.fenced || holder == "" || holder == s.self || holder == s.from || m.status.Released {
+		if !m.fenced || holder == "" || holder == s.self || holder == s.formerOwner || m.status.Released {
 			continue
 		}
 		if m.status.HeartbeatAge >= 0 {
-			left = max(left, s.cfg.Lease*time.Duration(1000+2*s.cfg.DriftPerMille)/1000-m.status.HeartbeatAge)
+			remaining = max(remaining, s.cfg.Lease*time.Duration(1000+2*s.cfg.DriftPerMille)/1000-m.status.HeartbeatAge)
 		}
 	}
-	return max(s.until, now+left)
+	return max(s.leasesExpireAt, now+remaining)
 }
 
 func (s *State) advanceWaiting(now time.Duration) []Action {
-	if now < s.until {
+	if now < s.leasesExpireAt {
 		return nil
 	}
 	successor := s.successor()
@@ -222,33 +232,34 @@
 	}
 }
 
-// successor picks the fenced member with the highest position. Among equals it
-// keeps the former primary, so that a change of owner moves nothing.
+// successor returns the member to promote: the fenced member with the highest
+// log position. Among equals it prefers members that are not leaving, then the
+// former primary, so that a change of owner does not change the primary.
 func (s *State) successor() string {
 	best, others := "", 0
 	for _, name := range s.names {
 		m := s.members[name]
-		if !m.fenced || name == s.avoid {
+		if !m.fenced || name == s.excluded {
 			continue
 		}
 		others++
-		if best == "" || s.better(name, best) {
+		if best == "" || s.preferred(name, best) {
 			best = name
 		}
 	}
-	avoided := s.members[s.avoid]
-	if avoided == nil || !avoided.fenced || s.mayAvoid(avoided, best, others) {
+	avoided := s.members[s.excluded]
+	if avoided == nil || !avoided.fenced || s.canExclude(avoided, best, others) {
 		return best
 	}
-	return s.avoid
+	return s.excluded
 }
 
-// mayAvoid reports whether the member to be avoided can be passed over without
-// losing acknowledged work. What lies beyond the best of the others may have been
-// acknowledged, unless that takes a replica and all of them have been asked. The
-// highest acknowledged position that this state knows is no help: it may be a
-// moment old.
-func (s *State) mayAvoid(avoided *member, best string, others int) bool {
+// canExclude reports whether the excluded member can be skipped without losing
+// acknowledged writes. Log entries that only this member has may have been
+// acknowledged, except if an acknowledgement needs a replica and all replicas
+// have been fenced. The highest acknowledged position known here cannot be used,
+// because it may be out of date.
+func (s *State) canExclude(avoided *member, best string, others int) bool {
 	if best == "" {
 		return false
 	}
@@ -258,7 +269,8 @@
 	return s.cfg.ReplicaAck && others == len(s.names)-1
 }
 
-func (s *State) better(name, than string) bool {
+// preferred reports whether one member is a better successor than another.
+func (s *State) preferred(name, than string) bool {
 	p, q := s.members[name].status.Position, s.members[than].status.Position
 	if p != q {
 		return q.Less(p)
@@ -266,25 +278,25 @@
 	if s.leaving[name] != s.leaving[than] {
 		return s.leaving[than]
 	}
-	return name == s.former
+	return name == s.formerPrimary
 }
 
-func (s *State) promoted(now time.Duration, r Reply) []Action {
+func (s *State) handlePromoted(now time.Duration, r Reply) []Action {
 	if r.Failure != FailNone {
 		s.suspect = s.primary
 		return s.fence(now)
 	}
-	moved := s.primary != s.former
-	if moved && s.former != "" {
-		s.moves = append(s.moves, now)
+	moved := s.primary != s.formerPrimary
+	if moved && s.formerPrimary != "" {
+		s.primaryChanges = append(s.primaryChanges, now)
 	}
 	claimed := s.claimed
-	s.claimed, s.from = false, ""
-	s.suspect, s.avoid = "", ""
-	s.former = s.primary
+	s.claimed, s.formerOwner = false, ""
+	s.suspect, s.excluded = "", ""
+	s.formerPrimary = s.primary
 	s.drained = false
 	s.enter(now, Serving)
-	s.lastBeat = now
+	s.lastHeartbeat = now
 	for _, m := range s.members {
 		m.isolated = false
 	}
@@ -293,15 +305,16 @@
 		Record{Kind: "serving", Member: s.primary, Text: fmt.Sprintf("term %d from %s", s.term, r.Status.Position)},
 	}
 	actions = append(actions, s.broadcast(OpHeartbeat)...)
-	return append(actions, s.repair()...)
+	return append(actions, s.repointMembers()...)
 }
 
-// repair points members that do not follow the primary at it.
-func (s *State) repair() []Action {
+// repointMembers sends a follow request to each member that does not replicate
+// from the primary in the current term.
+func (s *State) repointMembers() []Action {
 	var actions []Action
 	for _, name := range s.names {
 		m := s.members[name]
-		if name == s.primary || m.answered == 0 || m.told {
+		if name == s.primary || m.answeredAt == 0 || m.followSent {
 			continue
 		}
 		if m.status.Term == s.term && m.status.Role == group.RoleReplica {
@@ -310,7 +323,7 @@
 		if m.status.Term > s.term || m.status.Term == 0 {
 			continue
 		}
-		m.told = true
+		m.followSent = true
 		actions = append(actions, Send{Member: name, Op: OpFollow, Term: s.term, Leader: s.primary})
 	}
 	return actions
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -6,43 +6,43 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// tick sends heartbeats and looks for what has been silent for too long.
+// tick sends heartbeats that are due and checks all timeouts.
 func (s *State) tick(now time.Duration, e Tick) []Action {
 	s.acked = group.Max(s.acked, e.Acked)
 	paused := s.lastTick != 0 && now-s.lastTick > s.cfg.OwnerSilence/2
 	s.lastTick = now
 	if paused {
-		s.forgive(now)
+		s.restartTimeouts(now)
 	}
 	switch s.phase {
 	case Standby:
 		return nil
 	case Serving:
-		return s.watch(now)
+		return s.monitor(now)
 	case Draining:
-		return append(s.watch(now), s.advance(now)...)
+		return append(s.monitor(now), s.advance(now)...)
 	case Observing:
 		return s.retryObserving(now)
 	case Fencing, Promoting:
-		if now-s.started > s.cfg.Collect+s.cfg.RetryUnsettled {
+		if now-s.phaseStarted > s.cfg.Collect+s.cfg.RetryUnsettled {
 			return s.retryFence(now)
 		}
 	}
 	return s.advance(now)
 }
 
-// forgive restarts all clocks of silence: this process was paused, so the
-// silence of the members shows nothing about them.
-func (s *State) forgive(now time.Duration) {
+// restartTimeouts restarts the timeouts of all members after a pause of this
+// process: missing answers during the pause do not mean that a member failed.
+func (s *State) restartTimeouts(now time.Duration) {
 	for _, m := range s.members {
-		m.answered = max(m.answered, now)
-		m.unlinked = max(m.unlinked, now)
-		m.hard = 0
+		m.answeredAt = max(m.answeredAt, now)
+		m.unlinkedSince = max(m.unlinkedSince, now)
+		m.connFailures = 0
 	}
 }
 
 func (s *State) retryObserving(now time.Duration) []Action {
-	if now-s.started < s.cfg.Collect+s.cfg.RetryUnsettled {
+	if now-s.phaseStarted < s.cfg.Collect+s.cfg.RetryUnsettled {
 		return s.advance(now)
 	}
 	s.enter(now, Observing)
@@ -56,57 +56,60 @@
 	return s.fence(now)
 }
 
-func (s *State) watch(now time.Duration) []Action {
+// monitor sends heartbeats as the owner and starts a failover or a drain of the
+// primary where needed.
+func (s *State) monitor(now time.Duration) []Action {
 	var actions []Action
-	if now-s.lastBeat >= s.cfg.Heartbeat {
-		s.lastBeat = now
+	if now-s.lastHeartbeat >= s.cfg.Heartbeat {
+		s.lastHeartbeat = now
 		actions = s.broadcast(OpHeartbeat)
 	}
-	actions = append(actions, s.noteSilence(now)...)
-	if s.members[s.primary].hard > 0 {
-		// A refusal is asked about again at once, not at the next heartbeat.
+	actions = append(actions, s.reportUnresponsive(now)...)
+	if s.members[s.primary].connFailures > 0 {
+		// After a connection failure, retry at once instead of at the next heartbeat.
 		actions = append(actions, Send{Member: s.primary, Op: OpStatus, Term: s.term})
 	}
-	if reason := s.primaryDead(now); reason != "" {
-		return append(actions, s.replace(now, reason)...)
+	if reason := s.primaryFailure(now); reason != "" {
+		return append(actions, s.replacePrimary(now, reason)...)
 	}
 	if s.primaryIsolated(now) {
-		s.avoid = s.primary
-		return append(actions, s.replace(now, "no replica hears the primary")...)
+		s.excluded = s.primary
+		return append(actions, s.replacePrimary(now, "no replica hears the primary")...)
 	}
-	return append(actions, s.drain(now)...)
+	return append(actions, s.startDraining(now)...)
 }
 
-// noteSilence records members that have stopped answering.
-func (s *State) noteSilence(now time.Duration) []Action {
+// reportUnresponsive adds members that have stopped answering to the time line.
+func (s *State) reportUnresponsive(now time.Duration) []Action {
 	var actions []Action
 	for _, name := range s.names {
 		m := s.members[name]
-		if m.down || s.alive(now, m, s.cfg.Silence) {
+		if m.reportedDown || s.alive(now, m, s.cfg.Silence) {
 			continue
 		}
-		m.down = true
+		m.reportedDown = true
 		actions = append(actions, Record{Kind: "member-down", Member: name, Text: "does not answer"})
 	}
 	return actions
 }
 
-func (s *State) alive(now time.Duration, m *member, silence time.Duration) bool {
-	return now-m.answered <= silence && m.hard < s.cfg.HardFailures
+func (s *State) alive(now time.Duration, m *member, timeout time.Duration) bool {
+	return now-m.answeredAt <= timeout && m.connFailures < s.cfg.HardFailures
 }
 
-// silence returns the damped limit: each recent move doubles it.
-func (s *State) silence(now time.Duration) time.Duration {
+// primaryTimeout returns how long the primary may leave requests unanswered. Each
+// recent change of the primary doubles it, up to Config.MaxSilence.
+func (s *State) primaryTimeout(now time.Duration) time.Duration {
 	limit := s.cfg.Silence
-	for range s.recentMoves(now) {
+	for range s.recentPrimaryChanges(now) {
 		limit = min(2*limit, s.cfg.MaxSilence)
 	}
 	return limit
 }
 
-func (s *State) recentMoves(now time.Duration) int {
+func (s *State) recentPrimaryChanges(now time.Duration) int {
 	n := 0
-	for _, at := range s.moves {
+	for _, at := range s.primaryChanges {
 		if now-at < s.cfg.DampingWindow {
 			n++
 		}
@@ -114,26 +117,27 @@
 	return n
 }
 
-// primaryDead returns why the primary counts as dead, or "". When no majority
-// answers, the instance itself is cut off and must not judge.
-func (s *State) primaryDead(now time.Duration) string {
-	if s.othersAlive(now) < s.majority() || s.recentMoves(now) >= s.cfg.MaxMoves {
+// primaryFailure returns why the primary counts as failed, or "". Without answers
+// of a majority of other members the instance itself may be partitioned, so it
+// starts no failover.
+func (s *State) primaryFailure(now time.Duration) string {
+	if s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxMoves {
 		return ""
 	}
 	p := s.members[s.primary]
-	if p.hard >= s.cfg.HardFailures {
+	if p.connFailures >= s.cfg.HardFailures {
 		return "the primary refuses connections"
 	}
-	if now-p.answered > s.silence(now) {
+	if now-p.answeredAt > s.primaryTimeout(now) {
 		return "the primary is silent"
 	}
-	if p.status.Term == s.term && p.status.Role != group.RolePrimary && p.answered > s.started+s.cfg.Heartbeat {
+	if p.status.Term == s.term && p.status.Role != group.RolePrimary && p.answeredAt > s.phaseStarted+s.cfg.Heartbeat {
 		return "the primary has lost its role"
 	}
 	return ""
 }
 
-// othersAlive counts the members besides the primary that answer.
+// othersAlive returns the number of members other than the primary that answer.
 func (s *State) othersAlive(now time.Duration) int {
 	n := 0
 	for name, m := range s.members {
@@ -144,58 +148,59 @@
 	return n
 }
 
-// primaryIsolated reports that every living replica has been without the
-// primary for long. Where writes are acknowledged by the primary alone it stays:
-// replacing it would lose what it acknowledged since.
+// primaryIsolated reports whether no replica has had a link to the primary for
+// Config.Isolation. It is always false if the primary alone acknowledges writes,
+// since replacing it would lose the writes acknowledged meanwhile.
 func (s *State) primaryIsolated(now time.Duration) bool {
-	if !s.cfg.ReplicaAck || s.othersAlive(now) < s.majority() || s.recentMoves(now) >= s.cfg.MaxMoves {
+	if !s.cfg.ReplicaAck || s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxMoves {
 		return false
 	}
 	for name, m := range s.members {
 		if name == s.primary {
 			continue
 		}
-		if !m.isolated || now-m.unlinked < s.cfg.Isolation {
+		if !m.isolated || now-m.unlinkedSince < s.cfg.Isolation {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *State) replace(now time.Duration, reason string) []Action {
+func (s *State) replacePrimary(now time.Duration, reason string) []Action {
 	s.suspect = s.primary
-	if s.avoid == s.primary && s.members[s.primary].hard == 0 {
+	if s.excluded == s.primary && s.members[s.primary].connFailures == 0 {
 		s.suspect = ""
 	}
-	dead := s.primary
-	s.former, s.primary = s.primary, ""
+	old := s.primary
+	s.formerPrimary, s.primary = s.primary, ""
 	actions := []Action{
 		Suspend{Reason: reason, Terminal: true},
-		Record{Kind: "primary-lost", Member: dead, Text: reason},
+		Record{Kind: "primary-lost", Member: old, Text: reason},
 	}
 	return append(actions, s.fence(now)...)
 }
 
-// setLeaving takes the list of members that get no new work. A primary on it
-// is drained and replaced by a replica that has caught up.
+// setLeaving replaces the set of members that get no new work. If the primary is
+// among them, it is drained and replaced by a replica that has caught up.
 func (s *State) setLeaving(now time.Duration, e Leave) []Action {
 	s.leaving = make(map[string]bool, len(e.Members))
 	for _, name := range e.Members {
 		s.leaving[name] = true
 	}
-	return s.drain(now)
+	return s.startDraining(now)
 }
 
-// drainSpacing is the least time between two attempts to move off a leaving
-// primary, for the case that no replica can follow it.
-const drainSpacing = 30 * time.Second
+// drainRetryInterval is the minimum time between two attempts to replace a leaving
+// primary. It matters if no replica can take over.
+const drainRetryInterval = 30 * time.Second
 
-// drain begins to empty a primary that is to leave.
-func (s *State) drain(now time.Duration) []Action {
+// startDraining stops new transactions on a leaving primary, unless all members
+// are leaving.
+func (s *State) startDraining(now time.Duration) []Action {
 	if s.phase != Serving || !s.leaving[s.primary] || len(s.leaving) == len(s.names) {
 		return nil
 	}
-	if s.lastDrain != 0 && now-s.lastDrain < drainSpacing {
+	if s.lastDrain != 0 && now-s.lastDrain < drainRetryInterval {
 		return nil
 	}
 	s.lastDrain = now
@@ -208,19 +213,21 @@
 }
 
 // advanceDraining replaces the leaving primary once its transactions have ended
-// and a replica holds its whole log, or when the bound is reached.
+// and a replica has its whole log, or after Config.DrainBound.
 func (s *State) advanceDraining(now time.Duration) []Action {
-	overdue := now-s.started > s.cfg.DrainBound
+	overdue := now-s.phaseStarted > s.cfg.DrainBound
 	if !overdue && !(s.drained && s.caughtUp()) {
 		return nil
 	}
-	s.avoid = s.primary
-	return s.replace(now, "the primary leaves")
+	s.excluded = s.primary
+	return s.replacePrimary(now, "the primary leaves")
 }
 
+// caughtUp reports whether a replica that is not leaving has the primary's whole
+// log. The primary must have answered since the drain began.
 func (s *State) caughtUp() bool {
 	p := s.members[s.primary]
-	if p.answered <= s.started {
+	if p.answeredAt <= s.phaseStarted {
 		return false
 	}
 	for name, m := range s.members {
