--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -10,16 +10,17 @@
 	"github.com/stackspindle/stackspindle/internal/upstream"
 )
 
-// retryHint is when a caller that found no primary should come back.
-const retryHint = 200 * time.Millisecond
+// noPrimaryRetryAfter is the retry delay advised to clients while there is no
+// primary.
+const noPrimaryRetryAfter = 200 * time.Millisecond
 
-// awaitServing returns the view once the instance serves the group. While a
-// take-over is under way here it waits; when the group is owned elsewhere, it
-// says so at once.
+// awaitServing returns the view once this instance serves the group with a valid
+// lease. It waits while this instance takes the group over, and returns a refusal
+// at once if the group is handed over or owned by another instance.
 func (g *Group) awaitServing(ctx context.Context, deadline time.Duration) (*view, error) {
 	for {
 		v := g.view.Load()
-		if v.moving || !v.serving && !v.claiming {
+		if v.handingOver || !v.serving && !v.claiming {
 			return nil, &refusal{kind: peerpb.Refusal_REFUSAL_NOT_OWNER, detail: "this instance does not own the group", owner: v.owner}
 		}
 		if v.serving && g.leaseLeft() > 0 {
@@ -37,16 +38,17 @@
 	}
 }
 
-// awaitRenewal waits for news while the lease has lapsed: work that could not be
-// acknowledged is not sent.
+// awaitRenewal waits briefly for the expired lease to be renewed. Requests are not
+// sent to a member meanwhile, because their results could not be acknowledged.
 func (g *Group) awaitRenewal(ctx context.Context, deadline time.Duration) error {
 	if g.opts.Now() < deadline && ctx.Err() == nil {
 		g.awaitProgress(ctx, g.progress.Load())
 		return nil
 	}
-	return &refusal{kind: peerpb.Refusal_REFUSAL_NO_PRIMARY, detail: "the owner does not reach a majority of the group", retryAfter: retryHint}
+	return &refusal{kind: peerpb.Refusal_REFUSAL_NO_PRIMARY, detail: "the owner does not reach a majority of the group", retryAfter: noPrimaryRetryAfter}
 }
 
+// awaitChange waits until the view is replaced.
 func (g *Group) awaitChange(ctx context.Context, v *view, deadline time.Duration) error {
 	timer := time.NewTimer(deadline - g.opts.Now())
 	defer timer.Stop()
@@ -56,11 +58,12 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return &refusal{kind: peerpb.Refusal_REFUSAL_NO_PRIMARY, detail: "the group has no primary", retryAfter: retryHint}
+	return &refusal{kind: peerpb.Refusal_REFUSAL_NO_PRIMARY, detail: "the group has no primary", retryAfter: noPrimaryRetryAfter}
 }
 
-// awaitWritable waits until a drained primary has been replaced. The error
-// ErrClosed makes the caller look at the new view.
+// awaitWritable waits until the view changes, for example because a draining
+// primary has been replaced. It then returns ErrClosed, so that the caller
+// retries with the new view.
 func (g *Group) awaitWritable(ctx context.Context, v *view, deadline time.Duration) error {
 	if err := g.awaitChange(ctx, v, deadline); err != nil {
 		return err
@@ -68,9 +71,10 @@
 	return upstream.ErrClosed
 }
 
-// pauseBeforeRetry keeps a request from spinning on a member that cannot be reached.
+// pauseBeforeRetry delays a retry, so that requests do not busy-loop on an
+// unreachable member.
 func (g *Group) pauseBeforeRetry(ctx context.Context, v *view) {
-	timer := time.NewTimer(dialRetry)
+	timer := time.NewTimer(dialRetryInterval)
 	defer timer.Stop()
 	select {
 	case <-v.changed:
@@ -79,24 +83,27 @@
 	}
 }
 
-const dialRetry = 20 * time.Millisecond
+const dialRetryInterval = 20 * time.Millisecond
 
-// current reports whether the view still holds.
-func (g *Group) current(v *view) bool {
+// isCurrent reports whether the instance still serves the group in the view's
+// term.
+func (g *Group) isCurrent(v *view) bool {
 	now := g.view.Load()
 	return now.term == v.term && now.serving
 }
 
-// required returns the position that a read of the session must see.
-func (g *Group) required(h *peerpb.Header) (group.Position, error) {
-	g.acks.Lock()
-	defer g.acks.Unlock()
+// requiredPosition returns the log position that a member must have reached to run
+// a read of the session: the session's floor, and the highest position that was
+// acknowledged before the permitted staleness.
+func (g *Group) requiredPosition(h *peerpb.Header) (group.Position, error) {
+	g.ackMu.Lock()
+	defer g.ackMu.Unlock()
 	if h.AcceptLoss {
 		g.floors.Accept(h.Session)
 		h.Floor = nil
 	}
-	brought := group.Position{Term: h.Floor.GetTerm(), Index: h.Floor.GetIndex()}
-	floor, err := g.floors.Floor(h.Session, brought)
+	ingressFloor := group.Position{Term: h.Floor.GetTerm(), Index: h.Floor.GetIndex()}
+	floor, err := g.floors.Floor(h.Session, ingressFloor)
 	if err != nil {
 		return group.Position{}, &refusal{kind: peerpb.Refusal_REFUSAL_LOST_WRITES, detail: err.Error()}
 	}
@@ -107,10 +114,10 @@
 	return group.Max(floor, g.acknowledgedAt(at)), nil
 }
 
-// acknowledgedAt returns a position that holds everything acknowledged up to a
-// time. The caller holds acks.
+// acknowledgedAt returns a position that includes all writes acknowledged up to a
+// time. The caller must hold ackMu.
 func (g *Group) acknowledgedAt(at time.Duration) group.Position {
-	for _, samples := range []*routing.Samples{g.fine, g.coarse} {
+	for _, samples := range []*routing.Samples{g.fineSamples, g.coarseSamples} {
 		oldest, ok := samples.Oldest()
 		if !ok || at < oldest {
 			continue
@@ -119,13 +126,14 @@
 			return p
 		}
 	}
-	if p, ok := g.coarse.RequiredAt(at); ok {
+	if p, ok := g.coarseSamples.RequiredAt(at); ok {
 		return p
 	}
 	return g.floors.Highest()
 }
 
-// openRead routes a read and takes a connection to the member chosen.
+// openRead chooses a member for a read and acquires a connection to it. It waits
+// while no member has reached the required position.
 func (s *Stream) openRead(ctx context.Context, required group.Position, deadline time.Duration) error {
 	started := s.group.opts.Now()
 	for {
@@ -133,11 +141,11 @@
 		decision := s.group.route(s.view, p, required, started, deadline)
 		switch decision.Choice {
 		case routing.Use:
-			return s.useForRead(ctx, decision, deadline)
+			return s.acquireForRead(ctx, decision, deadline)
 		case routing.Refuse:
-			return &refusal{kind: peerpb.Refusal_REFUSAL_DEADLINE, detail: decision.Reason, retryAfter: retryHint}
+			return &refusal{kind: peerpb.Refusal_REFUSAL_DEADLINE, detail: decision.Reason, retryAfter: noPrimaryRetryAfter}
 		}
-		if !s.group.current(s.view) {
+		if !s.group.isCurrent(s.view) {
 			return upstream.ErrClosed
 		}
 		s.group.pollReplicas(s.view, required)
@@ -148,16 +156,16 @@
 	}
 }
 
-func (s *Stream) useForRead(ctx context.Context, d routing.Decision, deadline time.Duration) error {
+func (s *Stream) acquireForRead(ctx context.Context, d routing.Decision, deadline time.Duration) error {
 	s.reason = d.Reason
 	if d.Fallback {
-		s.fallback = true
-		s.group.fallback.Add(1)
+		s.primaryRead = true
+		s.group.primaryReads.Add(1)
 	}
 	err := s.acquire(ctx, d.Member, false, deadline)
-	if err != nil && s.fallback {
-		s.fallback = false
-		s.group.fallback.Add(-1)
+	if err != nil && s.primaryRead {
+		s.primaryRead = false
+		s.group.primaryReads.Add(-1)
 	}
 	return err
 }
@@ -168,7 +176,7 @@
 		Members:  make([]routing.Member, 0, len(p.members)),
 		MaxWait:  g.opts.MaxWait,
 		Fallback: g.opts.Fallback,
-		OnPrim:   int(g.fallback.Load()),
+		OnPrim:   int(g.primaryReads.Load()),
 	}
 	for _, m := range p.members {
 		member := routing.Member{
@@ -178,7 +186,7 @@
 			Leaving:  m.leaving,
 			Position: m.position,
 			Capacity: g.spec.Connections,
-			Behind:   m.behind,
+			Behind:   m.lag,
 		}
 		if pool := v.pools[m.name]; pool != nil {
 			member.InFlight = pool.InUse() + pool.Waiting()
@@ -187,25 +195,26 @@
 	}
 	return routing.Route(snapshot, routing.Request{
 		Required: required,
-		Age:      g.age(now, required),
+		Age:      g.positionAge(now, required),
 		Waited:   now - started,
 		Left:     deadline - now,
 	})
 }
 
-// age returns how long ago a position was acknowledged. The fine record is exact
-// and short, the coarse one reaches further back.
-func (g *Group) age(now time.Duration, p group.Position) time.Duration {
-	g.acks.Lock()
-	defer g.acks.Unlock()
-	if age, ok := g.fine.Age(now, p); ok {
+// positionAge returns how long ago a position was acknowledged. The fine samples
+// are exact but cover a short time; the coarse samples reach further back.
+func (g *Group) positionAge(now time.Duration, p group.Position) time.Duration {
+	g.ackMu.Lock()
+	defer g.ackMu.Unlock()
+	if age, ok := g.fineSamples.Age(now, p); ok {
 		return age
 	}
-	age, _ := g.coarse.Age(now, p)
+	age, _ := g.coarseSamples.Age(now, p)
 	return age
 }
 
-// pollReplicas asks the replicas that do not hold the position for news.
+// pollReplicas requests the status of each replica that was last seen below the
+// position.
 func (g *Group) pollReplicas(v *view, required group.Position) {
 	for _, m := range g.progress.Load().members {
 		if m.name != v.primary && m.position.Less(required) {
@@ -214,11 +223,14 @@
 	}
 }
 
-// progressWait bounds a wait for news, so that the next poll is not missed.
-const progressWait = 2 * time.Millisecond
+// progressPollInterval is the longest wait for a progress update before the caller
+// checks again and polls the replicas.
+const progressPollInterval = 2 * time.Millisecond
 
+// awaitProgress waits until the snapshot is replaced, for at most
+// progressPollInterval.
 func (g *Group) awaitProgress(ctx context.Context, p *progress) {
-	timer := time.NewTimer(progressWait)
+	timer := time.NewTimer(progressPollInterval)
 	defer timer.Stop()
 	select {
 	case <-p.changed:
@@ -227,31 +239,32 @@
 	}
 }
 
-// ackWait bounds how long an acknowledgement is held back for a replica's
-// confirmation or for the renewal of the lease.
-const ackWait = 2 * time.Second
+// ackTimeout is how long an acknowledgement waits for replicas to confirm the
+// write, or for the lease to be renewed.
+const ackTimeout = 2 * time.Second
 
-// acknowledge notes a committed write. Where the group asks for it, it first
-// waits until a replica holds the write.
+// acknowledge raises the session's floor to a committed write. If the group is
+// configured with ReplicaAck, it first waits until enough replicas have the write.
 func (g *Group) acknowledge(ctx context.Context, v *view, session string, p group.Position) error {
 	if g.spec.ReplicaAck {
-		if err := g.awaitReplica(ctx, v, p); err != nil {
+		if err := g.awaitConfirmations(ctx, v, p); err != nil {
 			return err
 		}
 	}
-	g.acks.Lock()
-	defer g.acks.Unlock()
+	g.ackMu.Lock()
+	defer g.ackMu.Unlock()
 	g.floors.Acknowledge(session, p)
 	highest, now := g.floors.Highest(), g.opts.Now()
-	g.fine.Add(now, highest)
-	g.coarse.Add(now, highest)
+	g.fineSamples.Add(now, highest)
+	g.coarseSamples.Add(now, highest)
 	return nil
 }
 
-// confirmations counts the replicas that hold a position. With half the members,
-// rounded down, and the primary, every majority that a successor fences holds it
-// too: one replica of three members, two of five.
-func confirmations(p *progress, v *view, position group.Position) int {
+// countConfirmations returns the number of healthy replicas that have reached a
+// position. If half of the members, rounded down, have it besides the primary
+// (one replica of three members, two of five), then every majority that a
+// successor fences includes a member that has it.
+func countConfirmations(p *progress, v *view, position group.Position) int {
 	n := 0
 	for _, m := range p.members {
 		if m.name != v.primary && m.healthy && m.position.AtLeast(position) {
@@ -261,34 +274,36 @@
 	return n
 }
 
-func (g *Group) awaitReplica(ctx context.Context, v *view, p group.Position) error {
-	deadline := g.opts.Now() + ackWait
+// awaitConfirmations waits until enough replicas have a write for it to survive a
+// failover, see countConfirmations.
+func (g *Group) awaitConfirmations(ctx context.Context, v *view, p group.Position) error {
+	deadline := g.opts.Now() + ackTimeout
 	for {
 		snapshot := g.progress.Load()
-		if confirmations(snapshot, v, p) >= len(g.spec.Members)/2 {
+		if countConfirmations(snapshot, v, p) >= len(g.spec.Members)/2 {
 			return nil
 		}
-		if !g.current(v) || g.opts.Now() > deadline || ctx.Err() != nil {
-			return unknown("no replica confirmed the write")
+		if !g.isCurrent(v) || g.opts.Now() > deadline || ctx.Err() != nil {
+			return unknownOutcome("no replica confirmed the write")
 		}
 		g.pollReplicas(v, p)
 		g.awaitProgress(ctx, snapshot)
 	}
 }
 
-// awaitLease returns once the lease of the view's term covers this moment. A
-// lease that has lapsed may still be renewed in the same term.
+// awaitLease returns once the lease in the view's term is valid. An expired lease
+// can still be renewed in the same term, so it waits up to ackTimeout for that.
 func (g *Group) awaitLease(ctx context.Context, v *view) error {
-	deadline := g.opts.Now() + ackWait
+	deadline := g.opts.Now() + ackTimeout
 	for {
-		if !g.current(v) {
-			return unknown("the primary was replaced before the answer could be passed on")
+		if !g.isCurrent(v) {
+			return unknownOutcome("the primary was replaced before the answer could be passed on")
 		}
 		if g.leaseLeft() > 0 {
 			return nil
 		}
 		if g.opts.Now() > deadline || ctx.Err() != nil {
-			return unknown("the instance may not answer for the group any more")
+			return unknownOutcome("the instance may not answer for the group any more")
 		}
 		g.awaitProgress(ctx, g.progress.Load())
 	}
--- a/internal/owner/explain.go
+++ b/internal/owner/explain.go
@@ -8,16 +8,16 @@
 	"github.com/stackspindle/stackspindle/internal/routing"
 )
 
-// Choice tells which member would serve a statement now.
+// Choice is the routing decision for a statement.
 type Choice struct {
 	Primary  string
 	Member   string
 	Reason   string
-	Floor    string // what the session must see
-	Required string // position the member must hold
+	Floor    string // position that the session's reads must at least see
+	Required string // position that the member must have reached
 }
 
-// Explain routes a statement without running it.
+// Explain returns how a statement would be routed now, without running it.
 func (g *Group) Explain(session string, read bool, staleness time.Duration) Choice {
 	v := g.view.Load()
 	choice := Choice{Primary: v.primary}
@@ -26,17 +26,17 @@
 		return choice
 	}
 	header := &peerpb.Header{Session: session, StalenessUs: staleness.Microseconds()}
-	required, err := g.required(header)
+	required, err := g.requiredPosition(header)
 	if err != nil {
 		choice.Reason = err.Error()
 		return choice
 	}
 	choice.Required = required.String()
-	g.acks.Lock()
+	g.ackMu.Lock()
 	if floor, err := g.floors.Floor(session, group.Position{}); err == nil {
 		choice.Floor = floor.String()
 	}
-	g.acks.Unlock()
+	g.ackMu.Unlock()
 	if !read {
 		choice.Member, choice.Reason = v.primary, "writes and open transactions run on the primary"
 		return choice
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -1,6 +1,11 @@
-// Package owner runs the database groups that an instance owns. For each group
-// one goroutine holds the control state (package failover) and publishes an
-// immutable view of it; the goroutines of the traffic only read that view.
+// Package owner runs the database groups of an instance: it drives the failover
+// state machine of each group, holds the connection pools to the members of the
+// groups that the instance owns, and runs transactions on them.
+//
+// One control goroutine per group drives the state machine (package failover) and
+// publishes an immutable view of it. Goroutines that serve requests only read
+// that view. An answer leaves the instance only while its lease on the group, in
+// the term in which the request ran, is valid.
 package owner
 
 import (
@@ -26,20 +31,20 @@
 	Leaving    bool
 }
 
-// Spec is what operators declare of a group.
+// Spec is the operators' declaration of a group.
 type Spec struct {
 	Name         string
 	Database     string
 	User         string
 	Password     string
 	Members      []Member
-	Connections  int // to each member, the control connection not counted
-	WriteReserve int // of them, kept for writes on the primary
-	MaxQueue     int // waiting requests of one service
+	Connections  int // per member, without the control connection
+	WriteReserve int // of Connections, reserved for writes on the primary
+	MaxQueue     int // queued requests of one service
 	ReplicaAck   bool
 }
 
-// Step names the places at which Options.Pause is called.
+// Step identifies a place in the code at which Options.Pause is called.
 type Step string
 
 // The steps of a statement and of the control loop.
@@ -50,49 +55,49 @@
 	StepReply    Step = "before-reply"
 )
 
-// Options are what a group needs from its instance.
+// Options holds the settings and callbacks that a group gets from its instance.
 type Options struct {
 	Self     string
 	Failover failover.Config
-	Now      func() time.Duration // monotonic
+	Now      func() time.Duration // monotonic clock
 	Record   func(kind, member string, term uint64, text string)
-	Gap      func(time.Duration) // told how long the group was without a primary here
-	Pause    func(Step)          // fault hook of the tests, nil: none
+	Gap      func(time.Duration) // called with the time that the group had no primary here
+	Pause    func(Step)          // fault injection hook for tests, may be nil
 	MaxWait  time.Duration
-	Fallback int // strict reads that may run on the primary at once, 0: half of Connections
-	Floors   int // bound on session floors
+	Fallback int // limit of concurrent strict reads on the primary, 0: half of Connections
+	Floors   int // maximum number of session floors
 }
 
-// Defaults of Options.
+// Default values for Options.
 const (
 	DefaultMaxWait = 60 * time.Millisecond
 	DefaultFloors  = 100_000
 )
 
-// view is an immutable picture of the control state.
+// view is an immutable snapshot of the control state.
 type view struct {
-	term     uint64
-	serving  bool // the instance owns the group and it has a primary
-	writable bool // false while a leaving primary is drained
-	claiming bool // a take-over is under way here
-	moving   bool // the group is being handed over
-	primary  string
-	owner    string // somebody else who owns the group, when known
-	pools    map[string]*upstream.Pool
-	changed  chan struct{} // closed when the view is replaced
+	term        uint64
+	serving     bool // the instance owns the group and it has a primary
+	writable    bool // false while a leaving primary is drained
+	claiming    bool // this instance is taking the group over
+	handingOver bool // the group is being handed over
+	primary     string
+	owner       string // another instance that owns the group, or ""
+	pools       map[string]*upstream.Pool
+	changed     chan struct{} // closed when the view is replaced
 }
 
-// memberState is what the traffic needs to know of one member.
+// memberState is the state of one member as used for routing.
 type memberState struct {
 	name     string
 	primary  bool
 	healthy  bool
 	leaving  bool
 	position group.Position
-	behind   time.Duration
+	lag      time.Duration
 }
 
-// progress is a snapshot of the members' positions.
+// progress is an immutable snapshot of the members' log positions.
 type progress struct {
 	members []memberState
 	changed chan struct{} // closed when the snapshot is replaced
@@ -103,34 +108,35 @@
 	opts Options
 	spec Spec
 
-	view     atomic.Pointer[view]
-	progress atomic.Pointer[progress]
-	leaseEnd atomic.Int64
-	shed     atomic.Int64 // requests refused for want of room
-	active   activity
-	fallback atomic.Int64 // strict reads on the primary
+	view         atomic.Pointer[view]
+	progress     atomic.Pointer[progress]
+	leaseEnd     atomic.Int64
+	rejected     atomic.Int64 // requests rejected because a queue was full or their deadline would pass
+	active       activity
+	primaryReads atomic.Int64 // strict reads that run on the primary
 
 	events  chan failover.Event
 	workers map[string]*worker
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 
-	// acks guards what follows: it is taken by the traffic for moments only.
-	acks    sync.Mutex
-	floors  *session.Floors
-	fine    *routing.Samples
-	coarse  *routing.Samples
-	keysFor uint64 // term in which the request key table is known to exist
-
-	// state belongs to the control goroutine.
-	state    *failover.State
-	lagging  map[string]time.Duration
-	lastGC   time.Duration
-	gapSince time.Duration // since when there is no primary, 0: there is one
-	overload overload
+	// ackMu guards the fields below. Request goroutines take it, so it must only be
+	// held briefly.
+	ackMu         sync.Mutex
+	floors        *session.Floors
+	fineSamples   *routing.Samples
+	coarseSamples *routing.Samples
+	keyTableTerm  uint64 // term in which the table of request keys was created or found
+
+	// The fields below are used by the control goroutine only.
+	state          *failover.State
+	lag            map[string]time.Duration
+	lastFloorSweep time.Duration
+	outageSince    time.Duration // since when the group has no primary, 0 if it has one
+	overload       overload
 }
 
-// New returns a group that is not running yet.
+// New returns a group. Call Start to run it.
 func New(opts Options, spec Spec) *Group {
 	if opts.Pause == nil {
 		opts.Pause = func(Step) {}
@@ -148,15 +154,15 @@
 		names = append(names, m.Name)
 	}
 	g := &Group{
-		opts:    opts,
-		spec:    spec,
-		events:  make(chan failover.Event, eventBuffer),
-		workers: make(map[string]*worker),
-		floors:  session.New(opts.Floors),
-		fine:    routing.NewSamples(sampleCount, fineSpacing),
-		coarse:  routing.NewSamples(sampleCount, coarseSpacing),
-		state:   failover.New(cfg, opts.Self, names),
-		lagging: make(map[string]time.Duration),
+		opts:          opts,
+		spec:          spec,
+		events:        make(chan failover.Event, eventBuffer),
+		workers:       make(map[string]*worker),
+		floors:        session.New(opts.Floors),
+		fineSamples:   routing.NewSamples(sampleCount, fineSpacing),
+		coarseSamples: routing.NewSamples(sampleCount, coarseSpacing),
+		state:         failover.New(cfg, opts.Self, names),
+		lag:           make(map[string]time.Duration),
 	}
 	g.view.Store(&view{changed: make(chan struct{})})
 	g.progress.Store(&progress{changed: make(chan struct{})})
@@ -164,14 +170,14 @@
 }
 
 const (
-	eventBuffer   = 256
-	sampleCount   = 512
-	fineSpacing   = time.Millisecond
-	coarseSpacing = 200 * time.Millisecond
-	floorSweep    = 200 * time.Millisecond
+	eventBuffer        = 256
+	sampleCount        = 512
+	fineSpacing        = time.Millisecond
+	coarseSpacing      = 200 * time.Millisecond
+	floorSweepInterval = 200 * time.Millisecond
 )
 
-// Start runs the control goroutine and one goroutine a member.
+// Start starts the control goroutine and one worker goroutine per member.
 func (g *Group) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
@@ -185,7 +191,7 @@
 	go g.run(ctx)
 }
 
-// Stop ends all work on the group without handing it over.
+// Stop ends all work on the group without handing it over to another instance.
 func (g *Group) Stop() {
 	g.cancel()
 	g.done.Wait()
@@ -195,23 +201,24 @@
 // Name returns the name of the group.
 func (g *Group) Name() string { return g.spec.Name }
 
-// Claim asks for the group to be taken over. Patience is how much longer than
-// the first candidate this one lets the former owner be silent.
-func (g *Group) Claim(reason string, patience time.Duration) {
-	g.post(failover.Claim{Reason: reason, Patience: patience})
+// Claim requests that this instance take the group over. The extra timeout is
+// added to the time without contact after which the former owner counts as
+// failed; candidates use different ones so that they do not claim at once.
+func (g *Group) Claim(reason string, extraTimeout time.Duration) {
+	g.post(failover.Claim{Reason: reason, Patience: extraTimeout})
 }
 
-// SetLeaving tells which members are to get no new work.
+// SetLeaving replaces the set of members that get no new work.
 func (g *Group) SetLeaving(names []string) { g.post(failover.Leave{Members: names}) }
 
 func (g *Group) post(ev failover.Event) {
 	select {
 	case g.events <- ev:
-	default: // the control goroutine is far behind; what is lost is repeated by ticks
+	default: // queue full: drop the event; later ticks repeat what it would have caused
 	}
 }
 
-// Status tells what the instance knows about the group.
+// Status is the state of a group as known to this instance.
 type Status struct {
 	Term      uint64
 	Serving   bool
@@ -238,7 +245,7 @@
 	return time.Duration(g.leaseEnd.Load()) - g.opts.Now()
 }
 
-// run is the control goroutine.
+// run is the control loop.
 func (g *Group) run(ctx context.Context) {
 	defer g.done.Done()
 	ticker := time.NewTicker(g.opts.Failover.Heartbeat / ticksPerHeartbeat)
@@ -250,7 +257,7 @@
 			return
 		case ev = <-g.events:
 		case <-ticker.C:
-			ev = failover.Tick{Acked: g.highest()}
+			ev = failover.Tick{Acked: g.sampleHighest()}
 		}
 		g.opts.Pause(StepControl)
 		g.step(ctx, ev)
@@ -259,18 +266,20 @@
 
 const ticksPerHeartbeat = 4
 
-func (g *Group) highest() group.Position {
-	g.acks.Lock()
-	defer g.acks.Unlock()
+// sampleHighest returns the highest acknowledged position and samples it for
+// measuring replica lag.
+func (g *Group) sampleHighest() group.Position {
+	g.ackMu.Lock()
+	defer g.ackMu.Unlock()
 	p := g.floors.Highest()
 	now := g.opts.Now()
-	g.fine.Add(now, p)
-	g.coarse.Add(now, p)
+	g.fineSamples.Add(now, p)
+	g.coarseSamples.Add(now, p)
 	return p
 }
 
-// step applies one event and carries the actions out. The order matters: a
-// suspension closes the pools before anything else is tried.
+// step applies one event and carries out the actions in order. The order matters:
+// a Suspend action closes the pools before the actions after it are tried.
 func (g *Group) step(ctx context.Context, ev failover.Event) {
 	before := g.state.Phase()
 	for _, action := range g.state.Step(g.opts.Now(), ev) {
@@ -278,22 +287,22 @@
 	}
 	g.leaseEnd.Store(int64(g.state.LeaseEnd()))
 	if reply, ok := ev.(failover.Reply); ok && reply.Failure == failover.FailNone {
-		g.noteLag(reply)
+		g.recordLag(reply)
 	}
 	if _, ok := ev.(failover.Tick); !ok || before != g.state.Phase() {
 		g.publishProgress()
 	}
 	g.sweepFloors()
-	g.markClaiming()
-	g.emptyLeaving()
-	if kind, text := g.overload.step(g.opts.Now(), g.shed.Load()); kind != "" {
+	g.publishClaiming()
+	g.drainLeaving()
+	if kind, text := g.overload.observe(g.opts.Now(), g.rejected.Load()); kind != "" {
 		g.opts.Record(kind, "", g.state.Term(), text)
 	}
 }
 
-// emptyLeaving closes idle connections to members that leave and tells the state
-// machine when a leaving primary has no transaction any more.
-func (g *Group) emptyLeaving() {
+// drainLeaving closes idle connections to leaving members and reports to the
+// state machine when the last transaction on a leaving primary has ended.
+func (g *Group) drainLeaving() {
 	v := g.view.Load()
 	for name, p := range v.pools {
 		if g.state.Leaving(name) && name != v.primary {
@@ -317,24 +326,24 @@
 	case failover.Suspend:
 		g.suspend(a)
 	case failover.Resigned:
-		g.gapSince = 0 // somebody else's from now on
+		g.outageSince = 0 // the next owner ends the outage, so it is not reported here
 		g.publish(&view{owner: a.Owner})
 	case failover.Record:
 		g.opts.Record(a.Kind, a.Member, g.state.Term(), a.Text)
 	}
 }
 
-// serve opens pools bound to the new term and publishes the primary.
+// serve creates connection pools bound to the new term and publishes the primary.
 func (g *Group) serve(ctx context.Context, a failover.Serve) {
-	g.acks.Lock()
+	g.ackMu.Lock()
 	g.floors.Learn(a.History)
 	g.floors.Promoted(a.Term, a.Base, a.Claimed)
-	g.fine.Add(g.opts.Now(), g.floors.Highest())
-	g.coarse.Add(g.opts.Now(), g.floors.Highest())
-	g.acks.Unlock()
-	if g.gapSince != 0 {
-		g.opts.Gap(g.opts.Now() - g.gapSince)
-		g.gapSince = 0
+	g.fineSamples.Add(g.opts.Now(), g.floors.Highest())
+	g.coarseSamples.Add(g.opts.Now(), g.floors.Highest())
+	g.ackMu.Unlock()
+	if g.outageSince != 0 {
+		g.opts.Gap(g.opts.Now() - g.outageSince)
+		g.outageSince = 0
 	}
 	pools := make(map[string]*upstream.Pool, len(g.spec.Members))
 	for _, m := range g.spec.Members {
@@ -375,6 +384,8 @@
 	}
 }
 
+// suspend stops new work on the primary. If the suspension is terminal, it also
+// ends the lease and closes the pools.
 func (g *Group) suspend(a failover.Suspend) {
 	old := g.view.Load()
 	next := *old
@@ -383,7 +394,7 @@
 		next.serving = false
 		next.pools = nil
 		g.leaseEnd.Store(0)
-		g.gapSince = g.opts.Now()
+		g.outageSince = g.opts.Now()
 	}
 	g.publish(&next)
 	if !a.Terminal {
@@ -394,7 +405,8 @@
 	}
 }
 
-// publish replaces the view and wakes all who wait for a change.
+// publish replaces the view, wakes the goroutines that wait for a change and
+// closes the pools that are no longer used.
 func (g *Group) publish(v *view) {
 	v.changed = make(chan struct{})
 	old := g.view.Swap(v)
@@ -406,8 +418,9 @@
 	}
 }
 
-// markClaiming lets requests wait here while a take-over is under way.
-func (g *Group) markClaiming() {
+// publishClaiming updates view.claiming, so that requests wait here for the result
+// of a take-over.
+func (g *Group) publishClaiming() {
 	phase := g.state.Phase()
 	claiming := phase != failover.Standby && phase != failover.Serving && phase != failover.Draining
 	old := g.view.Load()
@@ -419,11 +432,11 @@
 	g.publish(&next)
 }
 
-// noteLag measures how far behind a replica was when it answered.
-func (g *Group) noteLag(r failover.Reply) {
-	g.acks.Lock()
-	defer g.acks.Unlock()
-	g.lagging[r.Member] = g.fine.Behind(r.Sent, r.Status.Position)
+// recordLag records the lag that a replica had when the request was sent.
+func (g *Group) recordLag(r failover.Reply) {
+	g.ackMu.Lock()
+	defer g.ackMu.Unlock()
+	g.lag[r.Member] = g.fineSamples.Behind(r.Sent, r.Status.Position)
 }
 
 // publishProgress replaces the snapshot of the members' positions.
@@ -440,34 +453,34 @@
 			healthy:  serving && status.Term == g.state.Term() && now-answered <= g.opts.Failover.Silence,
 			leaving:  g.state.Leaving(m.Name),
 			position: status.Position,
-			behind:   g.lagging[m.Name],
+			lag:      g.lag[m.Name],
 		})
 	}
 	old := g.progress.Swap(next)
 	close(old.changed)
 }
 
-// sweepFloors drops the floors that the replicas in service have passed.
+// sweepFloors drops the session floors that all healthy replicas have reached.
 func (g *Group) sweepFloors() {
 	now := g.opts.Now()
-	if now-g.lastGC < floorSweep {
+	if now-g.lastFloorSweep < floorSweepInterval {
 		return
 	}
-	g.lastGC = now
-	var passed group.Position
+	g.lastFloorSweep = now
+	var reached group.Position
 	found := false
 	for _, m := range g.progress.Load().members {
 		if m.primary || !m.healthy || m.leaving {
 			continue
 		}
-		if !found || m.position.Less(passed) {
-			passed, found = m.position, true
+		if !found || m.position.Less(reached) {
+			reached, found = m.position, true
 		}
 	}
 	if !found {
 		return
 	}
-	g.acks.Lock()
-	g.floors.Passed(passed)
-	g.acks.Unlock()
+	g.ackMu.Lock()
+	g.floors.Passed(reached)
+	g.ackMu.Unlock()
 }
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -1,27 +1,27 @@
 package owner
 
-// PoolLoad is the use of one member's connections.
+// PoolLoad is the usage of the connection pool of one member.
 type PoolLoad struct {
 	InUse, Waiting, Open int
 }
 
-// Load is what the metrics tell about a group.
+// Load holds the values of a group's metrics.
 type Load struct {
 	Term    uint64
 	Serving bool
-	Floors  int // sessions with a floor of their own
+	Floors  int // number of sessions that have their own floor
 	Pools   map[string]PoolLoad
 }
 
-// Load returns the current load.
+// Load returns the current values.
 func (g *Group) Load() Load {
 	v := g.view.Load()
 	l := Load{Term: v.term, Serving: v.serving, Pools: make(map[string]PoolLoad, len(v.pools))}
 	for name, p := range v.pools {
 		l.Pools[name] = PoolLoad{InUse: p.InUse(), Waiting: p.Waiting(), Open: p.Open()}
 	}
-	g.acks.Lock()
+	g.ackMu.Lock()
 	l.Floors = g.floors.Len()
-	g.acks.Unlock()
+	g.ackMu.Unlock()
 	return l
 }
--- a/internal/owner/overload.go
+++ b/internal/owner/overload.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// overload notices when requests begin and cease to be refused for want of room.
+// overload detects the start and end of periods in which requests are refused
+// because queues are full or deadlines would pass.
 type overload struct {
-	begun   time.Duration // 0: there is none
-	last    time.Duration // when the last refusal was noticed
-	counted int64         // refusals seen so far
-	atBegin int64         // refusals before it began
+	startedAt      time.Duration // 0: no overload
+	lastRefusalAt  time.Duration // when the last refusal was observed
+	refusals       int64         // total refusals at the last observation
+	refusalsBefore int64         // total refusals before the overload started
 }
 
-// overloadEnds is how long nothing must have been refused.
-const overloadEnds = 5 * time.Second
+// overloadQuietPeriod is the time without refusals after which an overload ends.
+const overloadQuietPeriod = 5 * time.Second
 
-// step takes the number of refusals so far. It returns the kind and text of an
-// event for the time line when an overload has begun or ended.
-func (o *overload) step(now time.Duration, refused int64) (kind, text string) {
-	before := o.counted
+// observe takes the total number of refusals. It returns the kind and text of an
+// event for the time line if an overload has started or ended, else "".
+func (o *overload) observe(now time.Duration, refused int64) (kind, text string) {
+	before := o.refusals
 	grown := refused > before
-	o.counted = refused
+	o.refusals = refused
 	switch {
-	case grown && o.begun == 0:
-		o.begun, o.last, o.atBegin = now, now, before
+	case grown && o.startedAt == 0:
+		o.startedAt, o.lastRefusalAt, o.refusalsBefore = now, now, before
 		return "overload-begun", "requests are refused for want of room"
 	case grown:
-		o.last = now
-	case o.begun != 0 && now-o.last >= overloadEnds:
-		text = fmt.Sprintf("%d requests were refused in %s", refused-o.atBegin, (o.last - o.begun).Round(time.Millisecond))
-		o.begun = 0
+		o.lastRefusalAt = now
+	case o.startedAt != 0 && now-o.lastRefusalAt >= overloadQuietPeriod:
+		text = fmt.Sprintf("%d requests were refused in %s", refused-o.refusalsBefore, (o.lastRefusalAt - o.startedAt).Round(time.Millisecond))
+		o.startedAt = 0
 		return "overload-ended", text
 	}
 	return "", ""
--- a/internal/owner/overload_test.go
+++ b/internal/owner/overload_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestOverloadBeginsAndEndsOnce(t *testing.T) {
+func TestOverloadRecordedOncePerEpisode(t *testing.T) {
 	var o overload
 	var kinds []string
 	refused := int64(0)
@@ -15,7 +15,7 @@
 		if now > 5*time.Second && now < 9*time.Second {
 			refused += 3
 		}
-		if kind, text := o.step(now, refused); kind != "" {
+		if kind, text := o.observe(now, refused); kind != "" {
 			kinds = append(kinds, kind+": "+text)
 		}
 	}
--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -13,20 +13,21 @@
 	"github.com/stackspindle/stackspindle/internal/upstream"
 )
 
-// Stream runs the batches of one caller's transaction, then of the next.
-// Handle and Close are called by one goroutine; Cancel by any.
+// Stream runs the transactions of one client, one after the other, batch by
+// batch. Handle and Close must be called by one goroutine; Cancel and Abort are
+// safe for concurrent use.
 type Stream struct {
-	group    *Group
-	view     *view
-	header   *peerpb.Header
-	lease    *upstream.Lease
-	fallback bool // the lease counts as a strict read on the primary
-	wrote    bool // the transaction may have written
-	member   string
-	reason   string
-	journal  *journal // of a transaction with a request key
-	received time.Duration
-	epoch    int // of the transaction, see activity
+	group       *Group
+	view        *view
+	header      *peerpb.Header
+	lease       *upstream.Lease
+	primaryRead bool // the lease counts as a strict read on the primary
+	wrote       bool // the transaction may have written
+	member      string
+	reason      string
+	journal     *journal      // set while a transaction with a request key runs
+	received    time.Duration // when the current batch was received
+	epoch       int           // epoch of the transaction, see activity
 
 	mu       sync.Mutex // guards inFlight
 	inFlight *upstream.Conn
@@ -37,7 +38,7 @@
 	return &Stream{group: g}
 }
 
-// refusal is an error whose meaning the caller is told.
+// refusal is an error whose kind, detail and retry delay are sent to the client.
 type refusal struct {
 	kind       peerpb.Refusal
 	detail     string
@@ -47,11 +48,11 @@
 
 func (r *refusal) Error() string { return r.detail }
 
-// Send passes a reply on. The reply's bytes are not kept afterwards.
+// Send passes a reply on. It must not retain the reply's bytes.
 type Send = func(*peerpb.RunReply) error
 
-// Handle runs one batch. All that goes wrong with the batch is told in the last
-// reply; an error means that the reply could not be sent.
+// Handle runs one batch. Failures of the batch are reported in the last reply;
+// the returned error means that a reply could not be sent.
 func (s *Stream) Handle(ctx context.Context, req *peerpb.RunRequest, send Send) error {
 	s.received = s.group.opts.Now()
 	if req.Abandon {
@@ -65,7 +66,7 @@
 	return send(reply)
 }
 
-// refuse ends the transaction and says why.
+// refuse ends the transaction and returns a reply with the reason.
 func (s *Stream) refuse(err error) *peerpb.RunReply {
 	s.Close()
 	r := &refusal{kind: peerpb.Refusal_REFUSAL_UPSTREAM, detail: err.Error()}
@@ -85,7 +86,7 @@
 	first := s.lease == nil && s.journal == nil
 	if first {
 		if req.Header == nil {
-			return nil, unknown("the transaction is gone")
+			return nil, unknownOutcome("the transaction is gone")
 		}
 		s.header = req.Header
 		if err := s.open(ctx, req); err != nil {
@@ -98,10 +99,10 @@
 	return s.runBatch(ctx, req, send)
 }
 
-// open chooses a member and takes a connection to it.
+// open chooses a member and acquires a connection to it.
 func (s *Stream) open(ctx context.Context, req *peerpb.RunRequest) error {
 	deadline := s.received + time.Duration(s.header.TimeoutUs)*time.Microsecond
-	s.wrote, s.fallback = false, false
+	s.wrote, s.primaryRead = false, false
 	s.epoch = s.group.active.begin()
 	err := s.openUntil(ctx, req, deadline)
 	if s.lease == nil {
@@ -110,8 +111,8 @@
 	return err
 }
 
-// openUntil tries until a connection is leased, the deadline passes, or the
-// request is refused for another reason.
+// openUntil retries until it has acquired a connection, the deadline has passed,
+// or the request is refused for another reason.
 func (s *Stream) openUntil(ctx context.Context, req *peerpb.RunRequest, deadline time.Duration) error {
 	for {
 		v, err := s.group.awaitServing(ctx, deadline)
@@ -119,7 +120,7 @@
 			return err
 		}
 		s.view = v
-		required, err := s.group.required(s.header)
+		required, err := s.group.requiredPosition(s.header)
 		if err != nil {
 			return err
 		}
@@ -144,6 +145,8 @@
 	return s.acquire(ctx, s.view.primary, true, deadline)
 }
 
+// acquire takes a connection from the member's pool and applies the session's
+// settings to it.
 func (s *Stream) acquire(ctx context.Context, member string, write bool, deadline time.Duration) error {
 	lease, err := s.view.pools[member].Acquire(ctx, pool.Request{
 		Service:  s.header.Service,
@@ -168,10 +171,10 @@
 	retry := s.view.pools[member].RetryAfter()
 	switch {
 	case errors.Is(err, upstream.ErrQueueFull):
-		s.group.shed.Add(1)
+		s.group.rejected.Add(1)
 		return &refusal{kind: peerpb.Refusal_REFUSAL_QUEUE_FULL, detail: err.Error(), retryAfter: retry}
 	case errors.Is(err, upstream.ErrDeadline):
-		s.group.shed.Add(1)
+		s.group.rejected.Add(1)
 		return &refusal{kind: peerpb.Refusal_REFUSAL_DEADLINE, detail: err.Error(), retryAfter: retry}
 	}
 	return err
@@ -188,11 +191,14 @@
 	return m
 }
 
-func unknown(detail string) error {
+// unknownOutcome returns a refusal for a request that may or may not have taken
+// effect.
+func unknownOutcome(detail string) error {
 	return &refusal{kind: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, detail: detail}
 }
 
-// runBatch runs a batch on the leased connection and settles its answer.
+// runBatch runs a batch on the leased connection and decides whether its answer
+// may be passed on.
 func (s *Stream) runBatch(ctx context.Context, req *peerpb.RunRequest, send Send) (*peerpb.RunReply, error) {
 	result, err := s.execute(req, func(wire []byte) error {
 		return send(&peerpb.RunReply{Wire: wire})
@@ -200,7 +206,7 @@
 	if err != nil {
 		return nil, err
 	}
-	done, err := s.settle(ctx, req, result)
+	done, err := s.finishBatch(ctx, req, result)
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +226,7 @@
 	s.setInFlight(conn)
 	defer s.setInFlight(nil)
 	s.group.opts.Pause(StepSend)
-	if !s.group.current(s.view) {
+	if !s.group.isCurrent(s.view) {
 		return upstream.Result{}, &refusal{kind: peerpb.Refusal_REFUSAL_NO_PRIMARY, detail: "the primary was replaced before the statement was sent"}
 	}
 	result, err := conn.Run(batchOf(req, s.wrote && req.EndsTransaction), emit)
@@ -229,8 +235,8 @@
 		return result, &refusal{kind: peerpb.Refusal_REFUSAL_UPSTREAM, detail: err.Error()}
 	}
 	if err != nil {
-		s.group.workers[s.member].poll(s.view.term) // is the member still there?
-		return result, unknown(err.Error())
+		s.group.workers[s.member].poll(s.view.term) // checks whether the member still answers
+		return result, unknownOutcome(err.Error())
 	}
 	return result, nil
 }
@@ -243,22 +249,22 @@
 	return b
 }
 
-// settle decides whether the answer may be passed on. When the transaction has
-// ended it notes what the session must see and returns the connection.
-func (s *Stream) settle(ctx context.Context, req *peerpb.RunRequest, result upstream.Result) (*peerpb.Done, error) {
+// finishBatch decides whether the answer may be passed on. If the transaction has
+// ended, it also raises the session's floor and releases the connection.
+func (s *Stream) finishBatch(ctx context.Context, req *peerpb.RunRequest, result upstream.Result) (*peerpb.Done, error) {
 	status := s.lease.Conn.TxStatus()
 	if !s.lease.Conn.Synced() {
-		status = 'T' // more of the same request follows
+		status = 'T' // the client has not sent Sync yet: more of the batch follows
 	}
 	done := &peerpb.Done{TxStatus: uint32(status), Member: s.member, Reason: s.reason, Failed: result.Failed, Primary: s.member == s.view.primary}
 	if status != 'I' {
-		return done, s.admitAnswer(ctx, done)
+		return done, s.confirmLease(ctx, done)
 	}
 	var err error
 	if s.wrote && s.member == s.view.primary && (req.EndsTransaction || !result.Failed) {
-		err = s.admitCommit(ctx, done, result)
+		err = s.acknowledgeCommit(ctx, done, result)
 	} else {
-		err = s.admitAnswer(ctx, done)
+		err = s.confirmLease(ctx, done)
 	}
 	if err != nil {
 		return nil, err
@@ -267,9 +273,9 @@
 	return done, nil
 }
 
-// admitCommit notes what the session must see from now on and checks that the
-// commit may be acknowledged.
-func (s *Stream) admitCommit(ctx context.Context, done *peerpb.Done, result upstream.Result) error {
+// acknowledgeCommit raises the session's floor to the position of the commit and
+// waits until the commit may be acknowledged.
+func (s *Stream) acknowledgeCommit(ctx context.Context, done *peerpb.Done, result upstream.Result) error {
 	position, err := s.position(result)
 	if err != nil {
 		return err
@@ -278,23 +284,24 @@
 		return err
 	}
 	done.Position = &peerpb.Position{Term: position.Term, Index: position.Index}
-	return s.admitAnswer(ctx, done)
+	return s.confirmLease(ctx, done)
 }
 
-// position returns the log position that holds the transaction.
+// position returns a log position that includes the transaction.
 func (s *Stream) position(result upstream.Result) (group.Position, error) {
 	if !result.Position.IsZero() {
 		return result.Position, nil
 	}
 	p, err := s.lease.Conn.Position()
 	if err != nil {
-		return group.Position{}, unknown(err.Error())
+		return group.Position{}, unknownOutcome(err.Error())
 	}
 	return p, nil
 }
 
-// admitAnswer checks the lease immediately before the answer leaves.
-func (s *Stream) admitAnswer(ctx context.Context, done *peerpb.Done) error {
+// confirmLease waits for a valid lease immediately before the answer is sent, and
+// sets the time within which the answer must be passed on.
+func (s *Stream) confirmLease(ctx context.Context, done *peerpb.Done) error {
 	s.group.opts.Pause(StepReply)
 	if err := s.group.awaitLease(ctx, s.view); err != nil {
 		return err
@@ -310,18 +317,19 @@
 	s.mu.Unlock()
 }
 
-// Cancel stops the batch in flight, if any. While it runs, the connection cannot
-// pass to another caller: it is marked broken before the request leaves.
+// Cancel cancels the running batch, if any. The connection cannot be reused for
+// another client meanwhile: it is marked broken before the cancel request is sent.
 func (s *Stream) Cancel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inFlight == nil {
 		return
 	}
-	_ = s.inFlight.Cancel() // a cancel is best effort, as in PostgreSQL
+	_ = s.inFlight.Cancel() // best effort, as in PostgreSQL
 }
 
-// Abort breaks the batch in flight, for a caller that has gone.
+// Abort closes the connection of the running batch, if any. It is used when the
+// client has disconnected.
 func (s *Stream) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -330,12 +338,12 @@
 	}
 }
 
-// Close rolls an open transaction back and returns the connection.
+// Close rolls back an open transaction and releases the connection.
 func (s *Stream) Close() {
 	s.journal = nil
-	if s.fallback {
-		s.fallback = false
-		s.group.fallback.Add(-1)
+	if s.primaryRead {
+		s.primaryRead = false
+		s.group.primaryReads.Add(-1)
 	}
 	if s.lease == nil {
 		return
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -9,37 +9,37 @@
 	"github.com/stackspindle/stackspindle/internal/upstream"
 )
 
-// worker carries out the control requests to one member, one at a time, so that
-// a member that hangs holds up nobody else.
+// worker sends the control requests to one member, one at a time. Each member has
+// its own worker, so that a member that hangs does not delay the others.
 type worker struct {
-	group   *Group
-	member  Member
-	control *upstream.Control
-	urgent  chan failover.Send // fence, promote, follow, release, status
-	beats   chan failover.Send // heartbeats: only the latest counts
-	lastAsk atomic.Int64       // when a poll was last asked for
+	group      *Group
+	member     Member
+	control    *upstream.Control
+	commands   chan failover.Send // fence, promote, follow, release, status
+	heartbeats chan failover.Send // heartbeats; at most one is queued
+	lastPollAt atomic.Int64       // when poll last queued a heartbeat
 }
 
-const urgentBuffer = 32
+const commandBuffer = 32
 
 func newWorker(g *Group, m Member) *worker {
 	return &worker{
-		group:   g,
-		member:  m,
-		control: upstream.NewControl(g.target(m), g.opts.Failover.Silence, g.opts.Now),
-		urgent:  make(chan failover.Send, urgentBuffer),
-		beats:   make(chan failover.Send, 1),
+		group:      g,
+		member:     m,
+		control:    upstream.NewControl(g.target(m), g.opts.Failover.Silence, g.opts.Now),
+		commands:   make(chan failover.Send, commandBuffer),
+		heartbeats: make(chan failover.Send, 1),
 	}
 }
 
 func (w *worker) enqueue(s failover.Send) {
-	queue := w.urgent
+	queue := w.commands
 	if s.Op == failover.OpHeartbeat {
-		queue = w.beats
+		queue = w.heartbeats
 	}
 	select {
 	case queue <- s:
-	default: // the member hangs; the state machine repeats what matters
+	default: // queue full because the member hangs; the state machine resends what matters
 	}
 }
 
@@ -51,8 +51,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case s = <-w.urgent:
-		case s = <-w.beats:
+		case s = <-w.commands:
+		case s = <-w.heartbeats:
 		}
 		w.group.opts.Pause(StepControl)
 		reply := w.control.Do(ctx, s, w.group.opts.Self)
@@ -67,14 +67,16 @@
 	}
 }
 
-// pollSpacing is the least time between two polls that waiting requests cause.
-const pollSpacing = time.Millisecond
+// minPollInterval is the minimum time between two polls on behalf of waiting
+// requests.
+const minPollInterval = time.Millisecond
 
-// poll asks the member for its position soon, without waiting for the answer.
+// poll queues a heartbeat that returns the member's log position. It does not wait
+// for the answer.
 func (w *worker) poll(term uint64) {
 	now := int64(w.group.opts.Now())
-	last := w.lastAsk.Load()
-	if now-last < int64(pollSpacing) || !w.lastAsk.CompareAndSwap(last, now) {
+	last := w.lastPollAt.Load()
+	if now-last < int64(minPollInterval) || !w.lastPollAt.CompareAndSwap(last, now) {
 		return
 	}
 	w.enqueue(failover.Send{Member: w.member.Name, Op: failover.OpHeartbeat, Term: term})
