--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,8 @@
-// Package dispatch brings a transaction from the entry to the owner of its
-// group: it follows placement and hints, tries again what was refused as not
-// run, and never passes on an acknowledgement that came too late.
+// Package dispatch forwards transactions from the ingress instance, to which the
+// client is connected, to the instance that owns the database group. It finds the
+// owner from announcements, hints in refusals and placement, retries requests that
+// were refused without having run, and never passes on an acknowledgement that
+// arrived after the owner's lease had expired.
 package dispatch
 
 import (
@@ -23,13 +25,14 @@
 	Close()
 }
 
-// Placement tells who should own a group, first choice first.
+// Placement returns the instances that should own a group, in order of preference.
 type Placement interface {
 	Ranking(group string) []string
-	Local(group string) *owner.Group // nil when the group is unknown here
+	Local(group string) *owner.Group // nil if the group is unknown on this instance
 }
 
-// Dispatcher opens transactions. It is safe for concurrent use.
+// Dispatcher creates transactions and tracks the owner of each group. It is safe
+// for concurrent use.
 type Dispatcher struct {
 	self      string
 	placement Placement
@@ -39,15 +42,16 @@
 	routes map[string]*route
 }
 
-// route is what is known about the way to one group.
+// route is the routing state of one group.
 type route struct {
-	owner  string // "" when not known
-	term   uint64 // in which the owner announced itself, 0 when it did not
+	owner  string // "" if unknown
+	term   uint64 // highest term in which an owner has announced itself, 0 if none has
 	budget *retry.Budget
-	epochs map[string]*epoch // by instance that is used as the owner
+	epochs map[string]*epoch // by the instance to which requests are sent as the owner
 }
 
-// epoch lasts until another instance announces itself as the owner.
+// epoch is the period in which an instance is used as the owner. Its context ends
+// when another instance announces itself as the owner.
 type epoch struct {
 	ctx context.Context
 	end context.CancelFunc
@@ -63,11 +67,11 @@
 	}
 }
 
-// Result is how a batch ended.
+// Result is the outcome of a batch.
 type Result struct {
 	Done      *peerpb.Done // never nil
-	Delivered bool         // part of the answer has reached the caller
-	Wire      []byte       // the rest of the answer, which may be passed on
+	Delivered bool         // part of the answer has been sent to the client
+	Wire      []byte       // the rest of the answer; it may be passed on
 	Attempts  int
 }
 
@@ -80,44 +84,44 @@
 	mu sync.Mutex // guards stream against Cancel
 }
 
-// Begin returns a transaction that has not run anything.
+// Begin returns a transaction. It is sent to an owner with its first batch.
 func (d *Dispatcher) Begin() *Tx { return &Tx{d: d} }
 
 // Open reports whether a transaction is open on an owner.
 func (t *Tx) Open() bool { return t.stream != nil }
 
-// Run runs one batch. The first one carries the header and is tried again as
-// package retry allows, until timeout; later ones run once. Chunks that come
-// before the acknowledgement go to emit.
+// Run runs one batch. The first batch of a transaction carries the header and is
+// retried as package retry allows, until the timeout. Later batches are sent once.
+// Chunks of the answer that arrive before the last reply are passed to emit.
 func (t *Tx) Run(ctx context.Context, req *peerpb.RunRequest, timeout time.Duration, emit func([]byte) error) Result {
 	if t.Open() {
 		result, err := t.attempt(ctx, req, emit)
-		return t.settle(result, err)
+		return t.finishBatch(result, err)
 	}
-	return t.first(ctx, req, timeout, emit)
+	return t.runFirst(ctx, req, timeout, emit)
 }
 
-func (t *Tx) first(ctx context.Context, req *peerpb.RunRequest, timeout time.Duration, emit func([]byte) error) Result {
+func (t *Tx) runFirst(ctx context.Context, req *peerpb.RunRequest, timeout time.Duration, emit func([]byte) error) Result {
 	group := req.Header.Group
 	deadline := time.Now().Add(timeout)
-	t.d.earn(group)
+	t.d.earnRetryBudget(group)
 	for attempt := 1; ; attempt++ {
-		left := time.Until(deadline)
-		req.Header.TimeoutUs = left.Microseconds()
+		remaining := time.Until(deadline)
+		req.Header.TimeoutUs = remaining.Microseconds()
 		target := t.d.target(group, attempt)
 		result, err := t.open(ctx, target, req, emit)
 		result.Attempts = attempt
 		outcome := outcomeOf(result, err, req.Header.RequestKey != "")
 		outcome.Attempt, outcome.Left, outcome.Jitter = attempt, time.Until(deadline), rand.Float64()
-		t.d.learn(group, target, result, err)
+		t.d.updateOwner(group, target, result, err)
 		if err == nil && result.Done.Refusal == peerpb.Refusal_REFUSAL_NONE {
-			return t.settle(result, nil)
+			return t.finishBatch(result, nil)
 		}
 		next := t.d.nextAttempt(group, outcome)
 		if !next.Retry || ctx.Err() != nil {
-			return t.settle(result, err)
+			return t.finishBatch(result, err)
 		}
-		t.drop()
+		t.closeStream()
 		sleep(ctx, next.After)
 	}
 }
@@ -148,13 +152,13 @@
 	return o
 }
 
-// open finds the owner and runs the first batch there.
+// open opens a stream to the target instance and runs the first batch on it.
 func (t *Tx) open(ctx context.Context, target string, req *peerpb.RunRequest, emit func([]byte) error) (Result, error) {
 	if target == "" {
 		return Result{Done: &peerpb.Done{
 			Refusal:      peerpb.Refusal_REFUSAL_NO_PRIMARY,
 			Detail:       "no instance is known that could own the group",
-			RetryAfterUs: noOwnerRetry.Microseconds(),
+			RetryAfterUs: noOwnerRetryAfter.Microseconds(),
 		}}, nil
 	}
 	stream, err := t.d.stream(target, req.Header.Group)
@@ -166,8 +170,8 @@
 	return t.attempt(ctx, req, emit)
 }
 
-// noOwnerRetry is when a caller should come back that found no owner.
-const noOwnerRetry = 500 * time.Millisecond
+// noOwnerRetryAfter is the retry delay advised to clients while no owner is known.
+const noOwnerRetryAfter = 500 * time.Millisecond
 
 func (t *Tx) setStream(s Stream) {
 	t.mu.Lock()
@@ -175,12 +179,13 @@
 	t.mu.Unlock()
 }
 
-// attempt runs a batch on the open stream. The acknowledgement must come within
-// the time that the owner allows, counted from before the request was sent.
+// attempt runs a batch on the open stream. If the acknowledgement takes longer than
+// the owner allows (AckWithinUs, counted from before the request is sent), the
+// outcome is reported as unknown.
 func (t *Tx) attempt(ctx context.Context, req *peerpb.RunRequest, emit func([]byte) error) (Result, error) {
 	var r Result
 	if remote, ok := t.stream.(*peer.Stream); ok {
-		defer breakAfter(t.epoch, remote.Break)()
+		defer breakAfterGrace(t.epoch, remote.Break)()
 	}
 	started := time.Now()
 	err := t.stream.Handle(ctx, req, func(reply *peerpb.RunReply) error {
@@ -207,15 +212,16 @@
 	return r, nil
 }
 
-// announcedGrace is how long an instance that was replaced as the owner may still
-// answer. In a planned hand-over it says within some milliseconds that it has not
-// taken a request up, and the successor's announcement may come first. That its
-// answer may not be passed on too late is checked apart from this.
-const announcedGrace = 100 * time.Millisecond
+// replacedOwnerGrace is how long a replaced owner may still answer after its
+// successor's announcement. In a planned hand-over the former owner refuses
+// requests that it has not run within a few milliseconds, and the announcement may
+// arrive before the refusal. Whether an answer came too late to be passed on is
+// checked separately, in attempt.
+const replacedOwnerGrace = 100 * time.Millisecond
 
-// breakAfter calls f when the epoch has been over for a while, unless the function
-// that it returns was called before.
-func breakAfter(epoch context.Context, f func()) (stop func()) {
+// breakAfterGrace calls f replacedOwnerGrace after the end of the epoch, unless the
+// returned function is called before.
+func breakAfterGrace(epoch context.Context, f func()) (stop func()) {
 	var mu sync.Mutex
 	var timer *time.Timer
 	stopped := false
@@ -223,7 +229,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if !stopped {
-			timer = time.AfterFunc(announcedGrace, f)
+			timer = time.AfterFunc(replacedOwnerGrace, f)
 		}
 	})
 	return func() {
@@ -237,24 +243,24 @@
 	}
 }
 
-// settle turns a broken stream into a refusal and lets go of a stream whose
+// finishBatch turns a stream error into a refusal and closes the stream if the
 // transaction has ended.
-func (t *Tx) settle(r Result, err error) Result {
+func (t *Tx) finishBatch(r Result, err error) Result {
 	if err != nil {
 		r.Wire = nil
 		r.Done = &peerpb.Done{TxStatus: 'I', Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Detail: err.Error(), Broken: true}
 		if errors.Is(err, peer.ErrNotSent) {
 			r.Done.Refusal, r.Done.Broken = peerpb.Refusal_REFUSAL_NO_PRIMARY, false
-			r.Done.RetryAfterUs = noOwnerRetry.Microseconds()
+			r.Done.RetryAfterUs = noOwnerRetryAfter.Microseconds()
 		}
 	}
 	if r.Done.TxStatus != 'T' && r.Done.TxStatus != 'E' {
-		t.drop()
+		t.closeStream()
 	}
 	return r
 }
 
-func (t *Tx) drop() {
+func (t *Tx) closeStream() {
 	t.mu.Lock()
 	s := t.stream
 	t.stream = nil
@@ -264,7 +270,8 @@
 	}
 }
 
-// Cancel stops the batch in flight.
+// Cancel cancels the running batch, if any. It may be called concurrently with
+// Run.
 func (t *Tx) Cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,10 +280,11 @@
 	}
 }
 
-// Close rolls back what is open.
-func (t *Tx) Close() { t.drop() }
+// Close rolls back an open transaction.
+func (t *Tx) Close() { t.closeStream() }
 
-// routeLocked returns the route of a group. The caller holds mu.
+// routeLocked returns the route of a group and creates it if needed. The caller
+// must hold mu.
 func (d *Dispatcher) routeLocked(group string) *route {
 	r := d.routes[group]
 	if r == nil {
@@ -286,7 +294,7 @@
 	return r
 }
 
-func (d *Dispatcher) earn(group string) {
+func (d *Dispatcher) earnRetryBudget(group string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.routeLocked(group).budget.Earn()
@@ -298,7 +306,7 @@
 	return retry.Next(o, d.routeLocked(group).budget)
 }
 
-// epoch returns a context that ends when an instance other than target
+// epoch returns a context that is cancelled when an instance other than target
 // announces itself as the owner of the group.
 func (d *Dispatcher) epoch(group, target string) context.Context {
 	d.mu.Lock()
@@ -313,8 +321,10 @@
 	return e.ctx
 }
 
-// SetOwner takes in the announcement of an owner. What is in flight at any other
-// instance is given up, since its answers could not be passed on any more.
+// SetOwner applies the announcement of an owner, unless one of the same or a higher
+// term is known. It ends the epochs of all other instances: requests in flight
+// there are aborted after a grace period, since their answers could no longer be
+// passed on.
 func (d *Dispatcher) SetOwner(group, name string, term uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -331,7 +341,8 @@
 	}
 }
 
-// Owner returns the owner of a group as far as known, or "".
+// Owner returns the last known owner of a group, or "", and the highest term that
+// was announced.
 func (d *Dispatcher) Owner(group string) (string, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -339,8 +350,8 @@
 	return r.owner, r.term
 }
 
-// target picks the instance for an attempt: the known owner, else the ranking
-// in turn.
+// target returns the instance for an attempt: the known owner, or else the
+// instances of the placement ranking in turn. It returns "" if there is none.
 func (d *Dispatcher) target(group string, attempt int) string {
 	if known, _ := d.Owner(group); known != "" {
 		return known
@@ -352,8 +363,9 @@
 	return ranking[(attempt-1)%len(ranking)]
 }
 
-// learn keeps the owner that answered and forgets one that did not.
-func (d *Dispatcher) learn(group, target string, r Result, err error) {
+// updateOwner updates the known owner from the outcome of an attempt: an instance
+// that ran the batch is the owner, one that failed or refused ownership is not.
+func (d *Dispatcher) updateOwner(group, target string, r Result, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	route := d.routeLocked(group)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,9 +18,9 @@
 func (p placement) Ranking(string) []string   { return p }
 func (p placement) Local(string) *owner.Group { return nil }
 
-// An announcement ends what is in flight at other instances, and only there,
-// also when the announced owner was in use before it was known as such.
-func TestAnnouncementEndsOtherEpochsOnly(t *testing.T) {
+// An announcement ends the epochs of all other instances but not of the announced
+// owner, even if the owner was in use before it was announced.
+func TestAnnouncementCancelsRequestsToOtherInstances(t *testing.T) {
 	d := New("me", placement{"a", "b"}, peer.NewClient(nil, &peer.Traffic{}))
 	atA, atB := d.epoch("g", "a"), d.epoch("g", "b")
 	d.SetOwner("g", "a", 2)
@@ -28,35 +28,35 @@
 	must.Error(t, atB.Err())
 	d.SetOwner("g", "b", 1)
 	name, term := d.Owner("g")
-	must.Eq(t, "a", name, must.Sprint("an older announcement changes nothing"))
+	must.Eq(t, "a", name, must.Sprint("an older announcement must be ignored"))
 	must.Eq(t, uint64(2), term)
 	d.SetOwner("g", "b", 3)
 	must.Error(t, atA.Err())
 }
 
-// The end of an epoch does not cut off an answer that is about to come: what ends
-// meanwhile is left alone, and only what does not is broken off.
-func TestReplacedOwnerMayStillAnswer(t *testing.T) {
+// A request that ends within the grace period after the end of its epoch is not
+// aborted; one that takes longer is.
+func TestReplacedOwnerMayAnswerWithinGrace(t *testing.T) {
 	epoch, end := context.WithCancel(t.Context())
 	var broken atomic.Bool
-	stop := breakAfter(epoch, func() { broken.Store(true) })
+	stop := breakAfterGrace(epoch, func() { broken.Store(true) })
 	end()
 	stop()
-	time.Sleep(2 * announcedGrace)
+	time.Sleep(2 * replacedOwnerGrace)
 	must.False(t, broken.Load())
 	late := make(chan struct{})
-	defer breakAfter(epoch, func() { close(late) })()
+	defer breakAfterGrace(epoch, func() { close(late) })()
 	<-late
 }
 
-func TestTargetFollowsWhatWasLearned(t *testing.T) {
+func TestTargetUsesLastKnownOwner(t *testing.T) {
 	d := New("me", placement{"a", "b"}, peer.NewClient(nil, &peer.Traffic{}))
 	must.Eq(t, "a", d.target("g", 1))
 	must.Eq(t, "b", d.target("g", 2))
-	d.learn("g", "a", Result{Done: &peerpb.Done{Refusal: peerpb.Refusal_REFUSAL_NOT_OWNER, Owner: "c"}}, nil)
+	d.updateOwner("g", "a", Result{Done: &peerpb.Done{Refusal: peerpb.Refusal_REFUSAL_NOT_OWNER, Owner: "c"}}, nil)
 	must.Eq(t, "c", d.target("g", 2))
-	d.learn("g", "c", Result{}, peer.ErrNotSent)
+	d.updateOwner("g", "c", Result{}, peer.ErrNotSent)
 	must.Eq(t, "a", d.target("g", 1))
-	d.learn("g", "b", Result{Done: &peerpb.Done{}}, nil)
+	d.updateOwner("g", "b", Result{Done: &peerpb.Done{}}, nil)
 	must.Eq(t, "b", d.target("g", 1))
 }
