--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,7 +1,9 @@
-// Package session keeps, for one database group, what each session must see:
-// the position of its last acknowledged write. A floor is kept only until every
-// replica has passed it, so that memory follows the replication lag and not the
-// number of sessions. The package has no I/O, clock or goroutine.
+// Package session keeps the floors of the sessions of one database group. A
+// session's floor is the log position of its last acknowledged write: a member
+// must have reached it to run the session's reads. A floor is kept only until all
+// healthy replicas have reached it, so memory use depends on the replication lag
+// and not on the number of sessions. The package is used by the group's owner and
+// has no I/O, clock or goroutines.
 package session
 
 import (
@@ -11,27 +13,28 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// ErrLost says that work which a session was told is done is not in the log of
-// the group any more.
+// ErrLost is returned if acknowledged writes of a session are no longer in the
+// group's log.
 var ErrLost = errors.New("acknowledged writes of this session were lost in a failover")
 
 // Floors holds the floors of one group. It is not safe for concurrent use.
 type Floors struct {
-	limit   int
-	floors  map[string]group.Position
-	base    group.Position // floor of every session that has none of its own
-	history group.History
-	highest group.Position
+	limit    int
+	floors   map[string]group.Position
+	minFloor group.Position // minimum floor of all sessions
+	history  group.History
+	highest  group.Position
 }
 
-// New returns floors that keep at most limit sessions. Beyond it the oldest
-// knowledge is merged into the base, which is safe: it only asks for more.
+// New returns an empty Floors for at most limit sessions. Beyond the limit, all
+// floors are replaced by the highest acknowledged position, as the minimum for all
+// sessions. This is safe, since reads may only have to wait longer.
 func New(limit int) *Floors {
 	return &Floors{limit: limit, floors: make(map[string]group.Position)}
 }
 
-// Acknowledge notes a write of a session that is about to be acknowledged. The
-// session may be "", which counts for the group only.
+// Acknowledge raises the session's floor to a write that is about to be
+// acknowledged. If session is "", only the group's highest position is raised.
 func (f *Floors) Acknowledge(session string, p group.Position) {
 	f.highest = group.Max(f.highest, p)
 	if session == "" {
@@ -41,44 +44,47 @@
 		f.floors[session] = p
 	}
 	if len(f.floors) > f.limit {
-		f.collapse()
+		f.raiseMinFloor()
 	}
 }
 
-// collapse forgets who wrote and asks everybody for the highest position.
-func (f *Floors) collapse() {
-	f.base = f.highest
+// raiseMinFloor drops the floors of single sessions and makes the highest
+// acknowledged position the minimum for all sessions.
+func (f *Floors) raiseMinFloor() {
+	f.minFloor = f.highest
 	clear(f.floors)
 }
 
-// Highest returns the highest position acknowledged.
+// Highest returns the highest acknowledged position.
 func (f *Floors) Highest() group.Position { return f.highest }
 
-// Len returns how many sessions have a floor of their own.
+// Len returns the number of sessions that have their own floor.
 func (f *Floors) Len() int { return len(f.floors) }
 
-// Floor returns the position that the session must see, given the one its
-// entry instance brought, or ErrLost when the group does not hold it any more.
-func (f *Floors) Floor(session string, brought group.Position) (group.Position, error) {
-	floor := group.Max(f.floors[session], brought)
+// Floor returns the position that a member must have reached to run the session's
+// reads. ingress is the floor that the session's ingress instance sent, or zero.
+// It returns ErrLost if the group's log no longer has the session's floor.
+func (f *Floors) Floor(session string, ingress group.Position) (group.Position, error) {
+	floor := group.Max(f.floors[session], ingress)
 	if !f.history.Holds(floor) {
 		return group.Position{}, fmt.Errorf("%w: %s", ErrLost, floor)
 	}
-	return group.Max(floor, f.base), nil
+	return group.Max(floor, f.minFloor), nil
 }
 
-// Accept lets a session that was told of its loss go on.
+// Accept removes the floor of a session that has accepted the loss of its writes.
 func (f *Floors) Accept(session string) {
 	if !f.history.Holds(f.floors[session]) {
 		delete(f.floors, session)
 	}
 }
 
-// Passed drops the floors at or below p, which the replicas in service have
-// reached, and makes p the floor of everybody, so that a replica that is
-// further behind serves nobody. Lost floors stay until they are accepted.
+// Passed drops the floors at or below p, which all healthy replicas have reached,
+// and makes p the minimum floor of all sessions, so that a replica that returns
+// with an older log serves no reads. Lost floors are kept until the loss is
+// accepted.
 func (f *Floors) Passed(p group.Position) {
-	f.base = group.Max(f.base, p)
+	f.minFloor = group.Max(f.minFloor, p)
 	for session, floor := range f.floors {
 		if p.AtLeast(floor) && f.history.Holds(floor) {
 			delete(f.floors, session)
@@ -86,31 +92,32 @@
 	}
 }
 
-// Learn takes in the terms of the log that a new primary holds, so that a new
-// owner recognises what was lost under owners before it.
+// Learn adds the terms in a new primary's log to the known history, so that a new
+// owner detects writes that were lost under former owners.
 func (f *Floors) Learn(h group.History) {
 	for _, start := range h {
 		f.history = f.history.Append(start)
 	}
 }
 
-// Promoted notes the start of a new term at base. A new owner, which knows no
-// floors, passes takeover: base is then everybody's floor.
+// Promoted records the start of a new term at position base. takeover is true if
+// the owner is new and so knows no floors of sessions; base then becomes the
+// minimum floor of all sessions.
 func (f *Floors) Promoted(term uint64, base group.Position, takeover bool) {
 	f.history = f.history.Append(group.TermStart{Term: term, Index: base.Index})
 	if takeover {
-		f.base = group.Max(f.base, base)
+		f.minFloor = group.Max(f.minFloor, base)
 	}
 	if !f.history.Holds(f.highest) {
 		f.highest = base
 	}
 	f.highest = group.Max(f.highest, base)
-	if !f.history.Holds(f.base) {
-		f.base = base
+	if !f.history.Holds(f.minFloor) {
+		f.minFloor = base
 	}
 }
 
-// Export returns a copy of all floors, for a hand-over.
+// Export returns a copy of the sessions' floors, for a hand-over to another owner.
 func (f *Floors) Export() map[string]group.Position {
 	floors := make(map[string]group.Position, len(f.floors))
 	for session, floor := range f.floors {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -19,13 +19,14 @@
 	}
 }
 
-// model remembers for ever what Floors may forget.
+// model is a reference model that keeps the last write of each session without
+// limits.
 type model struct {
-	last map[string]group.Position // of each session, in the log that is in force
-	lost map[string]bool
-	log  []uint64 // term of each entry
-	term uint64
-	seen int // entries that every replica in service holds
+	last       map[string]group.Position // last write of each session
+	lost       map[string]bool
+	log        []uint64 // term of each entry
+	term       uint64
+	replicated int // number of entries that all replicas have
 }
 
 // at returns the position of the n-th entry.
@@ -36,10 +37,10 @@
 	return group.Position{Term: m.log[n-1], Index: uint64(n)}
 }
 
-// For any sequence of writes, replica progress, failovers and changes of owner:
-// a floor never lies below the session's last write, unless it is reported lost;
-// and a lost one is always reported to a session that brings or has it.
-func TestFloorsNeverFallBehind(t *testing.T) {
+// For any sequence of writes, replica progress, failovers and changes of owner,
+// Floor returns at least the session's last write, or ErrLost if and only if that
+// write was lost.
+func TestFloorCoversLastWriteOrReportsLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
 		f := New(limit)
@@ -71,7 +72,7 @@
 
 func (m *model) write(f *Floors, session string) {
 	if m.lost[session] {
-		return // it is refused until it accepts its loss
+		return // requests of the session are refused until it accepts the loss
 	}
 	m.log = append(m.log, m.term)
 	p := m.at(len(m.log))
@@ -80,13 +81,13 @@
 }
 
 func (m *model) progress(t *rapid.T, f *Floors) {
-	m.seen = rapid.IntRange(m.seen, len(m.log)).Draw(t, "progress")
-	f.Passed(m.at(m.seen))
+	m.replicated = rapid.IntRange(m.replicated, len(m.log)).Draw(t, "progress")
+	f.Passed(m.at(m.replicated))
 }
 
-// failover promotes a replica that holds at least what all replicas had reached.
+// failover promotes a replica that has at least the entries that all replicas have.
 func (m *model) failover(t *rapid.T, f *Floors) {
-	base := rapid.IntRange(m.seen, len(m.log)).Draw(t, "base")
+	base := rapid.IntRange(m.replicated, len(m.log)).Draw(t, "base")
 	m.term++
 	for session, p := range m.last {
 		if p.Index > uint64(base) {
@@ -97,11 +98,12 @@
 	m.log = m.log[:base]
 }
 
-// newOwner starts without floors; the entries bring what their sessions saw.
+// newOwner replaces the floors by those of a new owner, which knows no sessions:
+// the ingress instances send the floors with each request.
 func (m *model) newOwner(f **Floors, limit int) {
 	m.term++
 	next := New(limit)
-	next.Learn((*f).history) // as the new primary knows it
+	next.Learn((*f).history) // as reported by the new primary
 	next.Promoted(m.term, m.at(len(m.log)), true)
 	*f = next
 }
@@ -110,19 +112,19 @@
 	floor, err := f.Floor(session, m.last[session])
 	if m.lost[session] {
 		if err == nil {
-			t.Fatalf("%s lost %s and was not told", session, m.last[session])
+			t.Fatalf("%s lost %s, but Floor returned no error", session, m.last[session])
 		}
 		return
 	}
 	if err != nil {
-		t.Fatalf("%s was told of a loss that did not happen: %v", session, err)
+		t.Fatalf("%s lost nothing, but Floor returned an error: %v", session, err)
 	}
 	if floor.Less(m.last[session]) {
 		t.Fatalf("%s wrote %s, its floor is %s", session, m.last[session], floor)
 	}
 }
 
-func TestAcceptLetsTheSessionGoOn(t *testing.T) {
+func TestAcceptedLossClearsFloor(t *testing.T) {
 	f := New(10)
 	f.Acknowledge("s", group.Position{Term: 1, Index: 9})
 	f.Promoted(2, group.Position{Term: 1, Index: 5}, false)
