--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,8 @@
-// Package membership keeps an instance's picture of the others: the platform's
-// lagging list, corrected by probes of a few neighbours. The picture serves
-// placement only; a wrong one costs time and no safety. The package has no I/O,
-// clock or goroutine.
+// Package membership tracks which other instances of the fleet are alive. It
+// combines the platform's list of instances, which is often out of date, with
+// probes of a few neighbours. The result is used for placement only: if it is
+// wrong, requests take longer, but consistency is not affected. The package has no
+// I/O, clock or goroutines.
 package membership
 
 import (
@@ -15,36 +16,36 @@
 // Instance is one instance of the fleet.
 type Instance struct {
 	Name       string
-	Address    string // host:port for other instances
+	Address    string // host:port at which other instances connect
 	DataCentre string
 	Leaving    bool
 }
 
-// Config bounds the decisions.
+// Config holds the timeouts and limits.
 type Config struct {
-	Suspect    time.Duration // without an answer to probes, after which an instance counts as down
-	Introduced time.Duration // how long an instance that only introduced itself is kept
-	Neighbours int           // instances that are probed for their own sake
+	Suspect    time.Duration // an instance counts as down if probes have failed for this long
+	Introduced time.Duration // how long an unlisted instance is kept after its last contact
+	Neighbours int           // number of neighbours to probe
 }
 
-// DefaultConfig returns the settings used when nothing else is configured.
+// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{Suspect: 600 * time.Millisecond, Introduced: 5 * time.Minute, Neighbours: 3}
 }
 
-// record is what is known of one other instance.
+// record is the state of one other instance.
 type record struct {
 	Instance
-	listed    bool
-	told      bool          // said itself that it leaves
-	heard     time.Duration // last sign of life
-	silent    bool          // probes have gone unanswered
-	refused   bool          // the last one was refused at once
-	since     time.Duration // start of the silence
-	introduce time.Duration
+	listed            bool
+	announcedLeaving  bool          // the instance itself has announced that it is leaving
+	lastContact       time.Duration // time of the last answer or request
+	unresponsive      bool          // probes have failed since the last contact
+	connRefused       bool          // the last failed probe found the connection refused
+	unresponsiveSince time.Duration // time of the first failed probe since the last contact
+	introducedAt      time.Duration
 }
 
-// State is used by one goroutine.
+// State is an instance's view of the fleet. It is not safe for concurrent use.
 type State struct {
 	cfg      Config
 	self     Instance
@@ -53,16 +54,17 @@
 	lastTick time.Duration
 }
 
-// New returns a picture that holds self alone.
+// New returns a state that knows only the instance itself.
 func New(cfg Config, self Instance) *State {
 	return &State{cfg: cfg, self: self, records: make(map[string]*record)}
 }
 
-// SetSelfLeaving notes that this instance is being stopped.
+// SetSelfLeaving records that this instance is shutting down.
 func (s *State) SetSelfLeaving() { s.self.Leaving = true }
 
-// SetList takes in the platform's list. Who is on it no more is dropped, unless
-// it answers: the list lags both ways.
+// SetList applies the platform's list of instances. The list can lack new instances
+// and contain stopped ones, so an instance that is not listed is kept while it has
+// been in contact within Config.Introduced.
 func (s *State) SetList(now time.Duration, list []Instance) {
 	s.listed = true
 	for _, r := range s.records {
@@ -72,14 +74,15 @@
 		if i.Name == s.self.Name {
 			continue
 		}
-		r := s.record(i.Name)
+		r := s.getOrCreate(i.Name)
 		r.Instance = i
 		r.listed = true
 	}
 	s.prune(now)
 }
 
-func (s *State) record(name string) *record {
+// getOrCreate returns the record of an instance and creates it if needed.
+func (s *State) getOrCreate(name string) *record {
 	r := s.records[name]
 	if r == nil {
 		r = &record{Instance: Instance{Name: name}}
@@ -88,87 +91,93 @@
 	return r
 }
 
+// prune drops unlisted instances without contact within Config.Introduced.
 func (s *State) prune(now time.Duration) {
 	for name, r := range s.records {
-		sign := max(r.heard, r.introduce)
-		if !r.listed && (sign == 0 || now-sign > s.cfg.Introduced) {
+		lastSeen := max(r.lastContact, r.introducedAt)
+		if !r.listed && (lastSeen == 0 || now-lastSeen > s.cfg.Introduced) {
 			delete(s.records, name)
 		}
 	}
 }
 
-// Introduce notes an instance that has called, even one that is not listed.
+// Introduce adds or updates an instance that has connected to this one, even if it
+// is not listed.
 func (s *State) Introduce(now time.Duration, i Instance) {
 	if i.Name == s.self.Name || i.Name == "" || i.Address == "" {
 		return
 	}
-	r := s.record(i.Name)
+	r := s.getOrCreate(i.Name)
 	r.Address, r.DataCentre = i.Address, i.DataCentre
-	r.introduce = now
+	r.introducedAt = now
 	s.Heard(now, i.Name, i.Leaving)
 }
 
-// Heard notes a sign of life.
+// Heard records contact with an instance, and whether the instance is leaving.
 func (s *State) Heard(now time.Duration, name string, leaving bool) {
 	r := s.records[name]
 	if r == nil {
 		return
 	}
-	r.heard = now
-	r.silent = false
-	r.told = leaving
+	r.lastContact = now
+	r.unresponsive = false
+	r.announcedLeaving = leaving
 }
 
-// Missed notes a probe without an answer. One that is refused at once says more
-// than one that stays open: the process is gone, the network is not.
+// Missed records a failed probe. A refused connection is stronger evidence than a
+// timeout, because the network works and the process is gone. It shortens the
+// time after which the instance counts as down.
 func (s *State) Missed(now time.Duration, name string, refused bool) {
 	r := s.records[name]
 	if r == nil {
 		return
 	}
-	r.refused = refused
-	if r.silent {
+	r.connRefused = refused
+	if r.unresponsive {
 		return
 	}
-	r.silent = true
-	r.since = now
+	r.unresponsive = true
+	r.unresponsiveSince = now
 }
 
-// Tick passes time. After a pause of this instance nobody's silence counts.
+// Tick must be called periodically. A long gap between calls means that this
+// process was paused; failed probes before and during the pause are then ignored.
 func (s *State) Tick(now time.Duration) {
 	if s.lastTick != 0 && now-s.lastTick > s.cfg.Suspect/2 {
 		for _, r := range s.records {
-			r.silent = false
+			r.unresponsive = false
 		}
 	}
 	s.lastTick = now
 	s.prune(now)
 }
 
-// Down reports whether an instance counts as down.
+// Down reports whether an instance counts as down. Unknown instances do.
 func (s *State) Down(now time.Duration, name string) bool {
 	r := s.records[name]
 	if r == nil {
 		return name != s.self.Name
 	}
 	limit := s.cfg.Suspect
-	if r.refused {
-		limit /= refusedShare
+	if r.connRefused {
+		limit /= refusedDivisor
 	}
-	return r.silent && now-r.since >= limit
+	return r.unresponsive && now-r.unresponsiveSince >= limit
 }
 
-// refusedShare is by how much a refusal shortens the wait.
-const refusedShare = 4
+// refusedDivisor divides Config.Suspect if the last failed probe found the
+// connection refused.
+const refusedDivisor = 4
 
-// Live returns the instances that may own groups, self included, by name.
+// Live returns the instances that may own groups, including this one, sorted by
+// name.
 func (s *State) Live(now time.Duration) []ownership.Instance {
 	var live []ownership.Instance
 	if !s.self.Leaving {
 		live = append(live, ownership.Instance{Name: s.self.Name, DataCentre: s.self.DataCentre})
 	}
 	for name, r := range s.records {
-		if r.Leaving || r.told || s.Down(now, name) {
+		if r.Leaving || r.announcedLeaving || s.Down(now, name) {
 			continue
 		}
 		live = append(live, ownership.Instance{Name: name, DataCentre: r.DataCentre})
@@ -177,20 +186,21 @@
 	return live
 }
 
-// Known returns all other instances, by name.
+// Known returns all other known instances, sorted by name.
 func (s *State) Known() []Instance {
 	known := make([]Instance, 0, len(s.records))
 	for _, r := range s.records {
 		i := r.Instance
-		i.Leaving = i.Leaving || r.told
+		i.Leaving = i.Leaving || r.announcedLeaving
 		known = append(known, i)
 	}
 	slices.SortFunc(known, func(a, b Instance) int { return strings.Compare(a.Name, b.Name) })
 	return known
 }
 
-// Neighbours returns whom this instance probes for the others' sake: those that
-// rank highest for it. One instance more or less changes few of these pairs.
+// Neighbours returns the instances that this instance probes on behalf of the
+// fleet: those that rank highest for it in rendezvous hashing. Adding or removing
+// an instance changes few of these pairs.
 func (s *State) Neighbours() []string {
 	all := make([]ownership.Instance, 0, len(s.records))
 	for name := range s.records {
