--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -282,7 +282,7 @@
 	if f.Lease < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "lease"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
-	if f.Silence < 2*f.Heartbeat {
+	if f.MemberTimeout < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
 	if f.OwnerSilence < 2*f.Heartbeat {
@@ -350,7 +350,7 @@
 		{"platform", "prefix"}:                 text(&s.PlatformPrefix),
 		{"platform", "timeout"}:                duration(&s.PlatformTimeout),
 		{"failover", "heartbeat"}:              duration(&s.Failover.Heartbeat),
-		{"failover", "silence"}:                duration(&s.Failover.Silence),
+		{"failover", "silence"}:                duration(&s.Failover.MemberTimeout),
 		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerSilence),
 		{"failover", "lease"}:                  duration(&s.Failover.Lease),
 		{"failover", "drain_bound"}:            duration(&s.Failover.DrainBound),
--- a/internal/failover/bench_test.go
+++ b/internal/failover/bench_test.go
@@ -37,7 +37,7 @@
 // the start of the pause to the failover, or 0 if there is none.
 func timeToReplace(timeout, pause, offset time.Duration) time.Duration {
 	cfg := DefaultConfig()
-	cfg.Silence = timeout
+	cfg.MemberTimeout = timeout
 	s := New(cfg, "me", []string{"a", "b", "c"})
 	now := time.Second
 	answer := func(name string, op Op, st group.Status) {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -24,7 +24,7 @@
 // on the instance's own monotonic clock.
 type Config struct {
 	Heartbeat      time.Duration // interval between two heartbeats to a member
-	Silence        time.Duration // a member that has not answered for this long counts as failed
+	MemberTimeout  time.Duration // a member that has not answered for this long counts as failed
 	OwnerSilence   time.Duration // an owner that has not contacted a member for this long counts as failed
 	Lease          time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
 	DriftPerMille  int64         // upper bound of the rate difference of two clocks
@@ -32,8 +32,8 @@
 	Isolation      time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
 	DrainBound     time.Duration // how long a leaving primary may keep open transactions
 	ReplicaAck     bool          // acknowledge a write only when a replica has it
-	MaxSilence     time.Duration // upper bound of Silence after damping
-	DampingWindow  time.Duration // each change of the primary within this window doubles Silence
+	MaxSilence     time.Duration // upper bound of MemberTimeout after damping
+	DampingWindow  time.Duration // each change of the primary within this window doubles MemberTimeout
 	MaxMoves       int           // changes of the primary allowed within DampingWindow
 	HardFailures   int           // consecutive connection failures after which a member counts as failed
 	RetryUnsettled time.Duration // delay, after Collect, before a claim without a majority is retried
@@ -43,7 +43,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Heartbeat:      250 * time.Millisecond,
-		Silence:        1200 * time.Millisecond,
+		MemberTimeout:  1200 * time.Millisecond,
 		OwnerSilence:   600 * time.Millisecond,
 		Lease:          700 * time.Millisecond,
 		DriftPerMille:  10,
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -191,16 +191,16 @@
 	cfg := DefaultConfig()
 	h := newHarness(t, cfg)
 	h.startServing()
-	must.Eq(t, cfg.Silence, h.s.primaryTimeout(h.now))
+	must.Eq(t, cfg.MemberTimeout, h.s.primaryTimeout(h.now))
 	h.s.primaryChanges = []time.Duration{h.now}
-	must.Eq(t, 2*cfg.Silence, h.s.primaryTimeout(h.now))
+	must.Eq(t, 2*cfg.MemberTimeout, h.s.primaryTimeout(h.now))
 	for range cfg.MaxMoves {
 		h.s.primaryChanges = append(h.s.primaryChanges, h.now)
 	}
 	must.Eq(t, cfg.MaxSilence, h.s.primaryTimeout(h.now))
 	h.runHeartbeats(10*time.Second, "b", "c")
 	must.Eq(t, Serving, h.s.Phase(), must.Sprint("the maximum number of failovers is reached"))
-	must.Eq(t, cfg.Silence, h.s.primaryTimeout(h.now+cfg.DampingWindow))
+	must.Eq(t, cfg.MemberTimeout, h.s.primaryTimeout(h.now+cfg.DampingWindow))
 }
 
 // A primary without a link to any replica is replaced only if acknowledged writes
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -84,7 +84,7 @@
 	var actions []Action
 	for _, name := range s.names {
 		m := s.members[name]
-		if m.reportedDown || s.alive(now, m, s.cfg.Silence) {
+		if m.reportedDown || s.alive(now, m, s.cfg.MemberTimeout) {
 			continue
 		}
 		m.reportedDown = true
@@ -100,7 +100,7 @@
 // primaryTimeout returns how long the primary may leave requests unanswered. Each
 // recent change of the primary doubles it, up to Config.MaxSilence.
 func (s *State) primaryTimeout(now time.Duration) time.Duration {
-	limit := s.cfg.Silence
+	limit := s.cfg.MemberTimeout
 	for range s.recentPrimaryChanges(now) {
 		limit = min(2*limit, s.cfg.MaxSilence)
 	}
@@ -141,7 +141,7 @@
 func (s *State) othersAlive(now time.Duration) int {
 	n := 0
 	for name, m := range s.members {
-		if name != s.primary && s.alive(now, m, s.cfg.Silence) {
+		if name != s.primary && s.alive(now, m, s.cfg.MemberTimeout) {
 			n++
 		}
 	}
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -450,7 +450,7 @@
 		next.members = append(next.members, memberState{
 			name:     m.Name,
 			primary:  primary,
-			healthy:  serving && status.Term == g.state.Term() && now-answered <= g.opts.Failover.Silence,
+			healthy:  serving && status.Term == g.state.Term() && now-answered <= g.opts.Failover.MemberTimeout,
 			leaving:  g.state.Leaving(m.Name),
 			position: status.Position,
 			lag:      g.lag[m.Name],
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -26,7 +26,7 @@
 	return &worker{
 		group:      g,
 		member:     m,
-		control:    upstream.NewControl(g.target(m), g.opts.Failover.Silence, g.opts.Now),
+		control:    upstream.NewControl(g.target(m), g.opts.Failover.MemberTimeout, g.opts.Now),
 		commands:   make(chan failover.Send, commandBuffer),
 		heartbeats: make(chan failover.Send, 1),
 	}
