--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -285,7 +285,7 @@
 	if f.MemberTimeout < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
-	if f.OwnerSilence < 2*f.Heartbeat {
+	if f.OwnerTimeout < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "owner_silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
 }
@@ -351,7 +351,7 @@
 		{"platform", "timeout"}:                duration(&s.PlatformTimeout),
 		{"failover", "heartbeat"}:              duration(&s.Failover.Heartbeat),
 		{"failover", "silence"}:                duration(&s.Failover.MemberTimeout),
-		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerSilence),
+		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerTimeout),
 		{"failover", "lease"}:                  duration(&s.Failover.Lease),
 		{"failover", "drain_bound"}:            duration(&s.Failover.DrainBound),
 		{"failover", "isolation"}:              duration(&s.Failover.Isolation),
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -25,7 +25,7 @@
 type Config struct {
 	Heartbeat      time.Duration // interval between two heartbeats to a member
 	MemberTimeout  time.Duration // a member that has not answered for this long counts as failed
-	OwnerSilence   time.Duration // an owner that has not contacted a member for this long counts as failed
+	OwnerTimeout   time.Duration // an owner that has not contacted a member for this long counts as failed
 	Lease          time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
 	DriftPerMille  int64         // upper bound of the rate difference of two clocks
 	Collect        time.Duration // how long a claim waits for members beyond the majority
@@ -44,7 +44,7 @@
 	return Config{
 		Heartbeat:      250 * time.Millisecond,
 		MemberTimeout:  1200 * time.Millisecond,
-		OwnerSilence:   600 * time.Millisecond,
+		OwnerTimeout:   600 * time.Millisecond,
 		Lease:          700 * time.Millisecond,
 		DriftPerMille:  10,
 		Collect:        300 * time.Millisecond,
@@ -108,7 +108,7 @@
 // Claim requests that this instance take the group over.
 type Claim struct {
 	Reason string
-	// Patience is added to Config.OwnerSilence, so that several candidates do not
+	// Patience is added to Config.OwnerTimeout, so that several candidates do not
 	// claim at the same moment.
 	Patience time.Duration
 	From     string         // former owner that has handed the group over, or ""
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -168,7 +168,7 @@
 	if st.Owner == "" || st.Owner == s.self || st.Owner == s.formerOwner || st.Released && st.Owner == st.Holder {
 		return ""
 	}
-	if st.OwnerAge < 0 || st.OwnerAge > s.cfg.OwnerSilence+s.extraOwnerTimeout {
+	if st.OwnerAge < 0 || st.OwnerAge > s.cfg.OwnerTimeout+s.extraOwnerTimeout {
 		return ""
 	}
 	return st.Owner
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -9,7 +9,7 @@
 // tick sends heartbeats that are due and checks all timeouts.
 func (s *State) tick(now time.Duration, e Tick) []Action {
 	s.acked = group.Max(s.acked, e.Acked)
-	paused := s.lastTick != 0 && now-s.lastTick > s.cfg.OwnerSilence/2
+	paused := s.lastTick != 0 && now-s.lastTick > s.cfg.OwnerTimeout/2
 	s.lastTick = now
 	if paused {
 		s.restartTimeouts(now)
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -329,7 +329,7 @@
 	if name == "" || name == c.inst.settings.Name {
 		return false
 	}
-	if silentSince, ok := c.watches[group].idle[name]; ok && now-silentSince > c.inst.settings.Failover.OwnerSilence {
+	if silentSince, ok := c.watches[group].idle[name]; ok && now-silentSince > c.inst.settings.Failover.OwnerTimeout {
 		return false
 	}
 	return !c.members.Down(now, name)
