--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -23,38 +23,38 @@
 // Config holds the timeouts and limits of failover. All durations are measured
 // on the instance's own monotonic clock.
 type Config struct {
-	Heartbeat      time.Duration // interval between two heartbeats to a member
-	MemberTimeout  time.Duration // a member that has not answered for this long counts as failed
-	OwnerTimeout   time.Duration // an owner that has not contacted a member for this long counts as failed
-	Lease          time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
-	DriftPerMille  int64         // upper bound of the rate difference of two clocks
-	Collect        time.Duration // how long a claim waits for members beyond the majority
-	Isolation      time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
-	DrainBound     time.Duration // how long a leaving primary may keep open transactions
-	ReplicaAck     bool          // acknowledge a write only when a replica has it
-	MaxSilence     time.Duration // upper bound of MemberTimeout after damping
-	DampingWindow  time.Duration // each change of the primary within this window doubles MemberTimeout
-	MaxMoves       int           // changes of the primary allowed within DampingWindow
-	HardFailures   int           // consecutive connection failures after which a member counts as failed
-	RetryUnsettled time.Duration // delay, after Collect, before a claim without a majority is retried
+	Heartbeat        time.Duration // interval between two heartbeats to a member
+	MemberTimeout    time.Duration // a member that has not answered for this long counts as failed
+	OwnerTimeout     time.Duration // an owner that has not contacted a member for this long counts as failed
+	Lease            time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
+	DriftPerMille    int64         // upper bound of the rate difference of two clocks
+	Collect          time.Duration // how long a claim waits for members beyond the majority
+	Isolation        time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
+	DrainBound       time.Duration // how long a leaving primary may keep open transactions
+	ReplicaAck       bool          // acknowledge a write only when a replica has it
+	MaxMemberTimeout time.Duration // upper bound of MemberTimeout after damping
+	DampingWindow    time.Duration // each change of the primary within this window doubles MemberTimeout
+	MaxMoves         int           // changes of the primary allowed within DampingWindow
+	HardFailures     int           // consecutive connection failures after which a member counts as failed
+	RetryUnsettled   time.Duration // delay, after Collect, before a claim without a majority is retried
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Heartbeat:      250 * time.Millisecond,
-		MemberTimeout:  1200 * time.Millisecond,
-		OwnerTimeout:   600 * time.Millisecond,
-		Lease:          700 * time.Millisecond,
-		DriftPerMille:  10,
-		Collect:        300 * time.Millisecond,
-		Isolation:      2 * time.Second,
-		DrainBound:     5 * time.Second,
-		MaxSilence:     4 * time.Second,
-		DampingWindow:  10 * time.Minute,
-		MaxMoves:       6,
-		HardFailures:   2,
-		RetryUnsettled: 250 * time.Millisecond,
+		Heartbeat:        250 * time.Millisecond,
+		MemberTimeout:    1200 * time.Millisecond,
+		OwnerTimeout:     600 * time.Millisecond,
+		Lease:            700 * time.Millisecond,
+		DriftPerMille:    10,
+		Collect:          300 * time.Millisecond,
+		Isolation:        2 * time.Second,
+		DrainBound:       5 * time.Second,
+		MaxMemberTimeout: 4 * time.Second,
+		DampingWindow:    10 * time.Minute,
+		MaxMoves:         6,
+		HardFailures:     2,
+		RetryUnsettled:   250 * time.Millisecond,
 	}
 }
 
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -197,7 +197,7 @@
 	for range cfg.MaxMoves {
 		h.s.primaryChanges = append(h.s.primaryChanges, h.now)
 	}
-	must.Eq(t, cfg.MaxSilence, h.s.primaryTimeout(h.now))
+	must.Eq(t, cfg.MaxMemberTimeout, h.s.primaryTimeout(h.now))
 	h.runHeartbeats(10*time.Second, "b", "c")
 	must.Eq(t, Serving, h.s.Phase(), must.Sprint("the maximum number of failovers is reached"))
 	must.Eq(t, cfg.MemberTimeout, h.s.primaryTimeout(h.now+cfg.DampingWindow))
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -98,11 +98,11 @@
 }
 
 // primaryTimeout returns how long the primary may leave requests unanswered. Each
-// recent change of the primary doubles it, up to Config.MaxSilence.
+// recent change of the primary doubles it, up to Config.MaxMemberTimeout.
 func (s *State) primaryTimeout(now time.Duration) time.Duration {
 	limit := s.cfg.MemberTimeout
 	for range s.recentPrimaryChanges(now) {
-		limit = min(2*limit, s.cfg.MaxSilence)
+		limit = min(2*limit, s.cfg.MaxMemberTimeout)
 	}
 	return limit
 }
