--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -28,7 +28,7 @@
 	OwnerTimeout     time.Duration // an owner that has not contacted a member for this long counts as failed
 	Lease            time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
 	DriftPerMille    int64         // upper bound of the rate difference of two clocks
-	Collect          time.Duration // how long a claim waits for members beyond the majority
+	CollectTimeout   time.Duration // how long a claim waits for members beyond the majority
 	Isolation        time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
 	DrainBound       time.Duration // how long a leaving primary may keep open transactions
 	ReplicaAck       bool          // acknowledge a write only when a replica has it
@@ -47,7 +47,7 @@
 		OwnerTimeout:     600 * time.Millisecond,
 		Lease:            700 * time.Millisecond,
 		DriftPerMille:    10,
-		Collect:          300 * time.Millisecond,
+		CollectTimeout:   300 * time.Millisecond,
 		Isolation:        2 * time.Second,
 		DrainBound:       5 * time.Second,
 		MaxMemberTimeout: 4 * time.Second,
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -134,7 +134,7 @@
 }
 
 // advanceObserving starts fencing once a majority has answered and reported no
-// live owner, and either all members have answered or Collect has passed.
+// live owner, and either all members have answered or CollectTimeout has passed.
 func (s *State) advanceObserving(now time.Duration) []Action {
 	count := 0
 	for _, name := range s.names {
@@ -155,7 +155,7 @@
 		}
 		s.acked = group.Max(s.acked, m.status.Acknowledged)
 	}
-	waited := now-s.phaseStarted >= s.cfg.Collect
+	waited := now-s.phaseStarted >= s.cfg.CollectTimeout
 	if count < s.majority() || count < len(s.names) && !waited {
 		return nil
 	}
@@ -175,7 +175,7 @@
 }
 
 // advanceFencing ends the fencing phase once a majority is fenced and each other
-// member has failed, is suspect, or has had Collect to answer.
+// member has failed, is suspect, or has had CollectTimeout to answer.
 func (s *State) advanceFencing(now time.Duration) []Action {
 	fenced, missing := 0, 0
 	for name, m := range s.members {
@@ -186,7 +186,7 @@
 			missing++
 		}
 	}
-	if fenced < s.majority() || missing > 0 && now-s.phaseStarted < s.cfg.Collect {
+	if fenced < s.majority() || missing > 0 && now-s.phaseStarted < s.cfg.CollectTimeout {
 		return nil
 	}
 	s.leasesExpireAt = s.formerLeasesEnd(now)
