--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -354,7 +354,7 @@
 		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerTimeout),
 		{"failover", "lease"}:                  duration(&s.Failover.Lease),
 		{"failover", "drain_bound"}:            duration(&s.Failover.DrainBound),
-		{"failover", "isolation"}:              duration(&s.Failover.Isolation),
+		{"failover", "isolation"}:              duration(&s.Failover.IsolationTimeout),
 		{"reads", "max_wait"}:                  duration(&s.MaxWait),
 		{"reads", "primary_reads"}:             number(&s.Fallback, 0, 10_000),
 		{"stop", "drain_timeout"}:              duration(&s.DrainTime),
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -29,7 +29,7 @@
 	Lease            time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
 	DriftPerMille    int64         // upper bound of the rate difference of two clocks
 	CollectTimeout   time.Duration // how long a claim waits for members beyond the majority
-	Isolation        time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
+	IsolationTimeout time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
 	DrainBound       time.Duration // how long a leaving primary may keep open transactions
 	ReplicaAck       bool          // acknowledge a write only when a replica has it
 	MaxMemberTimeout time.Duration // upper bound of MemberTimeout after damping
@@ -48,7 +48,7 @@
 		Lease:            700 * time.Millisecond,
 		DriftPerMille:    10,
 		CollectTimeout:   300 * time.Millisecond,
-		Isolation:        2 * time.Second,
+		IsolationTimeout: 2 * time.Second,
 		DrainBound:       5 * time.Second,
 		MaxMemberTimeout: 4 * time.Second,
 		DampingWindow:    10 * time.Minute,
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -149,7 +149,7 @@
 }
 
 // primaryIsolated reports whether no replica has had a link to the primary for
-// Config.Isolation. It is always false if the primary alone acknowledges writes,
+// Config.IsolationTimeout. It is always false if the primary alone acknowledges writes,
 // since replacing it would lose the writes acknowledged meanwhile.
 func (s *State) primaryIsolated(now time.Duration) bool {
 	if !s.cfg.ReplicaAck || s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxMoves {
@@ -159,7 +159,7 @@
 		if name == s.primary {
 			continue
 		}
-		if !m.isolated || now-m.unlinkedSince < s.cfg.Isolation {
+		if !m.isolated || now-m.unlinkedSince < s.cfg.IsolationTimeout {
 			return false
 		}
 	}
