--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -353,7 +353,7 @@
 		{"failover", "silence"}:                duration(&s.Failover.MemberTimeout),
 		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerTimeout),
 		{"failover", "lease"}:                  duration(&s.Failover.Lease),
-		{"failover", "drain_bound"}:            duration(&s.Failover.DrainBound),
+		{"failover", "drain_bound"}:            duration(&s.Failover.DrainTimeout),
 		{"failover", "isolation"}:              duration(&s.Failover.IsolationTimeout),
 		{"reads", "max_wait"}:                  duration(&s.MaxWait),
 		{"reads", "primary_reads"}:             number(&s.Fallback, 0, 10_000),
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -30,7 +30,7 @@
 	DriftPerMille    int64         // upper bound of the rate difference of two clocks
 	CollectTimeout   time.Duration // how long a claim waits for members beyond the majority
 	IsolationTimeout time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
-	DrainBound       time.Duration // how long a leaving primary may keep open transactions
+	DrainTimeout     time.Duration // how long a leaving primary may keep open transactions
 	ReplicaAck       bool          // acknowledge a write only when a replica has it
 	MaxMemberTimeout time.Duration // upper bound of MemberTimeout after damping
 	DampingWindow    time.Duration // each change of the primary within this window doubles MemberTimeout
@@ -49,7 +49,7 @@
 		DriftPerMille:    10,
 		CollectTimeout:   300 * time.Millisecond,
 		IsolationTimeout: 2 * time.Second,
-		DrainBound:       5 * time.Second,
+		DrainTimeout:     5 * time.Second,
 		MaxMemberTimeout: 4 * time.Second,
 		DampingWindow:    10 * time.Minute,
 		MaxMoves:         6,
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -213,9 +213,9 @@
 }
 
 // advanceDraining replaces the leaving primary once its transactions have ended
-// and a replica has its whole log, or after Config.DrainBound.
+// and a replica has its whole log, or after Config.DrainTimeout.
 func (s *State) advanceDraining(now time.Duration) []Action {
-	overdue := now-s.phaseStarted > s.cfg.DrainBound
+	overdue := now-s.phaseStarted > s.cfg.DrainTimeout
 	if !overdue && !(s.drained && s.caughtUp()) {
 		return nil
 	}
