--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -36,7 +36,7 @@
 	DampingWindow    time.Duration // each change of the primary within this window doubles MemberTimeout
 	MaxMoves         int           // changes of the primary allowed within DampingWindow
 	HardFailures     int           // consecutive connection failures after which a member counts as failed
-	RetryUnsettled   time.Duration // delay, after Collect, before a claim without a majority is retried
+	ClaimRetryDelay  time.Duration // delay, after Collect, before a claim without a majority is retried
 }
 
 // DefaultConfig returns the defaults.
@@ -54,7 +54,7 @@
 		DampingWindow:    10 * time.Minute,
 		MaxMoves:         6,
 		HardFailures:     2,
-		RetryUnsettled:   250 * time.Millisecond,
+		ClaimRetryDelay:  250 * time.Millisecond,
 	}
 }
 
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -24,7 +24,7 @@
 	case Observing:
 		return s.retryObserving(now)
 	case Fencing, Promoting:
-		if now-s.phaseStarted > s.cfg.CollectTimeout+s.cfg.RetryUnsettled {
+		if now-s.phaseStarted > s.cfg.CollectTimeout+s.cfg.ClaimRetryDelay {
 			return s.retryFence(now)
 		}
 	}
@@ -42,7 +42,7 @@
 }
 
 func (s *State) retryObserving(now time.Duration) []Action {
-	if now-s.phaseStarted < s.cfg.CollectTimeout+s.cfg.RetryUnsettled {
+	if now-s.phaseStarted < s.cfg.CollectTimeout+s.cfg.ClaimRetryDelay {
 		return s.advance(now)
 	}
 	s.enter(now, Observing)
