--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -108,12 +108,12 @@
 // Claim requests that this instance take the group over.
 type Claim struct {
 	Reason string
-	// Patience is added to Config.OwnerTimeout, so that several candidates do not
+	// ExtraOwnerTimeout is added to Config.OwnerTimeout, so that several candidates do not
 	// claim at the same moment.
-	Patience time.Duration
-	From     string         // former owner that has handed the group over, or ""
-	Term     uint64         // term in which From owned the group
-	Acked    group.Position // highest position that From acknowledged
+	ExtraOwnerTimeout time.Duration
+	From              string         // former owner that has handed the group over, or ""
+	Term              uint64         // term in which From owned the group
+	Acked             group.Position // highest position that From acknowledged
 }
 
 // Reply is the outcome of one request to a member.
@@ -318,7 +318,7 @@
 	if s.phase != Standby {
 		return nil
 	}
-	s.formerOwner, s.formerOwnerTerm, s.extraOwnerTimeout = e.From, e.Term, e.Patience
+	s.formerOwner, s.formerOwnerTerm, s.extraOwnerTimeout = e.From, e.Term, e.ExtraOwnerTimeout
 	s.acked = group.Max(s.acked, e.Acked)
 	s.claimed = true
 	s.enter(now, Observing)
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -481,7 +481,7 @@
 		for range 60 {
 			sim.deliver(sim.instances[0], Leave{})
 			for i, inst := range sim.instances {
-				sim.deliver(inst, Claim{Reason: "candidate", Patience: time.Duration(i) * 150 * time.Millisecond})
+				sim.deliver(inst, Claim{Reason: "candidate", ExtraOwnerTimeout: time.Duration(i) * 150 * time.Millisecond})
 				sim.write(inst)
 			}
 			sim.run(sim.now + 200*time.Millisecond)
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -205,7 +205,7 @@
 // added to the time without contact after which the former owner counts as
 // failed; candidates use different ones so that they do not claim at once.
 func (g *Group) Claim(reason string, extraTimeout time.Duration) {
-	g.post(failover.Claim{Reason: reason, Patience: extraTimeout})
+	g.post(failover.Claim{Reason: reason, ExtraOwnerTimeout: extraTimeout})
 }
 
 // SetLeaving replaces the set of members that get no new work.
