--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -182,18 +182,18 @@
 	Owner  string // the new owner, or "" if unknown
 }
 
-// Record is an event for the group's time line.
-type Record struct {
+// TimelineEvent is an event for the group's time line.
+type TimelineEvent struct {
 	Kind   string
 	Member string
 	Text   string
 }
 
-func (Send) action()     {}
-func (Serve) action()    {}
-func (Suspend) action()  {}
-func (Resigned) action() {}
-func (Record) action()   {}
+func (Send) action()          {}
+func (Serve) action()         {}
+func (Suspend) action()       {}
+func (Resigned) action()      {}
+func (TimelineEvent) action() {}
 
 // member is the last known state of one member.
 type member struct {
@@ -352,7 +352,7 @@
 	}
 	s.term = highest + 1
 	s.enter(now, Fencing)
-	return append([]Action{Record{Kind: "fence", Text: fmt.Sprintf("fencing at term %d", s.term)}}, s.broadcast(OpFence)...)
+	return append([]Action{TimelineEvent{Kind: "fence", Text: fmt.Sprintf("fencing at term %d", s.term)}}, s.broadcast(OpFence)...)
 }
 
 func (s *State) resign(e Resign) []Action {
@@ -375,7 +375,7 @@
 	}
 	actions := []Action{Resigned{Reason: reason, Owner: owner}}
 	if hadFenced {
-		actions = append(actions, Record{Kind: "released", Text: reason})
+		actions = append(actions, TimelineEvent{Kind: "released", Text: reason})
 	}
 	return actions
 }
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -47,7 +47,7 @@
 	var actions []Action
 	if m.reportedDown && s.phase >= Serving {
 		m.reportedDown = false
-		actions = append(actions, Record{Kind: "member-up", Member: r.Member, Text: "answers again"})
+		actions = append(actions, TimelineEvent{Kind: "member-up", Member: r.Member, Text: "answers again"})
 	}
 	if r.Term != s.term || s.phase < Fencing {
 		return actions
@@ -159,7 +159,7 @@
 	if count < s.majority() || count < len(s.names) && !waited {
 		return nil
 	}
-	return append([]Action{Record{Kind: "claim", Text: s.reason}}, s.fence(now)...)
+	return append([]Action{TimelineEvent{Kind: "claim", Text: s.reason}}, s.fence(now)...)
 }
 
 // liveOwner returns the owner that a member reports, or "" if it is this
@@ -227,7 +227,7 @@
 	s.primary = successor
 	s.enter(now, Promoting)
 	return []Action{
-		Record{Kind: "promote", Member: successor, Text: fmt.Sprintf("at %s in term %d", s.members[successor].status.Position, s.term)},
+		TimelineEvent{Kind: "promote", Member: successor, Text: fmt.Sprintf("at %s in term %d", s.members[successor].status.Position, s.term)},
 		Send{Member: successor, Op: OpPromote, Term: s.term},
 	}
 }
@@ -302,7 +302,7 @@
 	}
 	actions := []Action{
 		Serve{Term: s.term, Primary: s.primary, Base: r.Status.Position, History: r.Status.History, Moved: moved, Claimed: claimed},
-		Record{Kind: "serving", Member: s.primary, Text: fmt.Sprintf("term %d from %s", s.term, r.Status.Position)},
+		TimelineEvent{Kind: "serving", Member: s.primary, Text: fmt.Sprintf("term %d from %s", s.term, r.Status.Position)},
 	}
 	actions = append(actions, s.broadcast(OpHeartbeat)...)
 	return append(actions, s.repointMembers()...)
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		m.reportedDown = true
-		actions = append(actions, Record{Kind: "member-down", Member: name, Text: "does not answer"})
+		actions = append(actions, TimelineEvent{Kind: "member-down", Member: name, Text: "does not answer"})
 	}
 	return actions
 }
@@ -175,7 +175,7 @@
 	s.formerPrimary, s.primary = s.primary, ""
 	actions := []Action{
 		Suspend{Reason: reason, Terminal: true},
-		Record{Kind: "primary-lost", Member: old, Text: reason},
+		TimelineEvent{Kind: "primary-lost", Member: old, Text: reason},
 	}
 	return append(actions, s.fence(now)...)
 }
@@ -208,7 +208,7 @@
 	s.enter(now, Draining)
 	return []Action{
 		Suspend{Reason: "the primary leaves"},
-		Record{Kind: "draining", Member: s.primary, Text: "leaving: no new transactions"},
+		TimelineEvent{Kind: "draining", Member: s.primary, Text: "leaving: no new transactions"},
 	}
 }
 
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -328,7 +328,7 @@
 	case failover.Resigned:
 		g.outageSince = 0 // the next owner ends the outage, so it is not reported here
 		g.publish(&view{owner: a.Owner})
-	case failover.Record:
+	case failover.TimelineEvent:
 		g.opts.Record(a.Kind, a.Member, g.state.Term(), a.Text)
 	}
 }
