--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -97,7 +97,7 @@
 // The outcomes.
 const (
 	FailNone    Failure = iota
-	FailSilent          // no answer in time
+	FailTimeout         // no answer in time
 	FailHard            // connection refused or reset by the peer
 	FailRefused         // the member answered with an error, for example because of an old term
 )
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -213,7 +213,7 @@
 		return
 	}
 	if m.unreachable[inst.name] || sim.dropMessage() {
-		fail(FailSilent, 600*time.Millisecond)
+		fail(FailTimeout, 600*time.Millisecond)
 		return
 	}
 	sim.after(sim.latency(), func() {
@@ -224,7 +224,7 @@
 		reply := Reply{Member: s.Member, Op: s.Op, Term: s.Term, Sent: sent}
 		reply.Status, reply.Failure = m.handle(sim, inst.name, s)
 		if m.unreachable[inst.name] || sim.dropMessage() {
-			fail(FailSilent, 600*time.Millisecond)
+			fail(FailTimeout, 600*time.Millisecond)
 			return
 		}
 		sim.after(sim.latency(), func() { sim.deliver(inst, reply) })
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -14,7 +14,7 @@
 	}
 	var actions []Action
 	switch r.Failure {
-	case FailSilent:
+	case FailTimeout:
 		m.fenceFailed = m.fenceFailed || r.Op == OpFence && r.Term == s.term
 	case FailHard:
 		m.connFailures++
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -64,7 +64,7 @@
 	case errors.As(err, &refused) && refused.Severity != "FATAL":
 		return failover.FailRefused
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled), pgconn.Timeout(err):
-		return failover.FailSilent
+		return failover.FailTimeout
 	}
 	return failover.FailHard
 }
