--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -96,10 +96,10 @@
 
 // The outcomes.
 const (
-	FailNone    Failure = iota
-	FailTimeout         // no answer in time
-	FailHard            // connection refused or reset by the peer
-	FailRefused         // the member answered with an error, for example because of an old term
+	FailNone       Failure = iota
+	FailTimeout            // no answer in time
+	FailConnection         // connection refused or reset by the peer
+	FailRefused            // the member answered with an error, for example because of an old term
 )
 
 // Event is an input of the state machine.
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -93,7 +93,7 @@
 	fenced := group.Status{Term: 2, Role: group.RoleFenced, Owner: "me", Holder: "other", HeartbeatAge: 10 * time.Millisecond}
 	h.reply("a", OpFence, fenced)
 	h.reply("b", OpFence, fenced)
-	h.step(Reply{Member: "c", Op: OpFence, Term: 2, Failure: FailHard})
+	h.step(Reply{Member: "c", Op: OpFence, Term: 2, Failure: FailConnection})
 	must.Eq(t, Waiting, h.s.Phase())
 	must.Greater(t, h.now+600*time.Millisecond, h.s.leasesExpireAt)
 }
@@ -125,7 +125,7 @@
 		"both replicas silent":   func(h *harness) { h.runHeartbeats(3*time.Second, "a") },
 		"an answer every second": func(h *harness) { slowPrimary(h, time.Second) },
 		"one refused connection": func(h *harness) {
-			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailConnection})
 			h.runHeartbeats(time.Second, "a", "b", "c")
 		},
 		"an instance cut off from all": func(h *harness) { h.runHeartbeats(3 * time.Second) },
@@ -154,8 +154,8 @@
 		"silent": func(h *harness) []Action { return h.runHeartbeats(1500*time.Millisecond, "b", "c") },
 		"refusing": func(h *harness) []Action {
 			h.runHeartbeats(400*time.Millisecond, "a", "b", "c")
-			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
-			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailHard})
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailConnection})
+			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailConnection})
 			return h.step(Tick{})
 		},
 	}
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -209,7 +209,7 @@
 		})
 	}
 	if !m.up {
-		fail(FailHard, time.Millisecond)
+		fail(FailConnection, time.Millisecond)
 		return
 	}
 	if m.unreachable[inst.name] || sim.dropMessage() {
@@ -218,7 +218,7 @@
 	}
 	sim.after(sim.latency(), func() {
 		if !m.up {
-			fail(FailHard, 0)
+			fail(FailConnection, 0)
 			return
 		}
 		reply := Reply{Member: s.Member, Op: s.Op, Term: s.Term, Sent: sent}
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -16,7 +16,7 @@
 	switch r.Failure {
 	case FailTimeout:
 		m.fenceFailed = m.fenceFailed || r.Op == OpFence && r.Term == s.term
-	case FailHard:
+	case FailConnection:
 		m.connFailures++
 		m.fenceFailed = m.fenceFailed || r.Op == OpFence && r.Term == s.term
 	default:
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -34,7 +34,7 @@
 // once, since a member may have closed it long ago.
 func (c *Control) Do(ctx context.Context, s failover.Send, self string) failover.Reply {
 	reply := c.try(ctx, s, self)
-	if reply.Failure == failover.FailHard {
+	if reply.Failure == failover.FailConnection {
 		return c.try(ctx, s, self)
 	}
 	return reply
@@ -66,7 +66,7 @@
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled), pgconn.Timeout(err):
 		return failover.FailTimeout
 	}
-	return failover.FailHard
+	return failover.FailConnection
 }
 
 func controlQuery(s failover.Send, self string) string {
