--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -57,15 +57,15 @@
 
 // Options holds the settings and callbacks that a group gets from its instance.
 type Options struct {
-	Self     string
-	Failover failover.Config
-	Now      func() time.Duration // monotonic clock
-	Record   func(kind, member string, term uint64, text string)
-	Gap      func(time.Duration) // called with the time that the group had no primary here
-	Pause    func(Step)          // fault injection hook for tests, may be nil
-	MaxWait  time.Duration
-	Fallback int // limit of concurrent strict reads on the primary, 0: half of Connections
-	Floors   int // maximum number of session floors
+	Self          string
+	Failover      failover.Config
+	Now           func() time.Duration // monotonic clock
+	Record        func(kind, member string, term uint64, text string)
+	ObserveOutage func(time.Duration) // called with the time that the group had no primary here
+	Pause         func(Step)          // fault injection hook for tests, may be nil
+	MaxWait       time.Duration
+	Fallback      int // limit of concurrent strict reads on the primary, 0: half of Connections
+	Floors        int // maximum number of session floors
 }
 
 // Default values for Options.
@@ -141,8 +141,8 @@
 	if opts.Pause == nil {
 		opts.Pause = func(Step) {}
 	}
-	if opts.Gap == nil {
-		opts.Gap = func(time.Duration) {}
+	if opts.ObserveOutage == nil {
+		opts.ObserveOutage = func(time.Duration) {}
 	}
 	if opts.Fallback == 0 {
 		opts.Fallback = max(1, spec.Connections/2)
@@ -342,7 +342,7 @@
 	g.coarseSamples.Add(g.opts.Now(), g.floors.Highest())
 	g.ackMu.Unlock()
 	if g.outageSince != 0 {
-		g.opts.Gap(g.opts.Now() - g.outageSince)
+		g.opts.ObserveOutage(g.opts.Now() - g.outageSince)
 		g.outageSince = 0
 	}
 	pools := make(map[string]*upstream.Pool, len(g.spec.Members))
