--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -239,14 +239,14 @@
 func (c *control) startGroup(spec owner.Spec) {
 	name := spec.Name
 	g := owner.New(owner.Options{
-		Self:          c.inst.settings.Name,
-		Failover:      c.inst.settings.Failover,
-		Now:           c.inst.now,
-		Pause:         c.inst.pause,
-		MaxWait:       c.inst.settings.MaxWait,
-		Fallback:      c.inst.settings.Fallback,
-		Floors:        owner.DefaultFloors,
-		ObserveOutage: func(d time.Duration) { c.inst.metrics.failoverGap.Update(d.Seconds()) },
+		Self:            c.inst.settings.Name,
+		Failover:        c.inst.settings.Failover,
+		Now:             c.inst.now,
+		Pause:           c.inst.pause,
+		MaxWait:         c.inst.settings.MaxWait,
+		MaxPrimaryReads: c.inst.settings.Fallback,
+		Floors:          owner.DefaultFloors,
+		ObserveOutage:   func(d time.Duration) { c.inst.metrics.failoverGap.Update(d.Seconds()) },
 		Record: func(kind, member string, term uint64, text string) {
 			c.inst.record(timeline.Event{Kind: kind, Group: name, Member: member, Term: term, Text: text})
 		},
--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -175,7 +175,7 @@
 	snapshot := &routing.View{
 		Members:  make([]routing.Member, 0, len(p.members)),
 		MaxWait:  g.opts.MaxWait,
-		Fallback: g.opts.Fallback,
+		Fallback: g.opts.MaxPrimaryReads,
 		OnPrim:   int(g.primaryReads.Load()),
 	}
 	for _, m := range p.members {
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -57,15 +57,15 @@
 
 // Options holds the settings and callbacks that a group gets from its instance.
 type Options struct {
-	Self          string
-	Failover      failover.Config
-	Now           func() time.Duration // monotonic clock
-	Record        func(kind, member string, term uint64, text string)
-	ObserveOutage func(time.Duration) // called with the time that the group had no primary here
-	Pause         func(Step)          // fault injection hook for tests, may be nil
-	MaxWait       time.Duration
-	Fallback      int // limit of concurrent strict reads on the primary, 0: half of Connections
-	Floors        int // maximum number of session floors
+	Self            string
+	Failover        failover.Config
+	Now             func() time.Duration // monotonic clock
+	Record          func(kind, member string, term uint64, text string)
+	ObserveOutage   func(time.Duration) // called with the time that the group had no primary here
+	Pause           func(Step)          // fault injection hook for tests, may be nil
+	MaxWait         time.Duration
+	MaxPrimaryReads int // limit of concurrent strict reads on the primary, 0: half of Connections
+	Floors          int // maximum number of session floors
 }
 
 // Default values for Options.
@@ -144,8 +144,8 @@
 	if opts.ObserveOutage == nil {
 		opts.ObserveOutage = func(time.Duration) {}
 	}
-	if opts.Fallback == 0 {
-		opts.Fallback = max(1, spec.Connections/2)
+	if opts.MaxPrimaryReads == 0 {
+		opts.MaxPrimaryReads = max(1, spec.Connections/2)
 	}
 	cfg := opts.Failover
 	cfg.ReplicaAck = spec.ReplicaAck
