--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -336,7 +336,7 @@
 // serve creates connection pools bound to the new term and publishes the primary.
 func (g *Group) serve(ctx context.Context, a failover.Serve) {
 	g.ackMu.Lock()
-	g.floors.Learn(a.History)
+	g.floors.MergeHistory(a.History)
 	g.floors.Promoted(a.Term, a.Base, a.Claimed)
 	g.fineSamples.Add(g.opts.Now(), g.floors.Highest())
 	g.coarseSamples.Add(g.opts.Now(), g.floors.Highest())
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Learn adds the terms in a new primary's log to the known history, so that a new
+// MergeHistory adds the terms in a new primary's log to the known history, so that a new
 // owner detects writes that were lost under former owners.
-func (f *Floors) Learn(h group.History) {
+func (f *Floors) MergeHistory(h group.History) {
 	for _, start := range h {
 		f.history = f.history.Append(start)
 	}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -103,7 +103,7 @@
 func (m *model) newOwner(f **Floors, limit int) {
 	m.term++
 	next := New(limit)
-	next.Learn((*f).history) // as reported by the new primary
+	next.MergeHistory((*f).history) // as reported by the new primary
 	next.Promoted(m.term, m.at(len(m.log)), true)
 	*f = next
 }
