--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -337,7 +337,7 @@
 func (g *Group) serve(ctx context.Context, a failover.Serve) {
 	g.ackMu.Lock()
 	g.floors.MergeHistory(a.History)
-	g.floors.Promoted(a.Term, a.Base, a.Claimed)
+	g.floors.BeginTerm(a.Term, a.Base, a.Claimed)
 	g.fineSamples.Add(g.opts.Now(), g.floors.Highest())
 	g.coarseSamples.Add(g.opts.Now(), g.floors.Highest())
 	g.ackMu.Unlock()
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -100,10 +100,10 @@
 	}
 }
 
-// Promoted records the start of a new term at position base. takeover is true if
+// BeginTerm records the start of a new term at position base. takeover is true if
 // the owner is new and so knows no floors of sessions; base then becomes the
 // minimum floor of all sessions.
-func (f *Floors) Promoted(term uint64, base group.Position, takeover bool) {
+func (f *Floors) BeginTerm(term uint64, base group.Position, takeover bool) {
 	f.history = f.history.Append(group.TermStart{Term: term, Index: base.Index})
 	if takeover {
 		f.minFloor = group.Max(f.minFloor, base)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -45,7 +45,7 @@
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
 		f := New(limit)
 		m := &model{last: map[string]group.Position{}, lost: map[string]bool{}, term: 1}
-		f.Promoted(1, group.Position{}, true)
+		f.BeginTerm(1, group.Position{}, true)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			session := fmt.Sprintf("s%d", rapid.IntRange(0, 6).Draw(t, "session"))
 			switch rapid.IntRange(0, 5).Draw(t, "op") {
@@ -94,7 +94,7 @@
 			m.lost[session] = true
 		}
 	}
-	f.Promoted(m.term, m.at(base), false)
+	f.BeginTerm(m.term, m.at(base), false)
 	m.log = m.log[:base]
 }
 
@@ -104,7 +104,7 @@
 	m.term++
 	next := New(limit)
 	next.MergeHistory((*f).history) // as reported by the new primary
-	next.Promoted(m.term, m.at(len(m.log)), true)
+	next.BeginTerm(m.term, m.at(len(m.log)), true)
 	*f = next
 }
 
@@ -127,7 +127,7 @@
 func TestAcceptedLossClearsFloor(t *testing.T) {
 	f := New(10)
 	f.Acknowledge("s", group.Position{Term: 1, Index: 9})
-	f.Promoted(2, group.Position{Term: 1, Index: 5}, false)
+	f.BeginTerm(2, group.Position{Term: 1, Index: 5}, false)
 	_, err := f.Floor("s", group.Position{})
 	must.ErrorIs(t, err, ErrLost)
 	_, err = f.Floor("other", group.Position{})
