--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -481,6 +481,6 @@
 		return
 	}
 	g.ackMu.Lock()
-	g.floors.Passed(reached)
+	g.floors.DropReached(reached)
 	g.ackMu.Unlock()
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -79,11 +79,11 @@
 	}
 }
 
-// Passed drops the floors at or below p, which all healthy replicas have reached,
+// DropReached drops the floors at or below p, which all healthy replicas have reached,
 // and makes p the minimum floor of all sessions, so that a replica that returns
 // with an older log serves no reads. Lost floors are kept until the loss is
 // accepted.
-func (f *Floors) Passed(p group.Position) {
+func (f *Floors) DropReached(p group.Position) {
 	f.minFloor = group.Max(f.minFloor, p)
 	for session, floor := range f.floors {
 		if p.AtLeast(floor) && f.history.Holds(floor) {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -82,7 +82,7 @@
 
 func (m *model) progress(t *rapid.T, f *Floors) {
 	m.replicated = rapid.IntRange(m.replicated, len(m.log)).Draw(t, "progress")
-	f.Passed(m.at(m.replicated))
+	f.DropReached(m.at(m.replicated))
 }
 
 // failover promotes a replica that has at least the entries that all replicas have.
