--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -99,7 +99,7 @@
 	g.ackMu.Lock()
 	defer g.ackMu.Unlock()
 	if h.AcceptLoss {
-		g.floors.Accept(h.Session)
+		g.floors.AcceptLoss(h.Session)
 		h.Floor = nil
 	}
 	ingressFloor := group.Position{Term: h.Floor.GetTerm(), Index: h.Floor.GetIndex()}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -72,8 +72,8 @@
 	return group.Max(floor, f.minFloor), nil
 }
 
-// Accept removes the floor of a session that has accepted the loss of its writes.
-func (f *Floors) Accept(session string) {
+// AcceptLoss removes the floor of a session that has accepted the loss of its writes.
+func (f *Floors) AcceptLoss(session string) {
 	if !f.history.Holds(f.floors[session]) {
 		delete(f.floors, session)
 	}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -132,7 +132,7 @@
 	must.ErrorIs(t, err, ErrLost)
 	_, err = f.Floor("other", group.Position{})
 	must.NoError(t, err)
-	f.Accept("s")
+	f.AcceptLoss("s")
 	_, err = f.Floor("s", group.Position{})
 	must.NoError(t, err)
 }
