--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,14 +23,14 @@
 
 // Config holds the timeouts and limits.
 type Config struct {
-	Suspect    time.Duration // an instance counts as down if probes have failed for this long
+	DownAfter  time.Duration // an instance counts as down if probes have failed for this long
 	Introduced time.Duration // how long an unlisted instance is kept after its last contact
 	Neighbours int           // number of neighbours to probe
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
-	return Config{Suspect: 600 * time.Millisecond, Introduced: 5 * time.Minute, Neighbours: 3}
+	return Config{DownAfter: 600 * time.Millisecond, Introduced: 5 * time.Minute, Neighbours: 3}
 }
 
 // record is the state of one other instance.
@@ -143,7 +143,7 @@
 // Tick must be called periodically. A long gap between calls means that this
 // process was paused; failed probes before and during the pause are then ignored.
 func (s *State) Tick(now time.Duration) {
-	if s.lastTick != 0 && now-s.lastTick > s.cfg.Suspect/2 {
+	if s.lastTick != 0 && now-s.lastTick > s.cfg.DownAfter/2 {
 		for _, r := range s.records {
 			r.unresponsive = false
 		}
@@ -158,14 +158,14 @@
 	if r == nil {
 		return name != s.self.Name
 	}
-	limit := s.cfg.Suspect
+	limit := s.cfg.DownAfter
 	if r.connRefused {
 		limit /= refusedDivisor
 	}
 	return r.unresponsive && now-r.unresponsiveSince >= limit
 }
 
-// refusedDivisor divides Config.Suspect if the last failed probe found the
+// refusedDivisor divides Config.DownAfter if the last failed probe found the
 // connection refused.
 const refusedDivisor = 4
 
