--- a/internal/instance/backend.go
+++ b/internal/instance/backend.go
@@ -40,7 +40,7 @@
 	i.metrics.peerMessages.Inc()
 	i.hlc.Observe(timeline.Stamp(req.Clock))
 	i.post(func(c *control) {
-		c.members.Heard(i.now(), req.From, req.Leaving)
+		c.members.RecordContact(i.now(), req.From, req.Leaving)
 		c.members.Introduce(i.now(), membership.Instance{
 			Name:       req.From,
 			Address:    req.Address,
@@ -110,7 +110,7 @@
 		i.dispatcher.SetOwner(st.Group, req.From, st.Term)
 	}
 	i.post(func(c *control) {
-		c.members.Heard(i.now(), req.From, req.Leaving)
+		c.members.RecordContact(i.now(), req.From, req.Leaving)
 		for _, st := range req.Groups {
 			if w := c.watches[st.Group]; w != nil {
 				delete(w.idle, req.From)
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -428,7 +428,7 @@
 		return
 	}
 	c.inst.hlc.Observe(timeline.Stamp(reply.Clock))
-	c.members.Heard(now, name, reply.Leaving)
+	c.members.RecordContact(now, name, reply.Leaving)
 	c.noteServing(now, name, reply.Groups)
 	if c.inst.catalogue.Load().snapshot.Newer(reply.Revision, reply.Digest) && !c.newer[name] {
 		c.newer[name] = true
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -110,11 +110,11 @@
 	r := s.getOrCreate(i.Name)
 	r.Address, r.DataCentre = i.Address, i.DataCentre
 	r.introducedAt = now
-	s.Heard(now, i.Name, i.Leaving)
+	s.RecordContact(now, i.Name, i.Leaving)
 }
 
-// Heard records contact with an instance, and whether the instance is leaving.
-func (s *State) Heard(now time.Duration, name string, leaving bool) {
+// RecordContact records contact with an instance, and whether the instance is leaving.
+func (s *State) RecordContact(now time.Duration, name string, leaving bool) {
 	r := s.records[name]
 	if r == nil {
 		return
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -27,7 +27,7 @@
 	s.Missed(time.Second, "x", false)
 	must.Eq(t, []string{"me", "x", "y"}, liveNames(s, 1500*time.Millisecond))
 	must.Eq(t, []string{"me", "y"}, liveNames(s, 1700*time.Millisecond))
-	s.Heard(2*time.Second, "x", false) // x was paused and answers again
+	s.RecordContact(2*time.Second, "x", false) // x was paused and answers again
 	must.Eq(t, []string{"me", "x", "y"}, liveNames(s, 2*time.Second))
 }
 
@@ -54,7 +54,7 @@
 	s.Introduce(time.Second, Instance{Name: "new", Address: "3"})
 	s.SetList(2*time.Second, []Instance{{Name: "y", Address: "2"}})
 	must.Eq(t, []string{"me", "new", "y"}, liveNames(s, 2*time.Second), must.Sprint("x was known from the list only"))
-	s.Heard(2*time.Second, "y", true)
+	s.RecordContact(2*time.Second, "y", true)
 	must.Eq(t, []string{"me", "new"}, liveNames(s, 2*time.Second))
 	s.SetList(10*time.Minute, []Instance{{Name: "y", Address: "2", Leaving: true}})
 	must.Eq(t, []string{"me"}, liveNames(s, 10*time.Minute), must.Sprint("the last contact with new is too long ago"))
