--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -424,7 +424,7 @@
 		p.running = false
 	}
 	if err != nil {
-		c.members.Missed(now, name, refused)
+		c.members.RecordFailedProbe(now, name, refused)
 		return
 	}
 	c.inst.hlc.Observe(timeline.Stamp(reply.Clock))
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -124,10 +124,10 @@
 	r.announcedLeaving = leaving
 }
 
-// Missed records a failed probe. A refused connection is stronger evidence than a
+// RecordFailedProbe records a failed probe. A refused connection is stronger evidence than a
 // timeout, because the network works and the process is gone. It shortens the
 // time after which the instance counts as down.
-func (s *State) Missed(now time.Duration, name string, refused bool) {
+func (s *State) RecordFailedProbe(now time.Duration, name string, refused bool) {
 	r := s.records[name]
 	if r == nil {
 		return
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -24,7 +24,7 @@
 func TestUnresponsiveInstanceReturns(t *testing.T) {
 	s := newTestState()
 	must.Eq(t, []string{"me", "x", "y"}, liveNames(s, 0))
-	s.Missed(time.Second, "x", false)
+	s.RecordFailedProbe(time.Second, "x", false)
 	must.Eq(t, []string{"me", "x", "y"}, liveNames(s, 1500*time.Millisecond))
 	must.Eq(t, []string{"me", "y"}, liveNames(s, 1700*time.Millisecond))
 	s.RecordContact(2*time.Second, "x", false) // x was paused and answers again
@@ -33,16 +33,16 @@
 
 func TestRefusedConnectionShortensTimeout(t *testing.T) {
 	s := newTestState()
-	s.Missed(time.Second, "x", true)
+	s.RecordFailedProbe(time.Second, "x", true)
 	must.True(t, s.Down(1200*time.Millisecond, "x"))
-	s.Missed(time.Second, "y", false)
+	s.RecordFailedProbe(time.Second, "y", false)
 	must.False(t, s.Down(1200*time.Millisecond, "y"))
 }
 
 func TestProcessPauseClearsMissedProbes(t *testing.T) {
 	s := newTestState()
 	s.Tick(time.Second)
-	s.Missed(time.Second, "x", false)
+	s.RecordFailedProbe(time.Second, "x", false)
 	s.Tick(10 * time.Second)
 	must.Eq(t, []string{"me", "x", "y"}, liveNames(s, 10*time.Second))
 }
