--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -36,7 +36,7 @@
 	DampingWindow    time.Duration // each change of the primary within this window doubles MemberTimeout
 	MaxMoves         int           // changes of the primary allowed within DampingWindow
 	HardFailures     int           // consecutive connection failures after which a member counts as failed
-	ClaimRetryDelay  time.Duration // delay, after Collect, before a claim without a majority is retried
+	ClaimRetryDelay  time.Duration // delay, after CollectTimeout, before a claim without a majority is retried
 }
 
 // DefaultConfig returns the defaults.
@@ -108,8 +108,8 @@
 // Claim requests that this instance take the group over.
 type Claim struct {
 	Reason string
-	// ExtraOwnerTimeout is added to Config.OwnerTimeout, so that several candidates do not
-	// claim at the same moment.
+	// ExtraOwnerTimeout is added to Config.OwnerTimeout, so that several candidates
+	// do not claim at the same moment.
 	ExtraOwnerTimeout time.Duration
 	From              string         // former owner that has handed the group over, or ""
 	Term              uint64         // term in which From owned the group
@@ -225,20 +225,20 @@
 	suspect           string // presumed failed: fencing does not wait for it
 	excluded          string // member that should not be promoted
 	formerOwner       string // former owner that has handed over: its lease need not expire first
-	formerOwnerTerm   uint64
+	formerOwnerTerm   uint64 // term in which formerOwner owned the group
 	extraOwnerTimeout time.Duration
-	reason            string // reason of the current claim
-	acked             group.Position
-	phaseStarted      time.Duration // when the current phase began
-	leasesExpireAt    time.Duration // when the leases of all former owners have expired
+	reason            string         // reason of the current claim
+	acked             group.Position // highest known acknowledged position
+	phaseStarted      time.Duration  // when the current phase began
+	leasesExpireAt    time.Duration  // when the leases of all former owners have expired
 	lastTick          time.Duration
 	lastHeartbeat     time.Duration
-	primaryChanges    []time.Duration
+	primaryChanges    []time.Duration // times of past changes of the primary
 	leaving           map[string]bool
-	claimed           bool
-	drained           bool
-	lastDrain         time.Duration
-	formerPrimary     string // last primary before the current claim or failover
+	claimed           bool          // a claim is under way: the next Serve makes this instance the owner
+	drained           bool          // no transaction is open on the leaving primary
+	lastDrain         time.Duration // when draining last began
+	formerPrimary     string        // last primary before the current claim or failover
 }
 
 // New returns the state of an instance that does not own the group.
@@ -274,9 +274,9 @@
 func (s *State) majority() int { return len(s.names)/2 + 1 }
 
 // LeaseEnd returns the time until which work of the current term may be
-// acknowledged: Config.Lease after the latest time since which a majority has
-// answered a heartbeat, counted from when the heartbeats were sent. It is zero
-// if no majority has answered in this term.
+// acknowledged. The lease lasts Config.Lease from the latest time for which a
+// majority has answered heartbeats that were sent at that time or later. The
+// result is zero if no majority has answered a heartbeat in this term.
 func (s *State) LeaseEnd() time.Duration {
 	if s.phase != Serving && s.phase != Draining {
 		return 0
@@ -334,6 +334,7 @@
 	s.phaseStarted = now
 }
 
+// broadcast returns actions that send a request to all members.
 func (s *State) broadcast(op Op) []Action {
 	actions := make([]Action, 0, len(s.names))
 	for _, name := range s.names {
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -142,6 +142,7 @@
 	return time.Duration(sim.rng.IntN(8)) * time.Millisecond
 }
 
+// dropMessage decides at random whether a message is lost.
 func (sim *simulation) dropMessage() bool { return sim.rng.Float64() < sim.loss }
 
 // deliver applies an event to an instance. A paused instance gets it when it
@@ -487,7 +488,7 @@
 			sim.run(sim.now + 200*time.Millisecond)
 		}
 		if len(sim.acked) == before {
-			t.Fatalf("nothing was acknowledged within 12 s of healing: phases %s %s", sim.instances[0].state.Phase(), sim.instances[1].state.Phase())
+			t.Fatalf("nothing was acknowledged within 12 s of the last repair: phases %s %s", sim.instances[0].state.Phase(), sim.instances[1].state.Phase())
 		}
 	})
 }
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -149,8 +149,8 @@
 }
 
 // primaryIsolated reports whether no replica has had a link to the primary for
-// Config.IsolationTimeout. It is always false if the primary alone acknowledges writes,
-// since replacing it would lose the writes acknowledged meanwhile.
+// Config.IsolationTimeout. It is always false if the primary alone acknowledges
+// writes, since replacing it would lose the writes acknowledged meanwhile.
 func (s *State) primaryIsolated(now time.Duration) bool {
 	if !s.cfg.ReplicaAck || s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxMoves {
 		return false
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -36,13 +36,13 @@
 // record is the state of one other instance.
 type record struct {
 	Instance
-	listed            bool
+	listed            bool          // on the platform's list
 	announcedLeaving  bool          // the instance itself has announced that it is leaving
 	lastContact       time.Duration // time of the last answer or request
 	unresponsive      bool          // probes have failed since the last contact
 	connRefused       bool          // the last failed probe found the connection refused
 	unresponsiveSince time.Duration // time of the first failed probe since the last contact
-	introducedAt      time.Duration
+	introducedAt      time.Duration // when the instance last connected to this one
 }
 
 // State is an instance's view of the fleet. It is not safe for concurrent use.
@@ -113,7 +113,8 @@
 	s.RecordContact(now, i.Name, i.Leaving)
 }
 
-// RecordContact records contact with an instance, and whether the instance is leaving.
+// RecordContact records that an instance has answered or sent a request, and
+// whether it is leaving.
 func (s *State) RecordContact(now time.Duration, name string, leaving bool) {
 	r := s.records[name]
 	if r == nil {
@@ -124,9 +125,9 @@
 	r.announcedLeaving = leaving
 }
 
-// RecordFailedProbe records a failed probe. A refused connection is stronger evidence than a
-// timeout, because the network works and the process is gone. It shortens the
-// time after which the instance counts as down.
+// RecordFailedProbe records a failed probe. A refused connection is stronger
+// evidence than a timeout, because the network works and the process is gone. It
+// shortens the time after which the instance counts as down.
 func (s *State) RecordFailedProbe(now time.Duration, name string, refused bool) {
 	r := s.records[name]
 	if r == nil {
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -59,13 +59,13 @@
 type Options struct {
 	Self            string
 	Failover        failover.Config
-	Now             func() time.Duration // monotonic clock
-	Record          func(kind, member string, term uint64, text string)
-	ObserveOutage   func(time.Duration) // called with the time that the group had no primary here
-	Pause           func(Step)          // fault injection hook for tests, may be nil
-	MaxWait         time.Duration
-	MaxPrimaryReads int // limit of concurrent strict reads on the primary, 0: half of Connections
-	Floors          int // maximum number of session floors
+	Now             func() time.Duration                                // monotonic clock
+	Record          func(kind, member string, term uint64, text string) // adds an event to the time line
+	ObserveOutage   func(time.Duration)                                 // called with the time that the group had no primary here
+	Pause           func(Step)                                          // fault injection hook for tests, may be nil
+	MaxWait         time.Duration                                       // see routing.View
+	MaxPrimaryReads int                                                 // limit of concurrent strict reads on the primary, 0: half of Connections
+	Floors          int                                                 // maximum number of session floors
 }
 
 // Default values for Options.
@@ -110,9 +110,9 @@
 
 	view         atomic.Pointer[view]
 	progress     atomic.Pointer[progress]
-	leaseEnd     atomic.Int64
+	leaseEnd     atomic.Int64 // failover.State.LeaseEnd, on the clock of Options.Now
 	rejected     atomic.Int64 // requests rejected because a queue was full or their deadline would pass
-	active       activity
+	active       activity     // open transactions
 	primaryReads atomic.Int64 // strict reads that run on the primary
 
 	events  chan failover.Event
@@ -124,13 +124,13 @@
 	// held briefly.
 	ackMu         sync.Mutex
 	floors        *session.Floors
-	fineSamples   *routing.Samples
-	coarseSamples *routing.Samples
-	keyTableTerm  uint64 // term in which the table of request keys was created or found
+	fineSamples   *routing.Samples // highest acknowledged position over a short time, fineSpacing apart
+	coarseSamples *routing.Samples // the same over a longer time, coarseSpacing apart
+	keyTableTerm  uint64           // term in which the table of request keys was created or found
 
 	// The fields below are used by the control goroutine only.
 	state          *failover.State
-	lag            map[string]time.Duration
+	lag            map[string]time.Duration // replica lag, by member
 	lastFloorSweep time.Duration
 	outageSince    time.Duration // since when the group has no primary, 0 if it has one
 	overload       overload
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -72,16 +72,17 @@
 	return group.Max(floor, f.minFloor), nil
 }
 
-// AcceptLoss removes the floor of a session that has accepted the loss of its writes.
+// AcceptLoss removes the floor of a session whose client has accepted the loss of
+// acknowledged writes. A floor that is not lost stays.
 func (f *Floors) AcceptLoss(session string) {
 	if !f.history.Holds(f.floors[session]) {
 		delete(f.floors, session)
 	}
 }
 
-// DropReached drops the floors at or below p, which all healthy replicas have reached,
-// and makes p the minimum floor of all sessions, so that a replica that returns
-// with an older log serves no reads. Lost floors are kept until the loss is
+// DropReached drops the floors at or below p, which all healthy replicas have
+// reached, and makes p the minimum floor of all sessions, so that a replica that
+// is further behind serves no reads. Lost floors are kept until the loss is
 // accepted.
 func (f *Floors) DropReached(p group.Position) {
 	f.minFloor = group.Max(f.minFloor, p)
@@ -92,8 +93,8 @@
 	}
 }
 
-// MergeHistory adds the terms in a new primary's log to the known history, so that a new
-// owner detects writes that were lost under former owners.
+// MergeHistory adds the terms in a new primary's log to the known history, so that
+// a new owner detects writes that were lost under former owners.
 func (f *Floors) MergeHistory(h group.History) {
 	for _, start := range h {
 		f.history = f.history.Append(start)
