--- a/internal/failover/bench_test.go
+++ b/internal/failover/bench_test.go
@@ -17,7 +17,7 @@
 		timeout *= time.Millisecond
 		b.Run(fmt.Sprintf("silence=%s", timeout), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			replaced, pauses, noticed := 0, 0, time.Duration(0)
+			replaced, pauses, detectionTime := 0, 0, time.Duration(0)
 			for b.Loop() {
 				pause := 100*time.Millisecond + time.Duration(rng.Int64N(int64(1900*time.Millisecond)))
 				offset := time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
@@ -25,10 +25,10 @@
 				if timeToReplace(timeout, pause, offset) > 0 {
 					replaced++
 				}
-				noticed += timeToReplace(timeout, time.Hour, offset)
+				detectionTime += timeToReplace(timeout, time.Hour, offset)
 			}
 			b.ReportMetric(100*float64(replaced)/float64(pauses), "%pauses-moved")
-			b.ReportMetric(float64(noticed.Milliseconds())/float64(pauses), "ms-to-notice")
+			b.ReportMetric(float64(detectionTime.Milliseconds())/float64(pauses), "ms-to-notice")
 		})
 	}
 }
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -181,12 +181,12 @@
 // acknowledged in earlier terms. An owner may start to serve in a term that has
 // already been superseded; acknowledge checks that it then acknowledges nothing.
 func (sim *simulation) checkLogComplete(inst *fakeInstance, a Serve) {
-	held := make(map[group.Position]bool)
+	inLog := make(map[group.Position]bool)
 	for _, p := range sim.member(a.Primary).log {
-		held[p] = true
+		inLog[p] = true
 	}
 	for _, p := range sim.acked {
-		if p.Term < a.Term && !held[p] {
+		if p.Term < a.Term && !inLog[p] {
 			inst.t.Fatalf("at %s: acknowledged %s is not held by %s, which serves in term %d", sim.now, p, a.Primary, a.Term)
 		}
 	}
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -66,7 +66,7 @@
 	}
 	actions = append(actions, s.reportUnresponsive(now)...)
 	if s.members[s.primary].connFailures > 0 {
-		// After a connection failure, retry at once instead of at the next heartbeat.
+		// After a connection failure, retry immediately instead of at the next heartbeat.
 		actions = append(actions, Send{Member: s.primary, Op: OpStatus, Term: s.term})
 	}
 	if reason := s.primaryFailure(now); reason != "" {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -48,7 +48,7 @@
 }
 
 // The platform's list is out of date: an unlisted instance that is in contact is
-// kept, and one that announces that it is leaving is removed at once.
+// kept, and one that announces that it is leaving is removed immediately.
 func TestStalePlatformList(t *testing.T) {
 	s := newTestState()
 	s.Introduce(time.Second, Instance{Name: "new", Address: "3"})
--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -16,7 +16,7 @@
 
 // awaitServing returns the view once this instance serves the group with a valid
 // lease. It waits while this instance takes the group over, and returns a refusal
-// at once if the group is handed over or owned by another instance.
+// immediately if the group is handed over or owned by another instance.
 func (g *Group) awaitServing(ctx context.Context, deadline time.Duration) (*view, error) {
 	for {
 		v := g.view.Load()
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -203,7 +203,7 @@
 
 // Claim requests that this instance take the group over. The extra timeout is
 // added to the time without contact after which the former owner counts as
-// failed; candidates use different ones so that they do not claim at once.
+// failed; candidates use different ones so that they do not claim at the same moment.
 func (g *Group) Claim(reason string, extraTimeout time.Duration) {
 	g.post(failover.Claim{Reason: reason, ExtraOwnerTimeout: extraTimeout})
 }
--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -306,8 +306,8 @@
 	if err := s.group.awaitLease(ctx, s.view); err != nil {
 		return err
 	}
-	left := time.Duration(s.group.leaseEnd.Load()) - s.received
-	done.AckWithinUs = max(left.Microseconds(), 1)
+	remaining := time.Duration(s.group.leaseEnd.Load()) - s.received
+	done.AckWithinUs = max(remaining.Microseconds(), 1)
 	return nil
 }
 
