--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -282,10 +282,10 @@
 	if f.Lease < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "lease"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
-	if f.Silence < 2*f.Heartbeat {
+	if f.MemberTimeout < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
-	if f.OwnerSilence < 2*f.Heartbeat {
+	if f.OwnerTimeout < 2*f.Heartbeat {
 		p.list.Add(p.at(place{"failover", "owner_silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
 }
@@ -350,11 +350,11 @@
 		{"platform", "prefix"}:                 text(&s.PlatformPrefix),
 		{"platform", "timeout"}:                duration(&s.PlatformTimeout),
 		{"failover", "heartbeat"}:              duration(&s.Failover.Heartbeat),
-		{"failover", "silence"}:                duration(&s.Failover.Silence),
-		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerSilence),
+		{"failover", "silence"}:                duration(&s.Failover.MemberTimeout),
+		{"failover", "owner_silence"}:          duration(&s.Failover.OwnerTimeout),
 		{"failover", "lease"}:                  duration(&s.Failover.Lease),
-		{"failover", "drain_bound"}:            duration(&s.Failover.DrainBound),
-		{"failover", "isolation"}:              duration(&s.Failover.Isolation),
+		{"failover", "drain_bound"}:            duration(&s.Failover.DrainTimeout),
+		{"failover", "isolation"}:              duration(&s.Failover.IsolationTimeout),
 		{"reads", "max_wait"}:                  duration(&s.MaxWait),
 		{"reads", "primary_reads"}:             number(&s.Fallback, 0, 10_000),
 		{"stop", "drain_timeout"}:              duration(&s.DrainTime),
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -239,14 +239,14 @@
 func (c *control) startGroup(spec owner.Spec) {
 	name := spec.Name
 	g := owner.New(owner.Options{
-		Self:     c.inst.settings.Name,
-		Failover: c.inst.settings.Failover,
-		Now:      c.inst.now,
-		Pause:    c.inst.pause,
-		MaxWait:  c.inst.settings.MaxWait,
-		Fallback: c.inst.settings.Fallback,
-		Floors:   owner.DefaultFloors,
-		Gap:      func(d time.Duration) { c.inst.metrics.failoverGap.Update(d.Seconds()) },
+		Self:            c.inst.settings.Name,
+		Failover:        c.inst.settings.Failover,
+		Now:             c.inst.now,
+		Pause:           c.inst.pause,
+		MaxWait:         c.inst.settings.MaxWait,
+		MaxPrimaryReads: c.inst.settings.Fallback,
+		Floors:          owner.DefaultFloors,
+		ObserveOutage:   func(d time.Duration) { c.inst.metrics.failoverGap.Update(d.Seconds()) },
 		Record: func(kind, member string, term uint64, text string) {
 			c.inst.record(timeline.Event{Kind: kind, Group: name, Member: member, Term: term, Text: text})
 		},
@@ -329,7 +329,7 @@
 	if name == "" || name == c.inst.settings.Name {
 		return false
 	}
-	if silentSince, ok := c.watches[group].idle[name]; ok && now-silentSince > c.inst.settings.Failover.OwnerSilence {
+	if silentSince, ok := c.watches[group].idle[name]; ok && now-silentSince > c.inst.settings.Failover.OwnerTimeout {
 		return false
 	}
 	return !c.members.Down(now, name)
@@ -424,11 +424,11 @@
 		p.running = false
 	}
 	if err != nil {
-		c.members.Missed(now, name, refused)
+		c.members.RecordFailedProbe(now, name, refused)
 		return
 	}
 	c.inst.hlc.Observe(timeline.Stamp(reply.Clock))
-	c.members.Heard(now, name, reply.Leaving)
+	c.members.RecordContact(now, name, reply.Leaving)
 	c.noteServing(now, name, reply.Groups)
 	if c.inst.catalogue.Load().snapshot.Newer(reply.Revision, reply.Digest) && !c.newer[name] {
 		c.newer[name] = true
