--- a/internal/upstream/alive.go
+++ b/internal/upstream/alive.go
@@ -2,5 +2,6 @@
 
 import "github.com/stackspindle/stackspindle/internal/socket"
 
-// Alive reports whether an idle connection may be used again.
+// Alive reports whether an idle connection can be reused: it is not marked broken, the
+// member has not closed it and has sent no unsolicited data.
 func (c *Conn) Alive() bool { return !c.Broken() && socket.Silent(c.conn) }
--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -8,64 +8,68 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Kinds of the messages in a batch. Those of the protocol keep their letters.
+// Kinds of the messages in a batch. The values are the type bytes of the PostgreSQL
+// protocol, except KindCloseStatement, which the protocol sends as a Close ('C').
 const (
 	KindQuery          = 'Q'
-	KindParse          = 'P' // no bytes of its own: the statement is in Statements
+	KindParse          = 'P' // no bytes in Wire: the statement is in Statements
 	KindBind           = 'B'
 	KindDescribe       = 'D'
 	KindExecute        = 'E'
 	KindClosePortal    = 'C'
-	KindCloseStatement = 'c' // no bytes: answered here
+	KindCloseStatement = 'c' // no bytes in Wire: answered by this instance
 	KindSync           = 'S'
 	KindFlush          = 'H'
 )
 
-// Statement is a prepared statement by content: two callers that prepare the
-// same text with the same types share it under the same name.
+// Statement is a prepared statement. Its name is derived from the text and the parameter
+// types, so that clients that prepare the same statement share it on a connection.
 type Statement struct {
 	Name          string
 	SQL           string
 	ParameterOIDs []uint32
 }
 
-// Batch is what a caller sent up to a Query, Sync or Flush.
+// Batch holds the messages of a client up to and including a Query, Sync or Flush. Kinds,
+// Ends and Refs have one element per message.
 type Batch struct {
 	Wire       []byte
 	Kinds      []byte
-	Ends       []uint32 // where each message ends in Wire
-	Refs       []uint32 // 1-based index into Statements, 0: none
+	Ends       []uint32 // offset in Wire at which each message ends
+	Refs       []uint32 // 1-based index into Statements; 0: none
 	Statements []Statement
-	Probe      bool // ask for the log position after the batch
+	Probe      bool // query the member's log position after the batch
 }
 
-// Result is what is left of an answer when all else was emitted.
+// Result is the end of an answer: the part that Run has not passed to emit.
 type Result struct {
-	Wire     []byte         // the last chunk, which holds the acknowledgement
-	Position group.Position // zero unless Probe was set and answered
-	Failed   bool           // the answer holds an error
-	Emitted  bool           // part of the answer was emitted before
+	Wire     []byte         // the last chunk, which includes the command's completion
+	Position group.Position // zero unless the batch asked for it and the member returned it
+	Failed   bool           // the answer contains an ErrorResponse
+	Emitted  bool           // part of the answer has already been passed to emit
 }
 
-// expectation is what the next answers belong to.
+// expectation is a message that the member, or this instance, still has to answer.
 type expectation struct {
 	kind    byte
-	silent  bool   // the answer is not for the caller
-	prepare string // name of the statement that is known afterwards
+	silent  bool   // the answer is not passed on to the client
+	prepare string // name of the statement that is prepared once the answer has arrived
 }
 
-const expectPosition = 'p' // the position probe
+const expectPosition = 'p' // the query for the log position
 
-// chunkSize is the least size of a chunk that is emitted early.
+// chunkSize is the size in bytes from which a chunk is emitted before the answer ends.
 const chunkSize = 32 << 10
 
-// firstChunk is the capacity that most answers fit in.
+// firstChunk is the initial capacity of the answer's buffer in bytes; most answers fit.
 const firstChunk = 512
 
-// Run sends a batch and hands on its answer. Rows are emitted in chunks as they
-// arrive; the rest, which always includes the command's completion, is
-// returned, so that the caller of Run decides whether it may be acknowledged.
-// Answers are matched to messages in order, so none can reach another request.
+// Run sends a batch and reads its answer. Rows are passed to emit in chunks as they
+// arrive. The rest, which always includes the command's completion, is returned, so that
+// Run's caller can check that the command may be acknowledged before it passes the
+// completion on. Every backend message is matched to the frontend message that it answers,
+// in order; a message that does not match closes the connection, so that no answer can
+// reach another request.
 func (c *Conn) Run(b *Batch, emit func(wire []byte) error) (Result, error) {
 	expected, err := c.encode(b)
 	if err != nil {
@@ -77,8 +81,8 @@
 			return Result{}, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrUnknown, err)
 		}
 	}
-	// The answer outlives the lease of the connection, so its bytes are never
-	// those of a buffer that the next batch uses.
+	// The answer is still in use after the connection has returned to its pool, so its
+	// buffer is never shared with the next batch.
 	r := &reader{conn: c, expected: expected, emit: emit, chunk: make([]byte, 0, firstChunk)}
 	if err := r.read(); err != nil {
 		c.Kill()
@@ -97,7 +101,7 @@
 	return last == KindQuery || last == KindSync
 }
 
-// encode fills c.out and returns what is expected back.
+// encode writes the frontend messages into c.out and returns the expected answers.
 func (c *Conn) encode(b *Batch) ([]expectation, error) {
 	c.out = c.out[:0]
 	expected := make([]expectation, 0, len(b.Kinds)+1)
@@ -159,8 +163,9 @@
 	return append(expected, expectation{kind: kind}), nil
 }
 
-// encodeClose forgets a statement here too, since callers close statements whose
-// plans have become invalid, and answers the caller itself.
+// encodeClose closes a prepared statement on the member as well, because clients close
+// statements whose plans have become invalid. CloseComplete is generated here; the member's
+// own is discarded.
 func (c *Conn) encodeClose(b *Batch, ref uint32, expected []expectation) ([]expectation, error) {
 	if ref > 0 && c.prepared[b.Statements[ref-1].Name] {
 		name := b.Statements[ref-1].Name
@@ -174,17 +179,18 @@
 	return append(expected, expectation{kind: KindCloseStatement}), nil
 }
 
-// Kinds of expectations that are met without the member.
+// syntheticParse expects a ParseComplete that is generated here, because the statement is
+// already prepared on the connection.
 const syntheticParse = 'p' + 1
 
-// reader takes in the answer to one batch.
+// reader reads the answer to one batch.
 type reader struct {
 	conn     *Conn
 	expected []expectation
 	emit     func([]byte) error
 	chunk    []byte
 	result   Result
-	whole    bool // the simple query at the head has no statement half answered
+	whole    bool // no statement of the current simple query is partly answered
 }
 
 func (r *reader) read() error {
@@ -205,7 +211,7 @@
 	}
 }
 
-// synthesize answers the messages at the head that the member never saw.
+// synthesize generates the answers to leading messages that were not sent to the member.
 func (r *reader) synthesize() error {
 	for len(r.expected) > 0 {
 		var msg pgproto3.BackendMessage
@@ -231,7 +237,7 @@
 	return err
 }
 
-// done reports which message completes an expectation.
+// done reports whether msg ends the answer to a message of the given kind.
 func done(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.ParseComplete:
@@ -250,7 +256,7 @@
 	return false
 }
 
-// part reports which messages may come before the one that completes.
+// part reports whether msg may precede the end of the answer to a message of the given kind.
 func part(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.DataRow:
@@ -302,8 +308,8 @@
 	return nil
 }
 
-// noteWhole keeps whether a statement is half answered, so that an answer cut
-// short by a stray ReadyForQuery is not taken for a short result.
+// noteWhole tracks whether a statement is partly answered, so that a result that an
+// unexpected ReadyForQuery truncates is not mistaken for a complete one.
 func (r *reader) noteWhole(msg pgproto3.BackendMessage) {
 	switch msg.(type) {
 	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.ErrorResponse:
@@ -323,10 +329,11 @@
 	}
 }
 
-// takeError skips what the member will not answer: everything up to Sync.
+// takeError handles an ErrorResponse. After an error in the extended protocol the member
+// ignores all messages up to Sync, so their expectations are removed.
 func (r *reader) takeError(head expectation, e *pgproto3.ErrorResponse) error {
 	if head.kind == expectPosition {
-		return nil // the batch left a transaction open; there is no position
+		return nil // the batch left a transaction open in which the query fails; there is no position
 	}
 	if e.Severity == "FATAL" || e.SeverityUnlocalized == "FATAL" {
 		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrUnknown, e.Message, e.Code)
--- a/internal/upstream/batch_test.go
+++ b/internal/upstream/batch_test.go
@@ -20,14 +20,15 @@
 	}
 }
 
-// scriptedMember answers every statement with a row that names it. It sends its
-// bytes in pieces, and may put in one stray message or break off.
+// scriptedMember answers every statement with a row that contains the statement's text. It
+// splits its output into pieces, and can insert one unexpected message or break the
+// connection within an answer.
 type scriptedMember struct {
-	piece   int // bytes sent at a time
-	strayAt int // answer before which a stray message is sent, -1: none
-	breakAt int // answer at which the connection breaks, -1: none
+	piece   int // bytes per write
+	strayAt int // number of the message before which the unexpected one is sent; -1: none
+	breakAt int // number of the message in which the connection breaks; -1: none
 	stray   pgproto3.BackendMessage
-	sent    int
+	sent    int // messages sent so far, without the unexpected one
 }
 
 func (m *scriptedMember) serve(l net.Listener) {
@@ -101,8 +102,9 @@
 	return m.sent != m.breakAt+1
 }
 
-// Whatever the member does, every batch gets exactly its own answer or an error,
-// and after an error the connection is not used again.
+// Run must return exactly the answer of its own batch or an error, and an error must mark the
+// connection broken. Members that split messages, send unexpected ones or break the
+// connection must not make it pass on another batch's answer or a truncated one.
 func TestAnswersReachTheirOwnRequestWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		strays := []pgproto3.BackendMessage{
@@ -130,7 +132,7 @@
 			}
 			got = append(got, result.Wire...)
 			if m.strayAt >= 0 && harmless {
-				continue // the notice is passed on, at a place of the member's choice
+				continue // the notice is passed on, anywhere in the answer
 			}
 			if string(got) != string(want) {
 				t.Fatalf("batch %d got %q, want %q", i, got, want)
@@ -153,8 +155,8 @@
 	return conn
 }
 
-// drawBatch makes a simple query or a pipeline of prepared statements, some of
-// which the connection knows already, and the answer that belongs to it.
+// drawBatch generates a simple query or a pipeline of prepared statements, some of which may
+// already be prepared on the connection, and the expected answer.
 func drawBatch(t *rapid.T, i int, conn *Conn) (*Batch, []byte) {
 	b := &Batch{}
 	var want []byte
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,6 +1,10 @@
-// Package upstream talks to the members of a database group over the PostgreSQL
-// protocol: data connections that run callers' batches, pools that share them,
-// and control connections for status, heartbeats and failover.
+// Package upstream is the PostgreSQL client side: it connects to the members of a database
+// group. Conn runs batches of clients' messages, Pool shares such connections between
+// clients, and Control sends status requests, heartbeats and the steps of a failover.
+// The instance that owns a group uses it.
+//
+// After an error or an unexpected message during a batch the connection is closed and
+// never reused, so that an answer cannot reach another client's request.
 package upstream
 
 import (
@@ -18,18 +22,18 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Target names a database on a member and who asks for it.
+// Target identifies a database on a member and holds the credentials for it.
 type Target struct {
 	Member   string
 	Addr     string // host:port
 	Database string
 	User     string
 	Password string
-	Instance string // application_name, so that a member can tell instances apart
+	Instance string // sent as application_name, so that a member can distinguish instances
 }
 
-// config returns the connection settings. A term of 0 binds the connection to
-// none; else the member ends it when a higher term is fenced.
+// config returns the connection settings. A term above 0 binds the connection to that term:
+// the member closes it once a fence raises the term. 0 binds it to no term.
 func (t Target) config(term uint64) (*pgconn.Config, error) {
 	cfg, err := pgconn.ParseConfig("sslmode=disable")
 	if err != nil {
@@ -53,18 +57,19 @@
 	return cfg, nil
 }
 
-// Errors of a batch.
+// Errors of a batch. They tell whether it may have run.
 var (
-	// ErrNotSent says that nothing of the batch reached the member.
+	// ErrNotSent means that no part of the batch reached the member.
 	ErrNotSent = errors.New("the batch was not sent")
-	// ErrUnknown says that the batch was sent and its answer did not arrive whole.
+	// ErrUnknown means that the batch was sent but its complete answer did not arrive:
+	// its outcome is unknown.
 	ErrUnknown = errors.New("the connection broke before the whole answer arrived")
-	// ErrProtocol says that the member sent what the batch cannot have asked for.
+	// ErrProtocol means that the member sent a message that does not answer the batch.
 	ErrProtocol = errors.New("unexpected message from the member")
 )
 
-// Conn is one data connection. It is used by one batch at a time; only Kill and
-// Cancel may be called from elsewhere.
+// Conn is one data connection. It runs one batch at a time. Only Kill and Cancel may be
+// called from other goroutines.
 type Conn struct {
 	target   Target
 	term     uint64
@@ -73,21 +78,22 @@
 	pid      uint32
 	secret   []byte
 
-	status   byte            // transaction status of the last ReadyForQuery
-	unsynced bool            // the last batch did not end with Query or Sync
-	skipping bool            // after an error in the extended protocol, until Sync
-	prepared map[string]bool // statements known to the member
-	settings map[string]string
-	dirty    bool // settings may differ from those in settings
-	tainted  bool // other state may have been left behind
+	status   byte              // transaction status of the last ReadyForQuery
+	unsynced bool              // the last batch did not end with Query or Sync
+	skipping bool              // the member ignores messages until Sync, after an error in the extended protocol
+	prepared map[string]bool   // names of the statements that are prepared on the connection
+	settings map[string]string // run-time parameters that Prepare has set
+	dirty    bool              // the member's run-time parameters may differ from settings
+	tainted  bool              // a statement may have left other session state behind
 	broken   atomic.Bool
-	out      []byte
+	out      []byte // encoded request; the buffer is reused
 }
 
-// maxPrepared bounds the statements kept on one connection.
+// maxPrepared is the number of prepared statements above which a connection is reset with
+// DISCARD ALL before it is shared again.
 const maxPrepared = 512
 
-// Dial opens a data connection bound to a term.
+// Dial opens a data connection that is bound to a term, or to none if term is 0.
 func Dial(ctx context.Context, t Target, term uint64) (*Conn, error) {
 	cfg, err := t.config(term)
 	if err != nil {
@@ -117,19 +123,21 @@
 // Member returns the name of the member.
 func (c *Conn) Member() string { return c.target.Member }
 
-// TxStatus returns 'I', 'T' or 'E' as of the last answer.
+// TxStatus returns the transaction status of the last answer: 'I' (idle), 'T' (in a
+// transaction) or 'E' (in a failed transaction).
 func (c *Conn) TxStatus() byte { return c.status }
 
-// Synced reports whether the member has nothing more to say about the last batch.
+// Synced reports whether the last batch ended with Query or Sync, so that its answer is
+// complete with ReadyForQuery.
 func (c *Conn) Synced() bool { return !c.unsynced }
 
-// Taint marks the connection as holding state that only a full reset clears.
+// Taint marks the connection as holding session state that only DISCARD ALL clears.
 func (c *Conn) Taint() { c.tainted = true }
 
-// MarkSettingsChanged notes that a batch may have changed run-time parameters.
+// MarkSettingsChanged records that a batch may have changed run-time parameters.
 func (c *Conn) MarkSettingsChanged() { c.dirty = true }
 
-// Broken reports whether the connection cannot be used any more.
+// Broken reports whether the connection must not be used any more.
 func (c *Conn) Broken() bool { return c.broken.Load() }
 
 // Kill closes the connection at once. A batch in flight ends with ErrUnknown.
@@ -138,11 +146,11 @@
 	c.conn.Close()
 }
 
-// cancelTimeout bounds the sending of a cancel request.
+// cancelTimeout bounds each of connecting for a cancel request and sending it.
 const cancelTimeout = 2 * time.Second
 
-// Cancel asks the member to stop the statement in flight. The request may take
-// effect late, so the connection is not shared afterwards.
+// Cancel asks the member to cancel the statement in flight. The request may take effect
+// late and hit a later statement, so the connection is marked broken and never shared again.
 func (c *Conn) Cancel() error {
 	c.broken.Store(true)
 	conn, err := net.DialTimeout("tcp", c.target.Addr, cancelTimeout)
@@ -160,12 +168,12 @@
 	if _, err := conn.Write(request); err != nil {
 		return fmt.Errorf("upstream %s: cancel: %w", c.target.Member, err)
 	}
-	_, _ = conn.Read(make([]byte, 1)) // the member closes once it has acted
+	_, _ = conn.Read(make([]byte, 1)) // the member closes the connection after it has handled the request
 	return nil
 }
 
-// Exec runs a simple query of our own and returns the text of its first row's
-// columns. It must be called between batches.
+// Exec runs a simple query on behalf of this instance and returns the columns of its first
+// row as text. It must be called between batches.
 func (c *Conn) Exec(sql string) ([]string, error) {
 	query, err := (&pgproto3.Query{String: sql}).Encode(c.out[:0])
 	if err != nil {
@@ -174,8 +182,8 @@
 	return c.roundTrip(query)
 }
 
-// ExecParams runs one statement with text parameters and returns the text of
-// its first row's columns.
+// ExecParams runs one statement with text parameters and returns the columns of its first
+// row as text. It must be called between batches.
 func (c *Conn) ExecParams(sql string, params ...string) ([]string, error) {
 	values := make([][]byte, len(params))
 	for i, p := range params {
@@ -205,7 +213,7 @@
 	return c.readRow()
 }
 
-// readRow reads up to ReadyForQuery.
+// readRow reads up to ReadyForQuery and returns the first row, or the member's error.
 func (c *Conn) readRow() ([]string, error) {
 	var row []string
 	var failed error
@@ -231,10 +239,10 @@
 	}
 }
 
-// positionQuery asks a member for the last position of its log.
+// positionQuery returns the last position of the member's log as "term index".
 const positionQuery = "SELECT * FROM group_position()"
 
-// Position asks for the last position of the member's log.
+// Position queries the last position of the member's log.
 func (c *Conn) Position() (group.Position, error) {
 	row, err := c.Exec(positionQuery)
 	if err != nil {
@@ -256,7 +264,8 @@
 	return group.Position{}, fmt.Errorf("position %q: %w", row, ErrProtocol)
 }
 
-// Prepare brings the connection to the wanted settings before a transaction.
+// Prepare sets the run-time parameters of a session before its transaction. It does nothing
+// if the connection has them already. On an error the connection is closed.
 func (c *Conn) Prepare(wanted map[string]string) error {
 	if !c.dirty && sameSettings(c.settings, wanted) {
 		return nil
@@ -289,7 +298,8 @@
 	return true
 }
 
-// Clean makes the connection fit for another caller, or reports that it cannot.
+// Clean prepares the connection for another client: it rolls back an open transaction and
+// resets the session state if needed. It reports false if the connection cannot be shared.
 func (c *Conn) Clean() bool {
 	if c.Broken() || c.skipping || c.unsynced {
 		return false
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -14,24 +14,25 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Control is the control connection to one member: it carries status requests,
-// heartbeats and the steps of a failover. It is used by one goroutine.
+// Control is the control connection to one member, for status requests, heartbeats and the
+// steps of a failover. Do is called by one goroutine; Close may be called by others.
 type Control struct {
 	target  Target
 	timeout time.Duration
 	now     func() time.Duration
 
-	mu   sync.Mutex // guards conn against Close
+	mu   sync.Mutex // guards conn, which Close may reset concurrently
 	conn *pgconn.PgConn
 }
 
-// NewControl returns a control connection that is opened at first use.
+// NewControl returns a control connection that is opened at its first use. The timeout
+// bounds each attempt of a request; now returns monotonic time.
 func NewControl(target Target, timeout time.Duration, now func() time.Duration) *Control {
 	return &Control{target: target, timeout: timeout, now: now}
 }
 
-// Do carries out one request. A connection that proves broken is opened again
-// once, since a member may have closed it long ago.
+// Do sends one request and returns its reply. A request whose connection fails is retried
+// once on a new connection, since the member may have closed the old one long ago.
 func (c *Control) Do(ctx context.Context, s failover.Send, self string) failover.Reply {
 	reply := c.try(ctx, s, self)
 	if reply.Failure == failover.FailHard {
@@ -56,8 +57,9 @@
 	return reply
 }
 
-// classify tells how a request failed. An answer, even an error, is a sign of
-// life; only a connection that is refused or breaks is a sign of death.
+// classify returns how a request failed. A non-fatal error answer shows that the member is
+// alive; a timeout is inconclusive; a connection that is refused or breaks indicates that
+// the member is down.
 func classify(err error) failover.Failure {
 	var refused *pgconn.PgError
 	switch {
@@ -121,7 +123,7 @@
 	return conn, nil
 }
 
-// closeTimeout bounds the farewell to a member that does not answer.
+// closeTimeout bounds the orderly close of a connection whose member does not answer.
 const closeTimeout = 10 * time.Millisecond
 
 // Close ends the connection. The next Do opens another.
@@ -135,15 +137,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = conn.Close(ctx) // the connection is of no further use either way
+	_ = conn.Close(ctx) // the connection is discarded even if closing it fails
 }
 
-// statusFields is the number of fields of a status line.
+// statusFields is the number of mandatory fields of a status line.
 const statusFields = 12
 
-// parseStatus reads "term role logterm logindex owner age_us holder age_us
-// released linked ackterm ackindex", and after a promotion "term:index,..." for
-// the history of the log. An instance of "-" is none.
+// parseStatus parses "term role logterm logindex owner age_us holder age_us
+// released linked ackterm ackindex". After a promotion the log's history follows as
+// "term:index,...", the start of each term. Owner and holder are instances; "-" is none.
 func parseStatus(line string) (group.Status, error) {
 	f := strings.Fields(line)
 	if len(f) != statusFields && len(f) != statusFields+1 {
@@ -182,7 +184,7 @@
 	return text
 }
 
-// ageField reads an age in microseconds; a negative one stands for never.
+// ageField converts an age in microseconds; a negative one, which means never, becomes -1.
 func ageField(us int64) time.Duration {
 	if us < 0 {
 		return -1
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,20 +8,20 @@
 	"github.com/stackspindle/stackspindle/internal/connpool"
 )
 
-// Errors of Acquire. None of them means that anything ran.
+// Errors of Pool.Acquire. After each of them, nothing has run.
 var (
 	ErrQueueFull = connpool.ErrQueueFull
 	ErrDeadline  = connpool.ErrDeadline
 	ErrClosed    = connpool.ErrClosed
 )
 
-// Pool shares the data connections of one member in one term.
+// Pool is the connection pool of one member in one term.
 type Pool = connpool.Pool[*Conn]
 
-// Lease is the right to one data connection.
+// Lease is the exclusive use of one data connection until it is returned to its pool.
 type Lease = connpool.Lease[*Conn]
 
-// NewPool returns an empty pool of connections bound to a term.
+// NewPool returns an empty pool whose connections are bound to a term.
 func NewPool(cfg connpool.Config, target Target, term uint64, now func() time.Duration) *Pool {
 	return connpool.New(cfg, func(ctx context.Context, _ string) (*Conn, error) {
 		conn, err := Dial(ctx, target, term)
