--- a/internal/sqlclass/sqlclass.go
+++ b/internal/sqlclass/sqlclass.go
@@ -1,7 +1,7 @@
-// Package sqlclass tells what a statement does, as far as sharing connections
-// and choosing a member need to know. It parses with PostgreSQL's own grammar
-// and keeps the answer by statement text in a bounded cache. What it cannot
-// place is treated as a write, so that it goes to the primary.
+// Package sqlclass classifies SQL statements for transaction pooling and for routing to the
+// primary or a replica. It parses with PostgreSQL's own grammar and caches the results by
+// statement text in a bounded LRU cache. The protocol layer for clients uses it. Invariant:
+// a statement that it cannot classify counts as a write, so that it runs on the primary.
 package sqlclass
 
 import (
@@ -15,7 +15,7 @@
 // Kind is the class of one statement.
 type Kind int
 
-// The kinds, from harmless to refused.
+// The kinds of statements.
 const (
 	KindEmpty Kind = iota
 	KindRead
@@ -31,32 +31,32 @@
 	KindRefused
 )
 
-// Statement is what is known of one statement of a text.
+// Statement is the classification of one statement of a text.
 type Statement struct {
 	Kind     Kind
 	ReadOnly bool   // KindBegin: declared READ ONLY
 	Local    bool   // KindSet: SET LOCAL
 	Name     string // KindSet, KindReset: parameter; KindDeallocate: statement
 	Value    string // KindSet: new value as text
-	Reason   string // KindRefused: what cannot be served
-	Taints   bool   // leaves state behind that a reset cannot be shown to clear
+	Reason   string // KindRefused: the unsupported feature; part of the error message to the client
+	Taints   bool   // may leave session state on the connection that a reset is not known to clear
 }
 
-// Class is what is known of a whole text, which may hold several statements.
+// Class is the classification of a text, which may hold several statements.
 type Class struct {
 	Statements []Statement
-	SyntaxErr  error // the parser refused the text; the primary will say why
+	SyntaxErr  error // the text does not parse; it is sent to the primary, whose error the client gets
 }
 
-// Classifier parses and remembers. It is safe for concurrent use.
+// Classifier parses statements and caches their classes. It is safe for concurrent use.
 type Classifier struct {
 	cache *lru.Cache[string, *Class]
 }
 
-// maxCachedText is the longest text, in bytes, that is kept in the cache.
+// maxCachedText is the longest text, in bytes, that is cached.
 const maxCachedText = 8 << 10
 
-// New returns a classifier that remembers up to size texts.
+// New returns a classifier that caches up to size texts.
 func New(size int) (*Classifier, error) {
 	cache, err := lru.New[string, *Class](size)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return &Classifier{cache: cache}, nil
 }
 
-// Classify returns the class of a text. The result must not be changed.
+// Classify returns the class of a text. The result is shared and must not be modified.
 func (c *Classifier) Classify(sql string) *Class {
 	if class, ok := c.cache.Get(sql); ok {
 		return class
@@ -92,7 +92,7 @@
 	return class
 }
 
-// Refusal returns the reason why the text cannot be served, or "".
+// Refusal returns the unsupported feature for which the text is refused, or "".
 func (c *Class) Refusal() string {
 	for _, s := range c.Statements {
 		if s.Kind == KindRefused {
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// ReadOnly reports whether every statement only reads.
+// ReadOnly reports whether no statement does more than read, so that a replica may run the text.
 func (c *Class) ReadOnly() bool {
 	for _, s := range c.Statements {
 		if s.Kind != KindRead && s.Kind != KindEmpty {
@@ -112,7 +112,7 @@
 	return true
 }
 
-// Has reports whether a statement of the kind is present.
+// Has reports whether the text contains a statement of the kind.
 func (c *Class) Has(kind Kind) bool {
 	for _, s := range c.Statements {
 		if s.Kind == kind {
@@ -122,7 +122,8 @@
 	return false
 }
 
-// Taints reports whether the connection cannot be shared afterwards.
+// Taints reports whether a statement may leave session state on the connection, which then
+// cannot be shared with other clients.
 func (c *Class) Taints() bool {
 	for _, s := range c.Statements {
 		if s.Taints {
@@ -158,7 +159,8 @@
 	return Statement{Kind: KindWrite, Taints: taintingStatement(node)}
 }
 
-// refusedStatement names what transaction pooling cannot serve.
+// refusedStatement returns the feature of the statement that transaction pooling does not
+// support, or "".
 func refusedStatement(node *pgquery.Node) string {
 	switch n := node.Node.(type) {
 	case *pgquery.Node_CopyStmt:
@@ -187,7 +189,7 @@
 	return ""
 }
 
-// cursorOptHold is CURSOR_OPT_HOLD of PostgreSQL's parsenodes.h.
+// cursorOptHold is CURSOR_OPT_HOLD in PostgreSQL's parsenodes.h.
 const cursorOptHold = 0x0020
 
 func refusedRelation(rel *pgquery.RangeVar) string {
@@ -197,7 +199,8 @@
 	return ""
 }
 
-// taintingStatement reports statements whose code may leave anything behind.
+// taintingStatement reports whether the statement runs procedural code, which may leave any
+// session state behind.
 func taintingStatement(node *pgquery.Node) bool {
 	switch node.Node.(type) {
 	case *pgquery.Node_DoStmt, *pgquery.Node_CallStmt:
--- a/internal/sqlclass/sqlclass_test.go
+++ b/internal/sqlclass/sqlclass_test.go
@@ -61,7 +61,7 @@
 	must.Eq(t, KindReset, c.Classify("RESET ALL").Statements[0].Kind)
 }
 
-// BenchmarkClassify compares a parse with a look into the cache.
+// BenchmarkClassify compares parsing with a cache hit.
 func BenchmarkClassify(b *testing.B) {
 	const sql = "SELECT volunteer, state FROM shifts WHERE id = $1"
 	b.Run("parse", func(b *testing.B) {
--- a/internal/sqlclass/walk.go
+++ b/internal/sqlclass/walk.go
@@ -7,9 +7,9 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// readFunctions are the functions that a replica may run: they neither write
-// nor depend on the member. Any other function sends the statement to the
-// primary, since the text alone does not show what it does.
+// readFunctions are the functions that a replica may run: they neither write nor depend on
+// the member. A statement that calls any other function runs on the primary, because the text
+// alone does not show whether the function writes.
 var readFunctions = map[string]bool{
 	"abs": true, "array_agg": true, "array_length": true, "avg": true, "btrim": true,
 	"ceil": true, "char_length": true, "coalesce": true, "concat": true, "concat_ws": true,
@@ -25,7 +25,8 @@
 	"trim": true, "unnest": true, "upper": true, "version": true,
 }
 
-// sessionFunctions change the state of the connection beyond the transaction.
+// sessionFunctions change session state that outlives the transaction. The values are the
+// reasons with which statements that call them are refused.
 var sessionFunctions = map[string]string{
 	"pg_advisory_lock":            "session-level advisory locks",
 	"pg_advisory_lock_shared":     "session-level advisory locks",
@@ -36,14 +37,15 @@
 	"pg_advisory_unlock_all":      "session-level advisory locks",
 }
 
-// controlPrefix marks the functions by which owners direct a group. Callers
-// never reach them.
+// controlPrefix is the name prefix of the functions with which the instance that owns a group
+// controls its members: heartbeats, fencing, promotion. Clients may not call them.
 const controlPrefix = "group_"
 
+// selectFacts collects what a query does, over all nodes of its parse tree.
 type selectFacts struct {
-	writes  bool
-	taints  bool
-	refused string
+	writes  bool   // must run on the primary: writes, locks rows or calls an unlisted function
+	taints  bool   // see Statement.Taints
+	refused string // reason for which the statement is refused, or ""
 }
 
 func classifySelect(stmt *pgquery.SelectStmt) Statement {
@@ -64,7 +66,7 @@
 	return Statement{Kind: KindRead}
 }
 
-// walkMessage visits every node below m.
+// walkMessage inspects m and all nodes below it.
 func walkMessage(m protoreflect.Message, facts *selectFacts) {
 	inspect(m.Interface(), facts)
 	m.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
