--- a/internal/socket/options.go
+++ b/internal/socket/options.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacked is for how long bytes that were sent may stay without an acknowledgement of
-// the far end's kernel before the connection counts as dead: a few retransmissions on
-// links with delays of milliseconds. A connection that went silent for good shows so,
-// where no answer is due sooner; the program's own timeouts see to the rest.
+// unacked is the TCP user timeout: how long sent data may stay unacknowledged by the peer's
+// kernel before the connection is closed as dead. 800 ms leave time for a few retransmissions
+// on links with latencies of milliseconds. It detects a lost peer where no answer is due
+// sooner; the application's own timeouts cover the other cases.
 const unacked = 800 * time.Millisecond
 
-// Options bounds for how long a connection that is being opened may leave bytes
-// without an acknowledgement. It is a Control function of net.Dialer.
+// Options sets the TCP user timeout of a connection that is being opened. It is a Control
+// function for net.Dialer.
 func Options(_, _ string, conn syscall.RawConn) error {
 	var failed error
 	err := conn.Control(func(fd uintptr) {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,7 @@
-// Package socket holds what the standard library does not tell of a connection.
+// Package socket provides what the standard library lacks for connections: non-blocking
+// checks whether the peer has closed a connection or has sent data, and the TCP user
+// timeout. The connections to members, clients, other instances and the store use it. The checks
+// never consume data.
 package socket
 
 import (
@@ -6,25 +9,26 @@
 	"syscall"
 )
 
-// Closed reports whether the far end has closed a connection, and takes nothing from what
-// has come on it: while something is left to be read, that is not seen. Connections without a
-// descriptor, as under TLS, count as open.
+// Closed reports whether the peer has closed a connection. It consumes no received data, and
+// while there is unread data it does not detect the close. Connections without a file
+// descriptor, such as TLS connections, count as open.
 func Closed(conn net.Conn) bool {
 	n, known, err := peek(conn)
 	return known && n <= 0 && err != syscall.EAGAIN && err != syscall.EINTR
 }
 
-// Silent reports whether an idle connection is still open and nothing unasked
-// has come on it. A far end that went away, or said farewell, is noticed here,
-// before a request is sent whose outcome would then be unknown. Connections
-// without a descriptor, as under TLS, count as silent: only use can tell.
+// Silent reports whether an idle connection is still open and has received no unsolicited
+// data. This detects a peer that has closed the connection, or has announced that it will,
+// before a request is sent whose outcome would then be unknown. Connections without a file
+// descriptor, such as TLS connections, count as idle: only a request shows their state.
 func Silent(conn net.Conn) bool {
 	_, known, err := peek(conn)
 	return !known || err == syscall.EAGAIN
 }
 
-// peek looks for a byte that can be read, without taking it. known is false for
-// connections without a descriptor.
+// peek checks for readable data without consuming it. n is 0 if the peer has closed the
+// connection; err is EAGAIN if it is open without data. known is false for connections
+// without a file descriptor.
 func peek(conn net.Conn) (n int, known bool, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
