--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -1,5 +1,10 @@
-// Package peer connects the instances with one another over gRPC: transactions
-// from entry to owner, probes, configuration, hand-over and the time line.
+// Package peer is the gRPC protocol between instances. An ingress instance, to which a client
+// is connected, forwards transactions over it to the owner: the instance that holds the
+// connections to a database group's members. Instances also use it for liveness probes,
+// configuration exchange, hand-over of groups and the event timeline.
+//
+// Invariant: an error wraps ErrNotSent only if the owner has not begun to run the request, so
+// that the request may be retried.
 package peer
 
 import (
@@ -19,10 +24,10 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// ErrUnknownInstance says that no address is known for an instance.
+// ErrUnknownInstance means that no address is known for an instance.
 var ErrUnknownInstance = errors.New("no address is known for the instance")
 
-// ErrNotSent says that a request did not leave this instance.
+// ErrNotSent means that the receiver has not begun to run a request; it may be retried.
 var ErrNotSent = errors.New("the request was not sent")
 
 // Client holds the connections to other instances. It is safe for concurrent use.
@@ -35,7 +40,7 @@
 	conns map[string]*remote
 }
 
-// remote is the connection to one instance with its idle streams.
+// remote is the connection to one instance and the pool of its idle streams.
 type remote struct {
 	addr string
 	conn *grpc.ClientConn
@@ -47,16 +52,16 @@
 
 // Settings of the connections.
 const (
-	maxIdleStreams   = 256
+	maxIdleStreams   = 256 // per instance
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 3 * time.Second
 	connectBackoff   = 50 * time.Millisecond
 	maxBackoff       = time.Second
-	maxMessage       = 64 << 20
+	maxMessage       = 64 << 20 // bytes
 )
 
-// NewClient returns a client without connections. Without credentials the
-// instances talk in the clear.
+// NewClient returns a client without connections. If creds is nil, connections are not
+// encrypted.
 func NewClient(creds credentials.TransportCredentials, traffic *Traffic) *Client {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -64,7 +69,8 @@
 	return &Client{creds: creds, traffic: traffic, addrs: make(map[string]string), conns: make(map[string]*remote)}
 }
 
-// SetAddresses replaces the known addresses, by instance name.
+// SetAddresses replaces the known addresses, by instance name, and closes connections to
+// instances whose address has changed or is no longer known.
 func (c *Client) SetAddresses(addrs map[string]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +111,7 @@
 	return r, nil
 }
 
-// Peer returns the calls of an instance.
+// Peer returns the gRPC client for an instance; the connection is opened when first used.
 func (c *Client) Peer(name string) (peerpb.PeerClient, error) {
 	r, err := c.remote(name)
 	if err != nil {
@@ -124,17 +130,17 @@
 	}
 }
 
-// Stream carries the transactions of one caller at a time to an owner.
+// Stream forwards the transactions of one client at a time to an owner.
 type Stream struct {
 	remote *remote
 	run    grpc.BidiStreamingClient[peerpb.RunRequest, peerpb.RunReply]
 	cancel context.CancelFunc
 	open   bool // a transaction is open on the owner
 	broken bool
-	send   sync.Mutex // serialises Cancel with the next batch
+	send   sync.Mutex // serializes Send calls: Cancel and Handle may run concurrently
 }
 
-// Open returns an idle stream to an instance, or opens one.
+// Open returns an idle stream to an instance from the pool, or opens a new one.
 func (c *Client) Open(name string) (*Stream, error) {
 	r, err := c.remote(name)
 	if err != nil {
@@ -164,8 +170,8 @@
 	return s
 }
 
-// Handle sends a batch and passes the replies on until the last one. An error
-// that wraps ErrNotSent means that the owner saw nothing of it.
+// Handle sends a batch and passes the replies to deliver, up to the one with Done. An error
+// that wraps ErrNotSent means that the owner has not begun to run the batch.
 func (s *Stream) Handle(ctx context.Context, req *peerpb.RunRequest, deliver func(*peerpb.RunReply) error) error {
 	s.send.Lock()
 	err := s.run.Send(req)
@@ -193,8 +199,9 @@
 	}
 }
 
-// sendError tells whether a failed Send can have reached the owner. Only the
-// first message of a stream that never got through is known not to have.
+// sendError classifies the error of a failed Send. The first batch of a transaction has not
+// run at the owner, so the error wraps ErrNotSent; within an open transaction the outcome is
+// unknown.
 func (s *Stream) sendError(err error) error {
 	if s.open {
 		return fmt.Errorf("owner: %w", err)
@@ -202,8 +209,8 @@
 	return fmt.Errorf("%w: owner: %w", ErrNotSent, err)
 }
 
-// recvError tells the end of a stream from its loss. An owner ends a stream in
-// good order only between requests, so a new transaction was then not taken up.
+// recvError distinguishes the orderly end of a stream from its loss. An owner ends a stream in
+// order only between transactions, so a batch that was to begin one has not run.
 func (s *Stream) recvError(err error) error {
 	if errors.Is(err, io.EOF) && !s.open {
 		return fmt.Errorf("%w: owner: %w", ErrNotSent, err)
@@ -215,14 +222,14 @@
 func (s *Stream) Cancel() {
 	s.send.Lock()
 	defer s.send.Unlock()
-	_ = s.run.Send(&peerpb.RunRequest{Cancel: true}) // best effort, as in PostgreSQL
+	_ = s.run.Send(&peerpb.RunRequest{Cancel: true}) // best effort, like PostgreSQL's cancel requests
 }
 
-// Break ends the stream at once, for an owner that has been replaced.
+// Break closes the stream at once, because its owner has been replaced.
 func (s *Stream) Break() { s.cancel() }
 
-// Close ends the use of the stream. With a transaction open the owner is made
-// to roll it back.
+// Close returns the stream to the pool. If a transaction is open, the stream is closed
+// instead, which makes the owner roll back.
 func (s *Stream) Close() {
 	if s.open || s.broken {
 		s.cancel()
--- a/internal/peer/completion.go
+++ b/internal/peer/completion.go
@@ -6,14 +6,14 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// Kinds of messages in a batch that carry no letter of the protocol.
+// describeStatement is the object type of a Describe message for a prepared statement.
 const describeStatement = 'S'
 
-// headerLength is the length of a message's type and length.
+// headerLength is the size in bytes of a message's type and length fields.
 const headerLength = 5
 
-// Completion encodes the answer to a batch that is answered without running it:
-// each command completes with the tag and gives no rows. ReadyForQuery is left out.
+// Completion encodes the answer to a batch that is not run on a member: each command
+// completes with the tag and returns no rows. ReadyForQuery is not included.
 func Completion(req *peerpb.RunRequest, tag string) ([]byte, error) {
 	var out []byte
 	start := uint32(0)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,15 +14,20 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// Runner runs the transactions of one stream on the owner's side.
+// Runner runs the transactions of one stream at the owner. Cancel and Abort may be called
+// while Handle runs.
 type Runner interface {
+	// Handle runs a batch and passes its replies to deliver.
 	Handle(ctx context.Context, req *peerpb.RunRequest, deliver func(*peerpb.RunReply) error) error
+	// Cancel cancels the batch in flight.
 	Cancel()
+	// Abort ends the batch in flight because the ingress instance is gone.
 	Abort()
+	// Close ends the use of the runner.
 	Close()
 }
 
-// Backend is what an instance offers to others.
+// Backend implements the calls that an instance serves to other instances.
 type Backend interface {
 	// Runner returns a runner for a group, or nil when the group is unknown.
 	Runner(group string) Runner
@@ -34,7 +39,7 @@
 	Cancel(req *peerpb.CancelRequest)
 }
 
-// Server serves other instances.
+// Server is the gRPC server for other instances.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	backend  Backend
@@ -43,7 +48,8 @@
 	stopOnce sync.Once
 }
 
-// NewServer returns a server that is not listening yet.
+// NewServer returns a server that is not listening yet. If creds is nil, connections are not
+// encrypted.
 func NewServer(backend Backend, creds credentials.TransportCredentials, traffic *Traffic) *Server {
 	options := []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(maxMessage),
@@ -59,7 +65,7 @@
 	return s
 }
 
-// Serve accepts connections until Stop.
+// Serve accepts connections until Stop or Kill.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.grpc.Serve(l); err != nil {
 		return fmt.Errorf("peer: serve: %w", err)
@@ -67,7 +73,7 @@
 	return nil
 }
 
-// Stop lets calls in flight end, for at most grace, and closes.
+// Stop shuts down gracefully: calls in flight may end within the grace period.
 func (s *Server) Stop(grace time.Duration) {
 	s.stopOnce.Do(func() { close(s.stopping) })
 	timer := time.AfterFunc(grace, s.grpc.Stop)
@@ -75,7 +81,7 @@
 	s.grpc.GracefulStop()
 }
 
-// Kill closes at once.
+// Kill closes all connections at once.
 func (s *Server) Kill() { s.grpc.Stop() }
 
 // Probe implements peerpb.PeerServer.
@@ -109,8 +115,8 @@
 	return &peerpb.CancelReply{}, nil
 }
 
-// Run implements peerpb.PeerServer. Requests are received apart from the one
-// being handled, so that a cancel, or the loss of the entry, reaches it.
+// Run implements peerpb.PeerServer. Requests are received in a goroutine of their own, so that
+// a cancel request, or the loss of the ingress instance, interrupts the batch in flight.
 func (s *Server) Run(stream grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]) error {
 	session := &runSession{
 		backend:  s.backend,
@@ -122,7 +128,7 @@
 	return session.serve()
 }
 
-// runSession is the server's side of one stream.
+// runSession is the server side of one stream.
 type runSession struct {
 	backend  Backend
 	stream   grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]
@@ -184,9 +190,9 @@
 	}
 }
 
-// next returns the next request. Once the server stops, the stream is ended in
-// good order between transactions: the entry then knows that a request which it
-// had sent meanwhile was not taken up.
+// next returns the next request, or false when the stream ends. Once the server stops, the
+// stream is ended in order between transactions, which tells the ingress instance that a
+// request that it has sent meanwhile was not run.
 func (r *runSession) next() (*peerpb.RunRequest, bool) {
 	if r.open {
 		req, ok := <-r.requests
--- a/internal/peer/slot.go
+++ b/internal/peer/slot.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// runnerSlot shares the runner of a stream between its two goroutines.
+// runnerSlot holds the current runner of a stream for the goroutines that receive requests
+// and handle them.
 type runnerSlot struct {
 	mu     sync.Mutex
 	runner Runner
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -8,22 +8,21 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Traffic counts the bytes of control calls, without those of transactions. It
+// Traffic counts the bytes of all calls except Run, which forwards transactions. It
 // implements stats.Handler.
 type Traffic struct {
 	sent     atomic.Int64
 	received atomic.Int64
 }
 
-// Bytes returns how many bytes of messages were sent and received, with the
-// framing of gRPC and without that of HTTP/2 and TCP.
+// Bytes returns the bytes sent and received, including gRPC framing but not HTTP/2 and TCP.
 func (t *Traffic) Bytes() (sent, received int64) {
 	return t.sent.Load(), t.received.Load()
 }
 
 type trafficKey struct{}
 
-// runMethod carries transactions and does not count.
+// runMethod is the suffix of the method that forwards transactions and is not counted.
 const runMethod = "/Run"
 
 // TagRPC implements stats.Handler.
