--- a/internal/caller/batch.go
+++ b/internal/caller/batch.go
@@ -13,25 +13,25 @@
 	"github.com/stackspindle/stackspindle/internal/upstream"
 )
 
-// prepared is a statement that the caller has prepared.
+// prepared is a statement that the client has prepared.
 type prepared struct {
 	statement *peerpb.Statement
 	class     *sqlclass.Class
-	doubtful  bool // its Parse came in a batch that failed: it may be parsed again
+	doubtful  bool // its Parse was in a batch that failed and may not have taken effect: a new Parse is allowed
 }
 
-// batch collects the messages up to a Query, Sync or Flush.
+// batch collects a client's messages up to and including a Query, Sync or Flush.
 type batch struct {
 	request    peerpb.RunRequest
 	refs       map[string]uint32 // statement name to 1-based index
 	statements []sqlclass.Statement
-	executes   bool // runs something, as opposed to preparing and describing
+	executes   bool // executes a statement, rather than only preparing and describing
 	writes     bool
 	commits    bool
 	begins     bool
-	readOnly   bool // begins a READ ONLY transaction
-	ownCount   int  // statements answered without any upstream
-	executed   int
+	readOnly   bool     // begins a READ ONLY transaction
+	ownCount   int      // statements that are answered locally, without an upstream
+	executed   int      // statements that the batch executes
 	parsed     []string // names of the statements that the batch prepares
 }
 
@@ -41,7 +41,8 @@
 
 func (b *batch) empty() bool { return len(b.request.Kinds) == 0 }
 
-// add appends a message. Statement 0 means none.
+// add appends a message. msg is nil for messages without bytes in Wire; ref is the 1-based
+// index of its statement, 0 for none.
 func (b *batch) add(kind byte, msg pgproto3.FrontendMessage, ref uint32) error {
 	if msg != nil {
 		wire, err := msg.Encode(b.request.Wire)
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// reference returns the index of a statement in the batch.
+// reference returns the 1-based index of a statement in the batch, which it adds if needed.
 func (b *batch) reference(p *prepared) uint32 {
 	if ref, ok := b.refs[p.statement.Name]; ok {
 		return ref
@@ -67,7 +68,7 @@
 	return ref
 }
 
-// execute notes that the statements of a class are run.
+// execute records that the batch executes the statements of a class.
 func (b *batch) execute(class *sqlclass.Class) {
 	b.executes = true
 	for _, st := range class.Statements {
@@ -95,7 +96,8 @@
 	}
 }
 
-// finish fills in the class. In an open transaction the member is chosen already.
+// finish sets the request's class, which selects the member, and whether it may end a
+// transaction. inTx is whether a transaction is open; its member has been chosen before.
 func (b *batch) finish(inTx bool) *peerpb.RunRequest {
 	r := &b.request
 	r.Class = peerpb.Class_CLASS_READ
@@ -110,10 +112,10 @@
 	return r
 }
 
-// statementName names a statement by its text and parameter types.
+// statementName derives a statement's name on members from its text and parameter types.
 func statementName(sql string, oids []uint32) string {
 	var d xxhash.Digest
-	_, _ = d.WriteString(sql) // a Digest never fails
+	_, _ = d.WriteString(sql) // Digest.WriteString never fails
 	var word [4]byte
 	for _, oid := range oids {
 		binary.BigEndian.PutUint32(word[:], oid)
@@ -123,7 +125,8 @@
 	return fmt.Sprintf("ss_%016x%x", d.Sum64(), sum[:8])
 }
 
-// digest identifies a request for its key: the statements and the values.
+// digest returns a hash of the statements and values, which tells whether a request key is
+// reused for another request.
 func (b *batch) digest() []byte {
 	h := sha256.New()
 	for _, st := range b.request.Statements {
--- a/internal/caller/cancel.go
+++ b/internal/caller/cancel.go
@@ -2,15 +2,15 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// Forwarder passes a cancel request on to the instance that it is meant for.
+// Forwarder forwards a cancel request to the instance with the tag; see InstanceTag.
 type Forwarder func(tag, pid uint32, secret []byte)
 
-// SetForwarder sets where cancel requests for other instances go. It must be
+// SetForwarder sets the function that forwards cancel requests to other instances. It must be
 // called before Serve.
 func (s *Server) SetForwarder(f Forwarder) { s.forward = f }
 
-// forwardCancel acts on a cancel request that a caller has sent to this
-// instance, which may not be the one that runs the statement.
+// forwardCancel handles a cancel request. It is forwarded if the client to cancel is connected
+// to another instance: a load balancer may send the request to any of them.
 func (s *Server) forwardCancel(m *pgproto3.CancelRequest) {
 	tag := OwnerOfCancel(m.ProcessID)
 	if tag == InstanceTag(s.opts.Instance) {
--- a/internal/caller/codec.go
+++ b/internal/caller/codec.go
@@ -10,20 +10,20 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// codec reads and writes the messages of one connection at a time. Its buffers
-// are lent to a connection while messages are in flight, so that an idle caller
-// holds none.
+// codec reads and writes the messages of one connection at a time. Codecs are pooled: a
+// connection holds one only while messages are in flight, so that idle clients occupy no
+// buffers.
 type codec struct {
 	backend *pgproto3.Backend
 	in      *messageReader
 	out     *connWriter
 }
 
-// connWriter writes to the connection that the codec is lent to.
+// connWriter writes to the connection that currently uses the codec.
 type connWriter struct{ net.Conn }
 
-// source reads from the connection that the codec is lent to, after the one byte
-// that ended its idleness.
+// source reads from the connection that currently uses the codec. If primed, it first returns
+// the byte that was read while the connection was idle.
 type source struct {
 	conn   net.Conn
 	first  byte
@@ -39,19 +39,19 @@
 	return s.conn.Read(p)
 }
 
-// messageReader hands out the bytes of one message and never those of the next,
-// so that nothing is left in the backend between two messages.
+// messageReader returns the bytes of one message at a time and never reads into the next, so
+// that the pgproto3 backend holds no buffered data between messages.
 type messageReader struct {
 	source  source
 	buf     *bufio.Reader
-	left    int  // bytes of the current message not handed out yet
-	untyped bool // the next message is one of the start, which have no type
+	left    int  // bytes of the current message that have not been read
+	untyped bool // the next message is a startup message, which has no type byte
 }
 
-// readBuffer is what most messages fit in, in bytes.
+// readBuffer is the size of the read buffer in bytes; most messages fit.
 const readBuffer = 4 << 10
 
-// errMessageLength says that a message's length makes no sense.
+// errMessageLength means that a message's length field is below the minimum.
 var errMessageLength = errors.New("a message claims an impossible length")
 
 // Read implements io.Reader.
@@ -66,7 +66,7 @@
 	return n, err
 }
 
-// begin looks at the header of the next message.
+// begin peeks at the header of the next message and sets left.
 func (r *messageReader) begin() error {
 	typeLength := 1
 	if r.untyped {
@@ -84,12 +84,12 @@
 	return nil
 }
 
-// drained reports whether nothing has been received that is not handed out.
+// drained reports whether all received data has been read.
 func (r *messageReader) drained() bool {
 	return r.left == 0 && r.buf.Buffered() == 0 && !r.source.primed
 }
 
-// codecs are those that no connection uses.
+// codecs pools the codecs that no connection uses.
 var codecs = sync.Pool{New: func() any {
 	in := &messageReader{}
 	in.buf = bufio.NewReaderSize(&in.source, readBuffer)
@@ -97,7 +97,7 @@
 	return &codec{backend: pgproto3.NewBackend(in, out), in: in, out: out}
 }}
 
-// borrow takes a codec for the connection.
+// borrow takes a codec from the pool for the connection.
 func (c *conn) borrow() {
 	c.codec = codecs.Get().(*codec)
 	c.codec.in.source = source{conn: c.net, first: c.first, primed: c.hasFirst}
@@ -108,7 +108,7 @@
 	c.backend.SetMaxBodyLen(c.server.opts.MaxMessage)
 }
 
-// lend gives the codec back. The caller has checked that it is drained.
+// lend returns the codec to the pool. It must be drained.
 func (c *conn) lend() {
 	c.codec.in.source.conn, c.codec.out.Conn = nil, nil
 	codecs.Put(c.codec)
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -16,8 +16,8 @@
 	"github.com/stackspindle/stackspindle/internal/dispatch"
 )
 
-// conn is one caller's connection. One goroutine serves it; cancel and wake may
-// be called from elsewhere.
+// conn is the connection of one client. One goroutine serves it; cancel and wake may be called
+// from other goroutines.
 type conn struct {
 	server     *Server
 	net        net.Conn
@@ -25,24 +25,24 @@
 	backend    *pgproto3.Backend // that of codec
 	pid        uint32
 	secret     [4]byte
-	registered bool
+	registered bool // pid is in the server's table
 
 	session  session
 	prepared map[string]*prepared
 	portals  map[string]*prepared
 	batch    *batch
-	skipping bool // after an error of ours in the extended protocol, until Sync
-	failedTx bool // the open transaction has failed here, not upstream
+	skipping bool // messages are ignored until Sync, after an error of this instance in the extended protocol
+	failedTx bool // this instance, not the upstream, has failed the open transaction
 	keyed    bool // the open transaction has a request key
-	status   byte // of the last ReadyForQuery
+	status   byte // transaction status of the last ReadyForQuery
 
 	ctx    context.Context
 	stop   context.CancelFunc
 	mu     sync.Mutex // guards tx against cancel
 	tx     *dispatch.Tx
-	atRest atomic.Bool // waits between transactions, with nothing received
+	atRest atomic.Bool // waits for a message between transactions, without buffered data
 
-	first    byte // that ended the rest
+	first    byte // read while the connection was idle; the next message begins with it
 	hasFirst bool
 }
 
@@ -50,12 +50,12 @@
 	c := &conn{server: s, prepared: make(map[string]*prepared), portals: make(map[string]*prepared), status: 'I', batch: newBatch()}
 	c.setNet(nc)
 	c.ctx, c.stop = context.WithCancel(context.Background())
-	_, _ = rand.Read(c.secret[:]) // never fails, see its documentation
+	_, _ = rand.Read(c.secret[:]) // rand.Read never returns an error
 	return c
 }
 
-// setNet changes the connection under the codec, as TLS does. What was received
-// before, in the clear, is dropped.
+// setNet replaces the underlying connection, when TLS begins. Data that was received before,
+// in plain text, is discarded.
 func (c *conn) setNet(nc net.Conn) {
 	c.net = nc
 	c.codec = nil
@@ -63,7 +63,7 @@
 	c.codec.in.untyped = true
 }
 
-// refuseStart answers a caller for whom there is no room.
+// refuseStart rejects a client when the server is at its connection limit.
 func (c *conn) refuseStart(code, message string) {
 	defer c.net.Close()
 	if err := c.net.SetDeadline(time.Now().Add(time.Second)); err != nil {
@@ -75,7 +75,7 @@
 	c.sendFatal(fail(code, "%s", message))
 }
 
-// serve runs the connection to its end.
+// serve handles the connection until it ends.
 func (c *conn) serve() {
 	defer c.close()
 	if !c.start() {
@@ -108,11 +108,11 @@
 	c.net.Close()
 }
 
-// errStopping ends an idle connection at a planned stop.
+// errStopping ends an idle connection when the instance shuts down.
 var errStopping = fail(codeShutdown, "not run: this instance is being stopped, connect again")
 
-// receive waits for the next message. Between transactions a planned stop ends
-// the wait; within one, idling for too long does.
+// receive waits for the next message. Between transactions, a shutdown ends the wait; within a
+// transaction, the idle timeout does.
 func (c *conn) receive() (pgproto3.FrontendMessage, error) {
 	if c.status == 'I' && c.tx == nil && c.batch.empty() && c.codec.in.drained() {
 		if err := c.rest(); err != nil {
@@ -134,11 +134,11 @@
 		if time.Now().After(deadline) {
 			return nil, &failure{code: codeIdleInTx, message: "the transaction was idle for too long and is rolled back", fatal: true}
 		}
-		// A planned stop meant to wake a connection that was no longer at rest.
+		// wake set the deadline for a shutdown, but the connection was no longer idle.
 	}
 }
 
-// rest waits, without buffers, for the first byte of the next message.
+// rest waits for the first byte of the next message without holding buffers.
 func (c *conn) rest() error {
 	c.lend()
 	defer c.borrow()
@@ -166,14 +166,14 @@
 	}
 }
 
-// wake makes an idle connection notice a planned stop.
+// wake interrupts the wait of an idle connection, so that it notices a shutdown.
 func (c *conn) wake() {
 	if c.atRest.Load() {
-		_ = c.net.SetReadDeadline(time.Now()) // a closed connection needs no waking
+		_ = c.net.SetReadDeadline(time.Now()) // fails only if the connection is closed
 	}
 }
 
-// cancel stops the statement in flight if the secret is right.
+// cancel cancels the statement in flight if the secret matches.
 func (c *conn) cancel(secret []byte) {
 	if !bytes.Equal(secret, c.secret[:]) {
 		return
@@ -186,7 +186,7 @@
 	}
 }
 
-// farewell tells the caller why the connection ends, where there is a reason.
+// farewell sends the client the reason for which the connection ends, if there is one.
 func (c *conn) farewell(err error) {
 	var f *failure
 	if errors.As(err, &f) {
@@ -206,7 +206,7 @@
 	fatal.fatal = true
 	c.server.events.Refused(fatal.code)
 	c.backend.Send(fatal.response())
-	_ = c.flush() // the connection closes either way
+	_ = c.flush() // the connection is closed even if this fails
 }
 
 func (c *conn) flush() error {
@@ -224,7 +224,7 @@
 	return err
 }
 
-// handle takes one message. An error ends the connection.
+// handle processes one message. An error ends the connection.
 func (c *conn) handle(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Query:
@@ -245,15 +245,15 @@
 	return err
 }
 
-// forgetParsed drops the statements of a batch that was not run.
+// forgetParsed removes the prepared statements of a batch that was not run.
 func (c *conn) forgetParsed(b *batch) {
 	for _, name := range b.parsed {
 		delete(c.prepared, name)
 	}
 }
 
-// doubtParsed marks the statements of a batch that a member answered with an
-// error, which may have been about any of its messages.
+// doubtParsed marks the prepared statements of a batch that a member answered with an error,
+// since any of the batch's messages may have failed.
 func (c *conn) doubtParsed(b *batch) {
 	for _, name := range b.parsed {
 		if p := c.prepared[name]; p != nil {
@@ -262,8 +262,8 @@
 	}
 }
 
-// rejectExtended answers an extended message with an error of ours. What was
-// collected before it is dropped; all that follows is skipped up to Sync.
+// rejectExtended answers a message of the extended protocol with an error of this instance. It
+// drops the collected batch and ignores further messages up to Sync.
 func (c *conn) rejectExtended(f *failure) error {
 	c.server.events.Refused(f.code)
 	c.skipping = true
@@ -287,7 +287,7 @@
 	return c.runBatch(true)
 }
 
-// rejectQuery answers a simple query with an error of ours.
+// rejectQuery answers a simple query with an error of this instance.
 func (c *conn) rejectQuery(err error) error {
 	f := &failure{code: codeProtocol, message: err.Error()}
 	errors.As(err, &f)
--- a/internal/caller/errors.go
+++ b/internal/caller/errors.go
@@ -9,27 +9,27 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// SQLSTATEs that stackspindle raises itself. docs/ERRORS.md says of each whether
+// SQLSTATEs that stackspindle itself returns. docs/ERRORS.md says of each whether
 // the statement was not run or its outcome is unknown.
 const (
-	codeFeature        = "0A000" // not run: sharing cannot serve it
-	codeProtocol       = "08P01" // not run: the message makes no sense
-	codeUnknown        = "08007" // unknown outcome
+	codeFeature        = "0A000" // not run: not supported with transaction pooling
+	codeProtocol       = "08P01" // not run: protocol violation
+	codeUnknown        = "08007" // outcome unknown
 	codeNoPrimary      = "57P03" // not run: no primary, or no owner
 	codeOverload       = "53300" // not run: queue full or deadline passed
 	codeTooManyCallers = "53300"
-	codeShutdown       = "57P01" // not run: the instance stops
+	codeShutdown       = "57P01" // not run: the instance is shutting down
 	codeIdleInTx       = "25P03" // rolled back: idle for too long
 	codeFailedTx       = "25P02" // not run: the transaction has failed
 	codeAuth           = "28P01"
 	codeNoDatabase     = "3D000"
-	codeInvalid        = "22023" // not run: bad value of a setting of ours
-	codeLostWrites     = "SS001" // not run: acknowledged work was lost
-	codeKeyMismatch    = "SS002" // not run: the key belongs to another request
+	codeInvalid        = "22023" // not run: invalid value of a stackspindle setting
+	codeLostWrites     = "SS001" // not run: acknowledged writes of the session were lost
+	codeKeyMismatch    = "SS002" // not run: the request key was used for another request
 	codeStatement      = "26000" // not run: no such prepared statement
 )
 
-// failure is an error for the caller.
+// failure is an error that is sent to the client.
 type failure struct {
 	code    string
 	message string
@@ -57,7 +57,7 @@
 	}
 }
 
-// refusalFailure gives a refusal its SQLSTATE.
+// refusalFailure converts a refusal into an error with its SQLSTATE and hint.
 func refusalFailure(d *peerpb.Done) *failure {
 	f := &failure{code: codeNoPrimary, message: "not run: " + d.Detail, fatal: d.Broken}
 	if d.RetryAfterUs > 0 {
--- a/internal/caller/extended.go
+++ b/internal/caller/extended.go
@@ -6,7 +6,7 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// collect adds an extended message to the batch.
+// collect adds a message of the extended protocol to the batch.
 func (c *conn) collect(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
@@ -23,7 +23,7 @@
 	return fail(codeProtocol, "not run: unexpected message %T", msg)
 }
 
-// maxPreparedPerCaller bounds the statements that one caller may keep prepared.
+// maxPreparedPerCaller bounds the prepared statements of one client.
 const maxPreparedPerCaller = 1000
 
 func (c *conn) parse(m *pgproto3.Parse) error {
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -40,11 +40,12 @@
 	return raw
 }
 
-// maxFuzzMessage bounds a message, and so the memory that a length can claim.
+// maxFuzzMessage is the maximum message size in bytes. It bounds the memory that a length
+// field can make the server allocate.
 const maxFuzzMessage = 1 << 16
 
-// FuzzCaller feeds any bytes to a connection: it must neither panic nor hang,
-// nor answer a message that claims to be larger than allowed by reading it.
+// FuzzCaller sends arbitrary bytes to a connection. It must neither panic nor hang, and must
+// reject a message whose length field exceeds the limit without reading it.
 func FuzzCaller(f *testing.F) {
 	start := &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{
 		"user": "roster", "database": "roster", "options": "-c stackspindle.session=a -c search_path=b",
@@ -75,9 +76,9 @@
 			newConn(server, ours).serve()
 		}()
 		go func() {
-			_, _ = io.Copy(io.Discard, theirs) // whatever is answered
+			_, _ = io.Copy(io.Discard, theirs) // discard the answers
 		}()
-		_, _ = theirs.Write(raw) // ends early when the connection is closed
+		_, _ = theirs.Write(raw) // ends early if the server closes the connection
 		theirs.Close()
 		<-done
 		must.Zero(t, server.Callers())
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -13,7 +13,8 @@
 	"github.com/stackspindle/stackspindle/internal/sqlclass"
 )
 
-// runBatch has the batch answered. An error ends the connection.
+// runBatch answers the collected batch: locally, or by running it on a member. complete is
+// whether ReadyForQuery follows. An error ends the connection.
 func (c *conn) runBatch(complete bool) error {
 	b := c.batch
 	c.batch = newBatch()
@@ -27,7 +28,7 @@
 	return c.dispatch(b, complete)
 }
 
-// answerOwn answers statements that concern stackspindle alone.
+// answerOwn answers statements that only concern stackspindle, without an upstream.
 func (c *conn) answerOwn(b *batch, complete bool) error {
 	if b.ownCount != b.executed {
 		return c.rejectQuery(fail(codeFeature, "not run: settings of stackspindle cannot share a request with other statements"))
@@ -75,8 +76,8 @@
 	return "SET", c.session.setOwn(st.Name, st.Value)
 }
 
-// answerFailed serves a transaction that failed here: only its end is accepted,
-// and it always rolls back.
+// answerFailed answers a batch within a transaction that this instance has failed: it accepts
+// only COMMIT and ROLLBACK, and both roll back.
 func (c *conn) answerFailed(b *batch) error {
 	ends := false
 	for _, st := range b.statements {
@@ -111,7 +112,7 @@
 	}
 }
 
-// dispatch runs a batch on the owner and passes its answer on.
+// dispatch runs a batch at the owner of the group and passes the answer on to the client.
 func (c *conn) dispatch(b *batch, complete bool) error {
 	req := b.finish(c.tx != nil)
 	keyed := c.session.requestKey != "" && b.executes && c.tx == nil
@@ -147,7 +148,7 @@
 		c.status = byte(done.TxStatus)
 	}
 	if c.session.acceptLoss {
-		c.session.floor = group.Position{} // the owner has dropped its own
+		c.session.floor = group.Position{} // the owner has reset its floor of the session
 	}
 	if p := done.Position; p != nil {
 		c.session.floor = group.Max(c.session.floor, group.Position{Term: p.Term, Index: p.Index})
@@ -189,8 +190,8 @@
 	return c.flush()
 }
 
-// refused passes a refusal on. An answer of which part was delivered cannot be
-// mended, so the connection ends with the error.
+// refused sends a refusal to the client. If part of an answer has been delivered already, the
+// connection ends with the error, since the partial answer cannot be taken back.
 func (c *conn) refused(result dispatch.Result, complete bool) error {
 	f := refusalFailure(result.Done)
 	c.endTx()
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -1,6 +1,10 @@
-// Package caller speaks the PostgreSQL protocol, version 3, with the services'
-// clients. It keeps what belongs to a caller's session, cuts the messages into
-// batches and has them run by package dispatch.
+// Package caller is the PostgreSQL server side: it serves clients over version 3 of the
+// protocol. It authenticates them, keeps the state of their sessions (settings, prepared
+// statements, the log position that reads must see), collects messages into batches and runs
+// these through package dispatch. Package instance starts it.
+//
+// Invariants: only what a transaction pool can serve is run; everything else is refused with an
+// SQLSTATE that says whether the statement was not run or its outcome is unknown.
 package caller
 
 import (
@@ -23,27 +27,26 @@
 	"github.com/stackspindle/stackspindle/internal/sqlclass"
 )
 
-// Service is what the catalogue says about a caller's service and the database
-// it asks for.
+// Service is the configuration of a client's service for the requested database.
 type Service struct {
 	Name           string
 	Group          string // database group
 	Database       string
-	Staleness      time.Duration // 0: strict
-	QueueTimeout   time.Duration
-	Weight         int
-	MaxConnections int
-	Credentials    *scram.StoredCredentials // nil: none are known
+	Staleness      time.Duration            // accepted age of reads; 0: strict session consistency
+	QueueTimeout   time.Duration            // maximum wait for a connection
+	Weight         int                      // in weighted fair queueing
+	MaxConnections int                      // to the group; 0: unlimited
+	Credentials    *scram.StoredCredentials // nil: the service has none
 }
 
-// ErrNoService and ErrNoDatabase are the reasons for which a start is refused.
+// Reasons for which the start of a session is refused.
 var (
 	ErrNoService  = errors.New("the service is not declared")
 	ErrNoDatabase = errors.New("the service may not reach this database")
 	ErrNoConfig   = errors.New("this instance has no configuration yet")
 )
 
-// Catalogue finds services in the configuration in force.
+// Catalogue looks up services in the current configuration.
 type Catalogue interface {
 	Service(name, database string) (*Service, error)
 }
@@ -51,17 +54,17 @@
 // Options are the settings of a server.
 type Options struct {
 	Instance        string
-	TLS             func() *tls.Config // nil, or returning nil: TLS is refused
+	TLS             func() *tls.Config // TLS is refused if this is nil or returns nil
 	Authenticate    bool
-	MaxCallers      int           // connections at the same time
-	MaxMessage      int           // bytes of one message
+	MaxCallers      int           // concurrent client connections
+	MaxMessage      int           // maximum size of a message in bytes
 	AuthTimeout     time.Duration // from accept to the end of authentication
-	WriteTimeout    time.Duration // of one write to a caller
-	IdleTransaction time.Duration // idle within a transaction, then it is rolled back
+	WriteTimeout    time.Duration // of one write to a client
+	IdleTransaction time.Duration // idle time within a transaction after which it is rolled back
 }
 
-// Defaults of the bounds on callers. They leave time for a slow client's
-// sign-on, and end a client that has stopped reading and a forgotten transaction.
+// Default timeouts. They leave slow clients time to authenticate, disconnect clients that have
+// stopped reading, and roll back transactions that a client has left open.
 const (
 	defaultAuthTimeout     = 10 * time.Second
 	defaultWriteTimeout    = 30 * time.Second
@@ -80,13 +83,13 @@
 	}
 }
 
-// Events counts what the server does.
+// Events receives what the server counts: statements that were run, and refusals by SQLSTATE.
 type Events interface {
 	Statement(member string, read, primary bool, took time.Duration)
 	Refused(code string)
 }
 
-// Server accepts callers.
+// Server accepts and serves clients.
 type Server struct {
 	opts       Options
 	catalogue  Catalogue
@@ -122,7 +125,7 @@
 	}, nil
 }
 
-// Serve accepts callers until Stop or Kill.
+// Serve accepts clients until Stop or Kill.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -155,28 +158,29 @@
 	go c.refuseStart(codeTooManyCallers, "this instance serves as many callers as it may")
 }
 
-// Callers returns how many callers are connected.
+// Callers returns the number of connected clients, once authenticated.
 func (s *Server) Callers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// instanceBits of a process id name the instance, so that a cancel request that
-// reaches another one can be passed on.
+// instanceBits is the number of high bits of a client's process ID that identify its instance,
+// so that a cancel request that reaches another instance can be forwarded.
 const instanceBits = 12
 
-// InstanceTag returns the part of a process id that names an instance.
+// InstanceTag returns the part of a process ID that identifies an instance: a hash of its
+// name.
 func InstanceTag(instance string) uint32 {
 	return uint32(xxhash.Sum64String(instance)) >> (32 - instanceBits)
 }
 
-// OwnerOfCancel returns the instance tag in a process id.
+// OwnerOfCancel returns the instance tag of a process ID.
 func OwnerOfCancel(pid uint32) uint32 {
 	return pid >> (32 - instanceBits)
 }
 
-// register gives the connection a process id that is free.
+// register assigns an unused process ID to the connection and adds it to the table.
 func (s *Server) register(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +200,8 @@
 	delete(s.conns, c.pid)
 }
 
-// Cancel stops the statement of the caller with this key, if it runs here.
+// Cancel cancels the statement in flight of the client with this process ID and secret, if it
+// is connected to this instance.
 func (s *Server) Cancel(pid uint32, secret []byte) {
 	s.mu.Lock()
 	c := s.conns[pid]
@@ -206,8 +211,8 @@
 	}
 }
 
-// Stop closes idle callers between transactions and lets the others finish,
-// until ctx ends.
+// Stop shuts down gracefully: it closes connections that are idle between transactions, and
+// waits for the others until ctx ends, when it closes them too.
 func (s *Server) Stop(ctx context.Context) {
 	s.stopping.Store(true)
 	s.mu.Lock()
@@ -231,7 +236,7 @@
 	s.pool.Release()
 }
 
-// Kill closes everything at once.
+// Kill closes the listener and all connections at once.
 func (s *Server) Kill() {
 	s.stopping.Store(true)
 	s.mu.Lock()
--- a/internal/caller/session.go
+++ b/internal/caller/session.go
@@ -10,25 +10,25 @@
 	"github.com/stackspindle/stackspindle/internal/sqlclass"
 )
 
-// settingPrefix marks the settings that are stackspindle's own.
+// settingPrefix is the name prefix of stackspindle's own settings.
 const settingPrefix = "stackspindle."
 
-// Settings of stackspindle that a caller may set.
+// Settings of stackspindle that a client may set.
 const (
-	settingSession    = "stackspindle.session"     // name of the session, at the start only
-	settingKey        = "stackspindle.request_key" // of the next statement or transaction
-	settingAcceptLoss = "stackspindle.accept_loss" // go on after lost writes
-	settingExplain    = "stackspindle.explain"     // say which member answered, and why
-	settingStaleness  = "stackspindle.staleness"   // stricter than the service's
+	settingSession    = "stackspindle.session"     // session name; at connection start only
+	settingKey        = "stackspindle.request_key" // idempotency key of the next statement or transaction
+	settingAcceptLoss = "stackspindle.accept_loss" // continue the session although acknowledged writes were lost
+	settingExplain    = "stackspindle.explain"     // report which member answered, and why
+	settingStaleness  = "stackspindle.staleness"   // maximum staleness of reads; at most the service's
 )
 
-// session is what belongs to one caller beyond a transaction.
+// session is the state of one client that outlives a transaction.
 type session struct {
 	service  *Service
-	name     string // with the service's name before it
+	name     string // prefixed with the service's name
 	settings map[string]string
-	pending  map[string]*string // set in the open transaction; nil: reset
-	floor    group.Position
+	pending  map[string]*string // changes of settings in the open transaction; nil: reset
+	floor    group.Position     // log position that reads must at least see
 
 	requestKey string
 	acceptLoss bool
@@ -36,13 +36,13 @@
 	staleness  time.Duration
 }
 
-// sessionNamePattern bounds what a session or request key may look like.
+// sessionNamePattern matches valid session names and request keys.
 var sessionNamePattern = regexp.MustCompile(`^[A-Za-z0-9_.:/@+=-]{1,128}$`)
 
-// settingNamePattern is what a run-time parameter's name may look like.
+// settingNamePattern matches valid names of run-time parameters.
 var settingNamePattern = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_.]*$`)
 
-// parseOptions reads "-c name=value" and "--name=value" from the startup options.
+// parseOptions parses "-c name=value" and "--name=value" in the startup options.
 func parseOptions(options string) (map[string]string, error) {
 	settings := make(map[string]string)
 	fields := strings.Fields(options)
@@ -68,7 +68,7 @@
 	return settings, nil
 }
 
-// setOwn applies one of stackspindle's own settings.
+// setOwn applies one of stackspindle's own settings; an empty value resets it.
 func (s *session) setOwn(name, value string) error {
 	switch name {
 	case settingKey:
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// setStaleness lets a caller ask for fresher reads than its service accepts.
+// setStaleness lets a client request fresher reads than its service requires, not staler ones.
 func (s *session) setStaleness(value string) error {
 	if value == "" {
 		s.staleness = s.service.Staleness
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// own reports whether a statement concerns stackspindle alone and is answered
-// without any upstream. DISCARD ALL and DEALLOCATE are among these, since all
-// that they discard is kept here.
+// own reports whether a statement only concerns stackspindle and is answered without an
+// upstream. This includes DISCARD ALL and DEALLOCATE, since this package keeps all the state
+// that they discard.
 func own(st sqlclass.Statement) bool {
 	switch st.Kind {
 	case sqlclass.KindDiscardAll, sqlclass.KindDeallocate:
@@ -131,7 +131,7 @@
 	return false
 }
 
-// noteSettings remembers the parameters that a batch has set with success.
+// noteSettings records the run-time parameters that a successful batch has set or reset.
 func (s *session) noteSettings(statements []sqlclass.Statement) {
 	for _, st := range statements {
 		name := strings.ToLower(st.Name)
@@ -156,7 +156,8 @@
 	s.pending[name] = value
 }
 
-// endTransaction makes pending settings last, or drops them.
+// endTransaction applies the pending settings if the transaction was committed, and discards
+// them otherwise.
 func (s *session) endTransaction(committed bool) {
 	if committed {
 		for name, value := range s.pending {
--- a/internal/caller/start.go
+++ b/internal/caller/start.go
@@ -12,8 +12,8 @@
 	"github.com/xdg-go/scram"
 )
 
-// start negotiates TLS, takes the startup message and authenticates. It reports
-// false when the connection is done.
+// start negotiates TLS, reads the startup message and authenticates the client. It returns
+// false if the connection is to be closed.
 func (c *conn) start() bool {
 	deadline := time.Now().Add(c.server.opts.AuthTimeout)
 	if err := c.net.SetDeadline(deadline); err != nil {
@@ -34,9 +34,10 @@
 	return c.flush() == nil
 }
 
-// maxStartMessages bounds the negotiation before the startup message.
+// maxStartMessages bounds the number of messages up to and including the startup message.
 const maxStartMessages = 4
 
+// startupMessage returns the startup message, or nil if the client sent a cancel request instead.
 func (c *conn) startupMessage() (*pgproto3.StartupMessage, error) {
 	for range maxStartMessages {
 		msg, err := c.backend.ReceiveStartupMessage()
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// admit checks the startup message and authenticates the caller.
+// admit checks the startup message, authenticates the client and opens its session.
 func (c *conn) admit(msg *pgproto3.StartupMessage) error {
 	user, database := msg.Parameters["user"], msg.Parameters["database"]
 	if user == "" {
@@ -148,7 +149,8 @@
 	return nil
 }
 
-// passedOn are the startup parameters that change how statements run.
+// passedOn lists the startup parameters that affect how statements run; they become settings
+// of the session.
 var passedOn = map[string]bool{
 	"bytea_output":       true,
 	"datestyle":          true,
@@ -160,8 +162,8 @@
 	"timezone":           true,
 }
 
-// authenticate runs SCRAM-SHA-256. A service that is not known goes through the
-// same exchange and fails at its end, so that names cannot be probed.
+// authenticate runs SCRAM-SHA-256. An unknown service goes through the same exchange and fails
+// at its end, so that clients cannot probe which services exist.
 func (c *conn) authenticate(service *Service) error {
 	credentials := unknownCredentials
 	if service != nil && service.Credentials != nil {
@@ -192,23 +194,23 @@
 
 const scramMechanism = "SCRAM-SHA-256"
 
-// unknownCredentials match no password.
+// unknownCredentials are derived from a random password, which no client knows.
 var unknownCredentials = func() *scram.StoredCredentials {
 	client, err := scram.SHA256.NewClient("", rand.Text(), "")
 	if err != nil {
-		panic(err) // a random text needs no normalisation
+		panic(err) // the random password needs no normalization
 	}
 	credentials, err := client.GetStoredCredentialsWithError(scram.KeyFactors{Salt: rand.Text(), Iters: scramIterations})
 	if err != nil {
-		panic(err) // the factors are constants
+		panic(err) // the iteration count is constant and valid
 	}
 	return &credentials
 }()
 
-// scramIterations is PostgreSQL's default.
+// scramIterations is PostgreSQL's default iteration count.
 const scramIterations = 4096
 
-// NewCredentials derives what a server keeps from a password.
+// NewCredentials derives the credentials that a server stores from a password.
 func NewCredentials(password string) (*scram.StoredCredentials, error) {
 	client, err := scram.SHA256.NewClient("", password, "")
 	if err != nil {
@@ -261,7 +263,8 @@
 	return nil
 }
 
-// greet tells the caller that it may begin.
+// greet registers the connection and completes the startup: it sends AuthenticationOk, the
+// server parameters, the cancel key and ReadyForQuery.
 func (c *conn) greet() {
 	c.server.register(c)
 	c.registered = true
