--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -51,18 +51,18 @@
 
 // expectation is a message that the member, or this instance, still has to answer.
 type expectation struct {
-	kind    byte
-	silent  bool   // the answer is not passed on to the client
-	prepare string // name of the statement that is prepared once the answer has arrived
+	kind              byte
+	discard           bool   // the answer is not passed on to the client
+	preparesStatement string // name of the statement that is prepared once the answer has arrived
 }
 
 const expectPosition = 'p' // the query for the log position
 
-// chunkSize is the size in bytes from which a chunk is emitted before the answer ends.
-const chunkSize = 32 << 10
+// minEmitSize is the size in bytes from which a chunk is emitted before the answer ends.
+const minEmitSize = 32 << 10
 
-// firstChunk is the initial capacity of the answer's buffer in bytes; most answers fit.
-const firstChunk = 512
+// initialChunkCapacity is the initial capacity of the answer's buffer in bytes; most answers fit.
+const initialChunkCapacity = 512
 
 // Run sends a batch and reads its answer. Rows are passed to emit in chunks as they
 // arrive. The rest, which always includes the command's completion, is returned, so that
@@ -83,7 +83,7 @@
 	}
 	// The answer is still in use after the connection has returned to its pool, so its
 	// buffer is never shared with the next batch.
-	r := &reader{conn: c, expected: expected, emit: emit, chunk: make([]byte, 0, firstChunk)}
+	r := &responseReader{conn: c, expected: expected, emit: emit, chunk: make([]byte, 0, initialChunkCapacity)}
 	if err := r.read(); err != nil {
 		c.Kill()
 		return r.result, err
@@ -114,10 +114,10 @@
 		}
 		body := b.Wire[start:end]
 		start = end
-		if c.skipping && kind != KindSync {
+		if c.ignoringUntilSync && kind != KindSync {
 			continue
 		}
-		c.skipping = false
+		c.ignoringUntilSync = false
 		var err error
 		if expected, err = c.encodeOne(b, kind, body, b.Refs[i], pending, expected); err != nil {
 			return nil, err
@@ -128,7 +128,7 @@
 		if c.out, err = (&pgproto3.Query{String: positionQuery}).Encode(c.out); err != nil {
 			return nil, err
 		}
-		expected = append(expected, expectation{kind: expectPosition, silent: true})
+		expected = append(expected, expectation{kind: expectPosition, discard: true})
 	}
 	return expected, nil
 }
@@ -139,7 +139,7 @@
 	}
 	if ref > 0 {
 		s := &b.Statements[ref-1]
-		known := c.prepared[s.Name] || pending[s.Name]
+		known := c.preparedStatements[s.Name] || pending[s.Name]
 		if !known {
 			var err error
 			parse := pgproto3.Parse{Name: s.Name, Query: s.SQL, ParameterOIDs: s.ParameterOIDs}
@@ -147,7 +147,7 @@
 				return nil, err
 			}
 			pending[s.Name] = true
-			expected = append(expected, expectation{kind: KindParse, silent: kind != KindParse, prepare: s.Name})
+			expected = append(expected, expectation{kind: KindParse, discard: kind != KindParse, preparesStatement: s.Name})
 		}
 		if kind == KindParse {
 			if known {
@@ -167,14 +167,14 @@
 // statements whose plans have become invalid. CloseComplete is generated here; the member's
 // own is discarded.
 func (c *Conn) encodeClose(b *Batch, ref uint32, expected []expectation) ([]expectation, error) {
-	if ref > 0 && c.prepared[b.Statements[ref-1].Name] {
+	if ref > 0 && c.preparedStatements[b.Statements[ref-1].Name] {
 		name := b.Statements[ref-1].Name
 		var err error
 		if c.out, err = (&pgproto3.Close{ObjectType: 'S', Name: name}).Encode(c.out); err != nil {
 			return nil, err
 		}
-		delete(c.prepared, name)
-		expected = append(expected, expectation{kind: KindClosePortal, silent: true})
+		delete(c.preparedStatements, name)
+		expected = append(expected, expectation{kind: KindClosePortal, discard: true})
 	}
 	return append(expected, expectation{kind: KindCloseStatement}), nil
 }
@@ -183,17 +183,17 @@
 // already prepared on the connection.
 const syntheticParse = 'p' + 1
 
-// reader reads the answer to one batch.
-type reader struct {
-	conn     *Conn
-	expected []expectation
-	emit     func([]byte) error
-	chunk    []byte
-	result   Result
-	whole    bool // no statement of the current simple query is partly answered
+// responseReader reads the answer to one batch.
+type responseReader struct {
+	conn              *Conn
+	expected          []expectation
+	emit              func([]byte) error
+	chunk             []byte
+	result            Result
+	betweenStatements bool // no statement of the current simple query is partly answered
 }
 
-func (r *reader) read() error {
+func (r *responseReader) read() error {
 	for {
 		if err := r.synthesize(); err != nil {
 			return err
@@ -205,14 +205,14 @@
 		if err != nil {
 			return fmt.Errorf("upstream %s: %w: %w", r.conn.target.Member, ErrUnknown, err)
 		}
-		if err := r.take(msg); err != nil {
+		if err := r.process(msg); err != nil {
 			return err
 		}
 	}
 }
 
 // synthesize generates the answers to leading messages that were not sent to the member.
-func (r *reader) synthesize() error {
+func (r *responseReader) synthesize() error {
 	for len(r.expected) > 0 {
 		var msg pgproto3.BackendMessage
 		switch r.expected[0].kind {
@@ -224,21 +224,21 @@
 			return nil
 		}
 		r.expected = r.expected[1:]
-		if err := r.relay(msg); err != nil {
+		if err := r.appendMessage(msg); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *reader) relay(msg pgproto3.BackendMessage) error {
+func (r *responseReader) appendMessage(msg pgproto3.BackendMessage) error {
 	var err error
 	r.chunk, err = msg.Encode(r.chunk)
 	return err
 }
 
-// done reports whether msg ends the answer to a message of the given kind.
-func done(kind byte, msg pgproto3.BackendMessage) bool {
+// endsAnswer reports whether msg ends the answer to a message of the given kind.
+func endsAnswer(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.ParseComplete:
 		return kind == KindParse
@@ -256,8 +256,8 @@
 	return false
 }
 
-// part reports whether msg may precede the end of the answer to a message of the given kind.
-func part(kind byte, msg pgproto3.BackendMessage) bool {
+// belongsToAnswer reports whether msg may precede the end of the answer to a message of the given kind.
+func belongsToAnswer(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.DataRow:
 		return kind == KindExecute || kind == KindQuery || kind == expectPosition
@@ -271,55 +271,55 @@
 	return false
 }
 
-func (r *reader) take(msg pgproto3.BackendMessage) error {
+func (r *responseReader) process(msg pgproto3.BackendMessage) error {
 	head := r.expected[0]
-	completes := done(head.kind, msg)
-	if !completes && !part(head.kind, msg) {
+	completes := endsAnswer(head.kind, msg)
+	if !completes && !belongsToAnswer(head.kind, msg) {
 		return fmt.Errorf("upstream %s: %T: %w", r.conn.target.Member, msg, ErrProtocol)
 	}
-	r.noteWhole(msg)
+	r.trackStatementEnd(msg)
 	if ready, ok := msg.(*pgproto3.ReadyForQuery); ok && head.kind != expectPosition {
-		if head.kind == KindQuery && !r.whole {
+		if head.kind == KindQuery && !r.betweenStatements {
 			return fmt.Errorf("upstream %s: the answer ends in the middle: %w", r.conn.target.Member, ErrProtocol)
 		}
 		r.conn.status = ready.TxStatus
 	}
 	if head.kind == expectPosition {
-		r.takePosition(msg)
+		r.recordPosition(msg)
 	}
 	if e, ok := msg.(*pgproto3.ErrorResponse); ok {
-		return r.takeError(head, e)
+		return r.processError(head, e)
 	}
 	if completes {
 		r.expected = r.expected[1:]
-		if head.prepare != "" {
-			r.conn.prepared[head.prepare] = true
+		if head.preparesStatement != "" {
+			r.conn.preparedStatements[head.preparesStatement] = true
 		}
 	}
-	if head.silent {
+	if head.discard {
 		return nil
 	}
-	if err := r.relay(msg); err != nil {
+	if err := r.appendMessage(msg); err != nil {
 		return err
 	}
-	if _, ok := msg.(*pgproto3.DataRow); ok && len(r.chunk) >= chunkSize {
+	if _, ok := msg.(*pgproto3.DataRow); ok && len(r.chunk) >= minEmitSize {
 		return r.flush()
 	}
 	return nil
 }
 
-// noteWhole tracks whether a statement is partly answered, so that a result that an
+// trackStatementEnd tracks whether a statement is partly answered, so that a result that an
 // unexpected ReadyForQuery truncates is not mistaken for a complete one.
-func (r *reader) noteWhole(msg pgproto3.BackendMessage) {
+func (r *responseReader) trackStatementEnd(msg pgproto3.BackendMessage) {
 	switch msg.(type) {
 	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.ErrorResponse:
-		r.whole = true
+		r.betweenStatements = true
 	case *pgproto3.RowDescription, *pgproto3.DataRow:
-		r.whole = false
+		r.betweenStatements = false
 	}
 }
 
-func (r *reader) takePosition(msg pgproto3.BackendMessage) {
+func (r *responseReader) recordPosition(msg pgproto3.BackendMessage) {
 	row, ok := msg.(*pgproto3.DataRow)
 	if !ok || len(row.Values) != 1 {
 		return
@@ -329,9 +329,9 @@
 	}
 }
 
-// takeError handles an ErrorResponse. After an error in the extended protocol the member
+// processError handles an ErrorResponse. After an error in the extended protocol the member
 // ignores all messages up to Sync, so their expectations are removed.
-func (r *reader) takeError(head expectation, e *pgproto3.ErrorResponse) error {
+func (r *responseReader) processError(head expectation, e *pgproto3.ErrorResponse) error {
 	if head.kind == expectPosition {
 		return nil // the batch left a transaction open in which the query fails; there is no position
 	}
@@ -339,7 +339,7 @@
 		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrUnknown, e.Message, e.Code)
 	}
 	r.result.Failed = true
-	if err := r.relay(e); err != nil {
+	if err := r.appendMessage(e); err != nil {
 		return err
 	}
 	if head.kind == KindQuery {
@@ -348,15 +348,15 @@
 	for len(r.expected) > 0 && r.expected[0].kind != KindSync {
 		r.expected = r.expected[1:]
 	}
-	r.conn.skipping = len(r.expected) == 0
+	r.conn.ignoringUntilSync = len(r.expected) == 0
 	return nil
 }
 
-func (r *reader) flush() error {
+func (r *responseReader) flush() error {
 	if err := r.emit(r.chunk); err != nil {
 		return fmt.Errorf("upstream %s: %w: the caller is gone: %w", r.conn.target.Member, ErrUnknown, err)
 	}
 	r.result.Emitted = true
-	r.chunk = make([]byte, 0, chunkSize+chunkSize/4)
+	r.chunk = make([]byte, 0, minEmitSize+minEmitSize/4)
 	return nil
 }
--- a/internal/upstream/batch_test.go
+++ b/internal/upstream/batch_test.go
@@ -24,11 +24,11 @@
 // splits its output into pieces, and can insert one unexpected message or break the
 // connection within an answer.
 type scriptedMember struct {
-	piece   int // bytes per write
-	strayAt int // number of the message before which the unexpected one is sent; -1: none
-	breakAt int // number of the message in which the connection breaks; -1: none
-	stray   pgproto3.BackendMessage
-	sent    int // messages sent so far, without the unexpected one
+	writeSize    int // bytes per write
+	unexpectedAt int // number of the message before which the unexpected one is sent; -1: none
+	breakAt      int // number of the message in which the connection breaks; -1: none
+	unexpected   pgproto3.BackendMessage
+	sent         int // messages sent so far, without the unexpected one
 }
 
 func (m *scriptedMember) serve(l net.Listener) {
@@ -63,9 +63,9 @@
 			bound = texts[q.PreparedStatement]
 			answers = []pgproto3.BackendMessage{&pgproto3.BindComplete{}}
 		case *pgproto3.Execute:
-			answers = rowOf(bound)
+			answers = rowResponse(bound)
 		case *pgproto3.Query:
-			answers = append(rowOf(q.String), &pgproto3.ReadyForQuery{TxStatus: 'I'})
+			answers = append(rowResponse(q.String), &pgproto3.ReadyForQuery{TxStatus: 'I'})
 		case *pgproto3.Sync:
 			answers = []pgproto3.BackendMessage{&pgproto3.ReadyForQuery{TxStatus: 'I'}}
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-func rowOf(text string) []pgproto3.BackendMessage {
+func rowResponse(text string) []pgproto3.BackendMessage {
 	return []pgproto3.BackendMessage{
 		&pgproto3.DataRow{Values: [][]byte{[]byte(text)}},
 		&pgproto3.CommandComplete{CommandTag: []byte("SELECT 1")},
@@ -86,15 +86,15 @@
 
 func (m *scriptedMember) send(conn net.Conn, msg pgproto3.BackendMessage) bool {
 	var raw []byte
-	if m.sent == m.strayAt {
-		raw, _ = m.stray.Encode(raw)
+	if m.sent == m.unexpectedAt {
+		raw, _ = m.unexpected.Encode(raw)
 	}
 	raw, _ = msg.Encode(raw)
 	if m.sent == m.breakAt {
 		raw = raw[:len(raw)/2]
 	}
-	for i := 0; i < len(raw); i += m.piece {
-		if _, err := conn.Write(raw[i:min(i+m.piece, len(raw))]); err != nil {
+	for i := 0; i < len(raw); i += m.writeSize {
+		if _, err := conn.Write(raw[i:min(i+m.writeSize, len(raw))]); err != nil {
 			return false
 		}
 	}
@@ -105,19 +105,19 @@
 // Run must return exactly the answer of its own batch or an error, and an error must mark the
 // connection broken. Members that split messages, send unexpected ones or break the
 // connection must not make it pass on another batch's answer or a truncated one.
-func TestAnswersReachTheirOwnRequestWhole(t *testing.T) {
+func TestRunReturnsOwnCompleteAnswerOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		strays := []pgproto3.BackendMessage{
+		unexpected := []pgproto3.BackendMessage{
 			&pgproto3.BindComplete{}, &pgproto3.CloseComplete{}, &pgproto3.ReadyForQuery{TxStatus: 'I'},
 			&pgproto3.CopyOutResponse{}, &pgproto3.PortalSuspended{}, &pgproto3.NoData{}, &pgproto3.NoticeResponse{Message: "n"},
 		}
 		m := &scriptedMember{
-			piece:   rapid.IntRange(1, 40).Draw(t, "piece"),
-			strayAt: rapid.IntRange(-1, 30).Draw(t, "strayAt"),
-			breakAt: rapid.IntRange(-1, 60).Draw(t, "breakAt"),
-			stray:   strays[rapid.IntRange(0, len(strays)-1).Draw(t, "stray")],
+			writeSize:    rapid.IntRange(1, 40).Draw(t, "piece"),
+			unexpectedAt: rapid.IntRange(-1, 30).Draw(t, "strayAt"),
+			breakAt:      rapid.IntRange(-1, 60).Draw(t, "breakAt"),
+			unexpected:   unexpected[rapid.IntRange(0, len(unexpected)-1).Draw(t, "stray")],
 		}
-		_, harmless := m.stray.(*pgproto3.NoticeResponse)
+		_, isNotice := m.unexpected.(*pgproto3.NoticeResponse)
 		conn := dialScripted(t, m)
 		defer conn.Kill()
 		for i := range rapid.IntRange(1, 8).Draw(t, "batches") {
@@ -131,7 +131,7 @@
 				return
 			}
 			got = append(got, result.Wire...)
-			if m.strayAt >= 0 && harmless {
+			if m.unexpectedAt >= 0 && isNotice {
 				continue // the notice is passed on, anywhere in the answer
 			}
 			if string(got) != string(want) {
@@ -172,7 +172,7 @@
 	ready := &pgproto3.ReadyForQuery{TxStatus: 'I'}
 	if rapid.Bool().Draw(t, "simple") {
 		text := fmt.Sprintf("query %d", i)
-		add(KindQuery, &pgproto3.Query{String: text}, 0, append(rowOf(text), ready)...)
+		add(KindQuery, &pgproto3.Query{String: text}, 0, append(rowResponse(text), ready)...)
 		return b, want
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "statements") {
@@ -184,7 +184,7 @@
 			add(KindParse, nil, ref, &pgproto3.ParseComplete{})
 		}
 		add(KindBind, &pgproto3.Bind{PreparedStatement: s.Name}, ref, &pgproto3.BindComplete{})
-		add(KindExecute, &pgproto3.Execute{}, 0, rowOf(s.SQL)...)
+		add(KindExecute, &pgproto3.Execute{}, 0, rowResponse(s.SQL)...)
 		if rapid.Bool().Draw(t, "close") {
 			add(KindCloseStatement, nil, ref, &pgproto3.CloseComplete{})
 		}
@@ -193,15 +193,15 @@
 	return b, want
 }
 
-func TestStatusLine(t *testing.T) {
+func TestParseStatus(t *testing.T) {
 	st, err := parseStatus("7 primary 6 40 owner-1 1500 owner-1 2500 true false 6 39 0:0,6:30")
 	must.NoError(t, err)
 	must.Eq(t, uint64(7), st.Term)
 	must.Eq(t, "6/40", st.Position.String())
 	must.True(t, st.Released)
 	must.Len(t, 2, st.History)
-	for _, bad := range []string{"", "7 primary", "x primary 6 40 o 1 o 1 true false 6 39", "7 primary 6 40 o 1 - -1 true false 6 39 x"} {
-		_, err := parseStatus(bad)
+	for _, malformed := range []string{"", "7 primary", "x primary 6 40 o 1 o 1 true false 6 39", "7 primary 6 40 o 1 - -1 true false 6 39 x"} {
+		_, err := parseStatus(malformed)
 		must.ErrorIs(t, err, ErrProtocol)
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -78,20 +78,20 @@
 	pid      uint32
 	secret   []byte
 
-	status   byte              // transaction status of the last ReadyForQuery
-	unsynced bool              // the last batch did not end with Query or Sync
-	skipping bool              // the member ignores messages until Sync, after an error in the extended protocol
-	prepared map[string]bool   // names of the statements that are prepared on the connection
-	settings map[string]string // run-time parameters that Prepare has set
-	dirty    bool              // the member's run-time parameters may differ from settings
-	tainted  bool              // a statement may have left other session state behind
-	broken   atomic.Bool
-	out      []byte // encoded request; the buffer is reused
+	status             byte              // transaction status of the last ReadyForQuery
+	unsynced           bool              // the last batch did not end with Query or Sync
+	ignoringUntilSync  bool              // the member ignores messages until Sync, after an error in the extended protocol
+	preparedStatements map[string]bool   // names of the statements that are prepared on the connection
+	appliedSettings    map[string]string // run-time parameters that Prepare has set
+	settingsChanged    bool              // the member's run-time parameters may differ from appliedSettings
+	tainted            bool              // a statement may have left other session state behind
+	broken             atomic.Bool
+	out                []byte // encoded request; the buffer is reused
 }
 
-// maxPrepared is the number of prepared statements above which a connection is reset with
+// maxPreparedStatements is the number of prepared statements above which a connection is reset with
 // DISCARD ALL before it is shared again.
-const maxPrepared = 512
+const maxPreparedStatements = 512
 
 // Dial opens a data connection that is bound to a term, or to none if term is 0.
 func Dial(ctx context.Context, t Target, term uint64) (*Conn, error) {
@@ -108,15 +108,15 @@
 		return nil, fmt.Errorf("upstream %s: connect: %w", t.Member, err)
 	}
 	return &Conn{
-		target:   t,
-		term:     term,
-		conn:     h.Conn,
-		frontend: h.Frontend,
-		pid:      h.PID,
-		secret:   h.SecretKey,
-		status:   'I',
-		prepared: make(map[string]bool),
-		settings: make(map[string]string),
+		target:             t,
+		term:               term,
+		conn:               h.Conn,
+		frontend:           h.Frontend,
+		pid:                h.PID,
+		secret:             h.SecretKey,
+		status:             'I',
+		preparedStatements: make(map[string]bool),
+		appliedSettings:    make(map[string]string),
 	}, nil
 }
 
@@ -135,7 +135,7 @@
 func (c *Conn) Taint() { c.tainted = true }
 
 // MarkSettingsChanged records that a batch may have changed run-time parameters.
-func (c *Conn) MarkSettingsChanged() { c.dirty = true }
+func (c *Conn) MarkSettingsChanged() { c.settingsChanged = true }
 
 // Broken reports whether the connection must not be used any more.
 func (c *Conn) Broken() bool { return c.broken.Load() }
@@ -216,7 +216,7 @@
 // readRow reads up to ReadyForQuery and returns the first row, or the member's error.
 func (c *Conn) readRow() ([]string, error) {
 	var row []string
-	var failed error
+	var queryErr error
 	for {
 		msg, err := c.frontend.Receive()
 		if err != nil {
@@ -231,10 +231,10 @@
 				}
 			}
 		case *pgproto3.ErrorResponse:
-			failed = pgconn.ErrorResponseToPgError(m)
+			queryErr = pgconn.ErrorResponseToPgError(m)
 		case *pgproto3.ReadyForQuery:
 			c.status = m.TxStatus
-			return row, failed
+			return row, queryErr
 		}
 	}
 }
@@ -254,9 +254,9 @@
 func parsePosition(row []string) (group.Position, error) {
 	if len(row) == 1 {
 		if term, index, ok := strings.Cut(row[0], " "); ok {
-			t, errT := strconv.ParseUint(term, 10, 64)
-			i, errI := strconv.ParseUint(index, 10, 64)
-			if errT == nil && errI == nil {
+			t, termErr := strconv.ParseUint(term, 10, 64)
+			i, indexErr := strconv.ParseUint(index, 10, 64)
+			if termErr == nil && indexErr == nil {
 				return group.Position{Term: t, Index: i}, nil
 			}
 		}
@@ -267,22 +267,22 @@
 // Prepare sets the run-time parameters of a session before its transaction. It does nothing
 // if the connection has them already. On an error the connection is closed.
 func (c *Conn) Prepare(wanted map[string]string) error {
-	if !c.dirty && sameSettings(c.settings, wanted) {
+	if !c.settingsChanged && sameSettings(c.appliedSettings, wanted) {
 		return nil
 	}
 	if _, err := c.Exec("RESET ALL"); err != nil {
 		c.Kill()
 		return err
 	}
-	c.settings = make(map[string]string, len(wanted))
+	c.appliedSettings = make(map[string]string, len(wanted))
 	for name, value := range wanted {
 		if _, err := c.ExecParams("SELECT set_config($1, $2, false)", name, value); err != nil {
 			c.Kill()
 			return err
 		}
-		c.settings[name] = value
+		c.appliedSettings[name] = value
 	}
-	c.dirty = false
+	c.settingsChanged = false
 	return nil
 }
 
@@ -301,7 +301,7 @@
 // Clean prepares the connection for another client: it rolls back an open transaction and
 // resets the session state if needed. It reports false if the connection cannot be shared.
 func (c *Conn) Clean() bool {
-	if c.Broken() || c.skipping || c.unsynced {
+	if c.Broken() || c.ignoringUntilSync || c.unsynced {
 		return false
 	}
 	if c.status != 'I' {
@@ -309,14 +309,14 @@
 			return false
 		}
 	}
-	if !c.tainted && len(c.prepared) <= maxPrepared {
+	if !c.tainted && len(c.preparedStatements) <= maxPreparedStatements {
 		return true
 	}
 	if _, err := c.Exec("DISCARD ALL"); err != nil {
 		return false
 	}
-	c.tainted, c.dirty = false, false
-	c.prepared = make(map[string]bool)
-	c.settings = make(map[string]string)
+	c.tainted, c.settingsChanged = false, false
+	c.preparedStatements = make(map[string]bool)
+	c.appliedSettings = make(map[string]string)
 	return true
 }
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -34,14 +34,14 @@
 // Do sends one request and returns its reply. A request whose connection fails is retried
 // once on a new connection, since the member may have closed the old one long ago.
 func (c *Control) Do(ctx context.Context, s failover.Send, self string) failover.Reply {
-	reply := c.try(ctx, s, self)
+	reply := c.attempt(ctx, s, self)
 	if reply.Failure == failover.FailHard {
-		return c.try(ctx, s, self)
+		return c.attempt(ctx, s, self)
 	}
 	return reply
 }
 
-func (c *Control) try(ctx context.Context, s failover.Send, self string) failover.Reply {
+func (c *Control) attempt(ctx context.Context, s failover.Send, self string) failover.Reply {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	reply := failover.Reply{Member: s.Member, Op: s.Op, Term: s.Term, Sent: c.now()}
@@ -61,9 +61,9 @@
 // alive; a timeout is inconclusive; a connection that is refused or breaks indicates that
 // the member is down.
 func classify(err error) failover.Failure {
-	var refused *pgconn.PgError
+	var answer *pgconn.PgError
 	switch {
-	case errors.As(err, &refused) && refused.Severity != "FATAL":
+	case errors.As(err, &answer) && answer.Severity != "FATAL":
 		return failover.FailRefused
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled), pgconn.Timeout(err):
 		return failover.FailSilent
@@ -172,7 +172,7 @@
 		Acknowledged: group.Position{Term: uint64(numbers[10]), Index: uint64(numbers[11])},
 	}
 	if len(f) > statusFields {
-		return withHistory(st, f[statusFields])
+		return parseHistory(st, f[statusFields])
 	}
 	return st, nil
 }
@@ -192,7 +192,7 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-func withHistory(st group.Status, text string) (group.Status, error) {
+func parseHistory(st group.Status, text string) (group.Status, error) {
 	for _, item := range strings.Split(text, ",") {
 		var start group.TermStart
 		if _, err := fmt.Sscanf(item, "%d:%d", &start.Term, &start.Index); err != nil {
