--- a/internal/sqlclass/sqlclass_test.go
+++ b/internal/sqlclass/sqlclass_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestClasses(t *testing.T) {
+func TestClassify(t *testing.T) {
 	c, err := New(100)
 	must.NoError(t, err)
 	cases := []struct {
@@ -41,15 +41,15 @@
 		{"this is no SQL", false, false, false},
 		{"", true, false, false},
 	}
-	for _, k := range cases {
-		class := c.Classify(k.sql)
-		must.Eq(t, k.read, class.ReadOnly(), must.Sprint(k.sql))
-		must.Eq(t, k.refused, class.Refusal() != "", must.Sprint(k.sql))
-		must.Eq(t, k.taints, class.Taints(), must.Sprint(k.sql))
+	for _, tc := range cases {
+		class := c.Classify(tc.sql)
+		must.Eq(t, tc.read, class.ReadOnly(), must.Sprint(tc.sql))
+		must.Eq(t, tc.refused, class.Refusal() != "", must.Sprint(tc.sql))
+		must.Eq(t, tc.taints, class.Taints(), must.Sprint(tc.sql))
 	}
 }
 
-func TestTransactionAndSettingDetails(t *testing.T) {
+func TestClassifyTransactionsAndSettings(t *testing.T) {
 	c, err := New(10)
 	must.NoError(t, err)
 	must.True(t, c.Classify("BEGIN READ ONLY").Statements[0].ReadOnly)
