--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		return 0, true, err
 	}
-	var peeked error
+	var recvErr error
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, peeked = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buf [1]byte
+		n, _, recvErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	if err != nil {
 		return 0, true, err
 	}
-	return n, true, peeked
+	return n, true, recvErr
 }
