--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -55,9 +55,9 @@
 	maxIdleStreams   = 256 // per instance
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 3 * time.Second
-	connectBackoff   = 50 * time.Millisecond
+	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = time.Second
-	maxMessage       = 64 << 20 // bytes
+	maxMessageSize   = 64 << 20 // bytes
 )
 
 // NewClient returns a client without connections. If creds is nil, connections are not
@@ -97,9 +97,9 @@
 		grpc.WithTransportCredentials(c.creds),
 		grpc.WithStatsHandler(c.traffic),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: connectBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
+			Backoff:           backoff.Config{BaseDelay: initialBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: maxBackoff,
 		}),
 	)
@@ -132,12 +132,12 @@
 
 // Stream forwards the transactions of one client at a time to an owner.
 type Stream struct {
-	remote *remote
-	run    grpc.BidiStreamingClient[peerpb.RunRequest, peerpb.RunReply]
-	cancel context.CancelFunc
-	open   bool // a transaction is open on the owner
-	broken bool
-	send   sync.Mutex // serializes Send calls: Cancel and Handle may run concurrently
+	remote        *remote
+	run           grpc.BidiStreamingClient[peerpb.RunRequest, peerpb.RunReply]
+	cancel        context.CancelFunc
+	inTransaction bool // a transaction is open on the owner
+	broken        bool
+	sendMu        sync.Mutex // serializes Send calls: Cancel and Handle may run concurrently
 }
 
 // Open returns an idle stream to an instance from the pool, or opens a new one.
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if s := r.takeIdle(); s != nil {
+	if s := r.popIdle(); s != nil {
 		return s, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -158,7 +158,7 @@
 	return &Stream{remote: r, run: run, cancel: cancel}, nil
 }
 
-func (r *remote) takeIdle() *Stream {
+func (r *remote) popIdle() *Stream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := len(r.idle)
@@ -173,9 +173,9 @@
 // Handle sends a batch and passes the replies to deliver, up to the one with Done. An error
 // that wraps ErrNotSent means that the owner has not begun to run the batch.
 func (s *Stream) Handle(ctx context.Context, req *peerpb.RunRequest, deliver func(*peerpb.RunReply) error) error {
-	s.send.Lock()
+	s.sendMu.Lock()
 	err := s.run.Send(req)
-	s.send.Unlock()
+	s.sendMu.Unlock()
 	if err != nil {
 		s.broken = true
 		return s.sendError(err)
@@ -193,7 +193,7 @@
 			return err
 		}
 		if reply.Done != nil {
-			s.open = reply.Done.TxStatus != 'I'
+			s.inTransaction = reply.Done.TxStatus != 'I'
 			return nil
 		}
 	}
@@ -203,7 +203,7 @@
 // run at the owner, so the error wraps ErrNotSent; within an open transaction the outcome is
 // unknown.
 func (s *Stream) sendError(err error) error {
-	if s.open {
+	if s.inTransaction {
 		return fmt.Errorf("owner: %w", err)
 	}
 	return fmt.Errorf("%w: owner: %w", ErrNotSent, err)
@@ -212,7 +212,7 @@
 // recvError distinguishes the orderly end of a stream from its loss. An owner ends a stream in
 // order only between transactions, so a batch that was to begin one has not run.
 func (s *Stream) recvError(err error) error {
-	if errors.Is(err, io.EOF) && !s.open {
+	if errors.Is(err, io.EOF) && !s.inTransaction {
 		return fmt.Errorf("%w: owner: %w", ErrNotSent, err)
 	}
 	return fmt.Errorf("owner: %w", err)
@@ -220,8 +220,8 @@
 
 // Cancel asks the owner to stop the batch in flight.
 func (s *Stream) Cancel() {
-	s.send.Lock()
-	defer s.send.Unlock()
+	s.sendMu.Lock()
+	defer s.sendMu.Unlock()
 	_ = s.run.Send(&peerpb.RunRequest{Cancel: true}) // best effort, like PostgreSQL's cancel requests
 }
 
@@ -231,7 +231,7 @@
 // Close returns the stream to the pool. If a transaction is open, the stream is closed
 // instead, which makes the owner roll back.
 func (s *Stream) Close() {
-	if s.open || s.broken {
+	if s.inTransaction || s.broken {
 		s.cancel()
 		return
 	}
--- a/internal/peer/completion.go
+++ b/internal/peer/completion.go
@@ -9,8 +9,8 @@
 // describeStatement is the object type of a Describe message for a prepared statement.
 const describeStatement = 'S'
 
-// headerLength is the size in bytes of a message's type and length fields.
-const headerLength = 5
+// messageHeaderLength is the size in bytes of a message's type and length fields.
+const messageHeaderLength = 5
 
 // Completion encodes the answer to a batch that is not run on a member: each command
 // completes with the tag and returns no rows. ReadyForQuery is not included.
@@ -20,7 +20,7 @@
 	for i, kind := range req.Kinds {
 		body := req.Wire[start:req.Ends[i]]
 		start = req.Ends[i]
-		for _, msg := range completionOf(kind, body, tag) {
+		for _, msg := range completionMessages(kind, body, tag) {
 			var err error
 			if out, err = msg.Encode(out); err != nil {
 				return nil, err
@@ -30,7 +30,7 @@
 	return out, nil
 }
 
-func completionOf(kind byte, body []byte, tag string) []pgproto3.BackendMessage {
+func completionMessages(kind byte, body []byte, tag string) []pgproto3.BackendMessage {
 	switch kind {
 	case 'P':
 		return []pgproto3.BackendMessage{&pgproto3.ParseComplete{}}
@@ -39,7 +39,7 @@
 	case 'C', 'c':
 		return []pgproto3.BackendMessage{&pgproto3.CloseComplete{}}
 	case 'D':
-		if len(body) > headerLength && body[headerLength] == describeStatement {
+		if len(body) > messageHeaderLength && body[messageHeaderLength] == describeStatement {
 			return []pgproto3.BackendMessage{&pgproto3.ParameterDescription{}, &pgproto3.NoData{}}
 		}
 		return []pgproto3.BackendMessage{&pgproto3.NoData{}}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -52,7 +52,7 @@
 // encrypted.
 func NewServer(backend Backend, creds credentials.TransportCredentials, traffic *Traffic) *Server {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageSize),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime / 2, PermitWithoutStream: true}),
 		grpc.WaitForHandlers(true),
 		grpc.StatsHandler(traffic),
@@ -118,7 +118,7 @@
 // Run implements peerpb.PeerServer. Requests are received in a goroutine of their own, so that
 // a cancel request, or the loss of the ingress instance, interrupts the batch in flight.
 func (s *Server) Run(stream grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]) error {
-	session := &runSession{
+	session := &runStream{
 		backend:  s.backend,
 		stream:   stream,
 		requests: make(chan *peerpb.RunRequest),
@@ -128,58 +128,58 @@
 	return session.serve()
 }
 
-// runSession is the server side of one stream.
-type runSession struct {
-	backend  Backend
-	stream   grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]
-	requests chan *peerpb.RunRequest
-	stopping <-chan struct{} // closed when the server stops
-	current  runnerSlot
-	open     bool // a transaction is open
+// runStream is the server side of one stream.
+type runStream struct {
+	backend       Backend
+	stream        grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]
+	requests      chan *peerpb.RunRequest
+	stopping      <-chan struct{} // closed when the server stops
+	currentRunner runnerSlot
+	inTransaction bool // a transaction is open
 }
 
-func (r *runSession) receive() {
+func (r *runStream) receive() {
 	defer close(r.requests)
 	for {
 		req, err := r.stream.Recv()
 		if err != nil {
-			r.current.abort()
+			r.currentRunner.abort()
 			return
 		}
 		if req.Cancel {
-			r.current.cancel()
+			r.currentRunner.cancel()
 			continue
 		}
 		select {
 		case r.requests <- req:
 		case <-r.stream.Context().Done():
-			r.current.abort()
+			r.currentRunner.abort()
 			return
 		}
 	}
 }
 
-func (r *runSession) serve() error {
+func (r *runStream) serve() error {
 	var runner Runner
 	var group string
 	defer func() {
-		r.current.set(nil)
+		r.currentRunner.set(nil)
 		if runner != nil {
 			runner.Close()
 		}
 	}()
 	for {
-		req, ok := r.next()
+		req, ok := r.nextRequest()
 		if !ok {
 			return nil
 		}
 		if req.Header != nil && (runner == nil || req.Header.Group != group) {
 			group = req.Header.Group
 			runner = r.backend.Runner(group)
-			r.current.set(runner)
+			r.currentRunner.set(runner)
 		}
 		if runner == nil {
-			if err := r.stream.Send(notOwner()); err != nil {
+			if err := r.stream.Send(notOwnerReply()); err != nil {
 				return err
 			}
 			continue
@@ -190,11 +190,11 @@
 	}
 }
 
-// next returns the next request, or false when the stream ends. Once the server stops, the
+// nextRequest returns the next request, or false when the stream ends. Once the server stops, the
 // stream is ended in order between transactions, which tells the ingress instance that a
 // request that it has sent meanwhile was not run.
-func (r *runSession) next() (*peerpb.RunRequest, bool) {
-	if r.open {
+func (r *runStream) nextRequest() (*peerpb.RunRequest, bool) {
+	if r.inTransaction {
 		req, ok := <-r.requests
 		return req, ok
 	}
@@ -211,14 +211,14 @@
 	}
 }
 
-func (r *runSession) send(reply *peerpb.RunReply) error {
+func (r *runStream) send(reply *peerpb.RunReply) error {
 	if reply.Done != nil {
-		r.open = reply.Done.TxStatus != 'I'
+		r.inTransaction = reply.Done.TxStatus != 'I'
 	}
 	return r.stream.Send(reply)
 }
 
-func notOwner() *peerpb.RunReply {
+func notOwnerReply() *peerpb.RunReply {
 	return &peerpb.RunReply{Done: &peerpb.Done{
 		TxStatus: 'I',
 		Refusal:  peerpb.Refusal_REFUSAL_NOT_OWNER,
