--- a/internal/caller/batch.go
+++ b/internal/caller/batch.go
@@ -13,26 +13,26 @@
 	"github.com/stackspindle/stackspindle/internal/upstream"
 )
 
-// prepared is a statement that the client has prepared.
-type prepared struct {
-	statement *peerpb.Statement
-	class     *sqlclass.Class
-	doubtful  bool // its Parse was in a batch that failed and may not have taken effect: a new Parse is allowed
+// preparedStatement is a statement that the client has prepared.
+type preparedStatement struct {
+	statement      *peerpb.Statement
+	class          *sqlclass.Class
+	parseUncertain bool // its Parse was in a batch that failed and may not have taken effect: a new Parse is allowed
 }
 
 // batch collects a client's messages up to and including a Query, Sync or Flush.
 type batch struct {
-	request    peerpb.RunRequest
-	refs       map[string]uint32 // statement name to 1-based index
-	statements []sqlclass.Statement
-	executes   bool // executes a statement, rather than only preparing and describing
-	writes     bool
-	commits    bool
-	begins     bool
-	readOnly   bool     // begins a READ ONLY transaction
-	ownCount   int      // statements that are answered locally, without an upstream
-	executed   int      // statements that the batch executes
-	parsed     []string // names of the statements that the batch prepares
+	request            peerpb.RunRequest
+	refs               map[string]uint32 // statement name to 1-based index
+	statements         []sqlclass.Statement
+	executesStatement  bool // executes a statement, rather than only preparing and describing
+	writes             bool
+	commits            bool
+	begins             bool
+	readOnly           bool     // begins a READ ONLY transaction
+	localStatements    int      // statements that are answered locally, without an upstream
+	executedStatements int      // statements that the batch executes
+	parsedNames        []string // names of the statements that the batch prepares
 }
 
 func newBatch() *batch {
@@ -58,7 +58,7 @@
 }
 
 // reference returns the 1-based index of a statement in the batch, which it adds if needed.
-func (b *batch) reference(p *prepared) uint32 {
+func (b *batch) reference(p *preparedStatement) uint32 {
 	if ref, ok := b.refs[p.statement.Name]; ok {
 		return ref
 	}
@@ -68,21 +68,21 @@
 	return ref
 }
 
-// execute records that the batch executes the statements of a class.
-func (b *batch) execute(class *sqlclass.Class) {
-	b.executes = true
+// addExecuted records that the batch executes the statements of a class.
+func (b *batch) addExecuted(class *sqlclass.Class) {
+	b.executesStatement = true
 	for _, st := range class.Statements {
-		b.executed++
-		if own(st) {
-			b.ownCount++
+		b.executedStatements++
+		if answeredLocally(st) {
+			b.localStatements++
 		}
 		b.statements = append(b.statements, st)
-		b.note(st)
+		b.recordKind(st)
 	}
 	b.request.DiscardConnection = b.request.DiscardConnection || class.Taints()
 }
 
-func (b *batch) note(st sqlclass.Statement) {
+func (b *batch) recordKind(st sqlclass.Statement) {
 	switch st.Kind {
 	case sqlclass.KindWrite, sqlclass.KindSavepoint:
 		b.writes = true
--- a/internal/caller/cancel.go
+++ b/internal/caller/cancel.go
@@ -7,7 +7,7 @@
 
 // SetForwarder sets the function that forwards cancel requests to other instances. It must be
 // called before Serve.
-func (s *Server) SetForwarder(f Forwarder) { s.forward = f }
+func (s *Server) SetForwarder(f Forwarder) { s.cancelForwarder = f }
 
 // forwardCancel handles a cancel request. It is forwarded if the client to cancel is connected
 // to another instance: a load balancer may send the request to any of them.
@@ -17,7 +17,7 @@
 		s.Cancel(m.ProcessID, m.SecretKey)
 		return
 	}
-	if s.forward != nil {
-		s.forward(tag, m.ProcessID, m.SecretKey)
+	if s.cancelForwarder != nil {
+		s.cancelForwarder(tag, m.ProcessID, m.SecretKey)
 	}
 }
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -27,44 +27,44 @@
 	secret     [4]byte
 	registered bool // pid is in the server's table
 
-	session  session
-	prepared map[string]*prepared
-	portals  map[string]*prepared
-	batch    *batch
-	skipping bool // messages are ignored until Sync, after an error of this instance in the extended protocol
-	failedTx bool // this instance, not the upstream, has failed the open transaction
-	keyed    bool // the open transaction has a request key
-	status   byte // transaction status of the last ReadyForQuery
+	session           session
+	prepared          map[string]*preparedStatement
+	portals           map[string]*preparedStatement
+	batch             *batch
+	ignoringUntilSync bool // messages are ignored until Sync, after an error of this instance in the extended protocol
+	failedTx          bool // this instance, not the upstream, has failed the open transaction
+	hasRequestKey     bool // the open transaction has a request key
+	status            byte // transaction status of the last ReadyForQuery
 
-	ctx    context.Context
-	stop   context.CancelFunc
-	mu     sync.Mutex // guards tx against cancel
-	tx     *dispatch.Tx
-	atRest atomic.Bool // waits for a message between transactions, without buffered data
+	ctx  context.Context
+	stop context.CancelFunc
+	mu   sync.Mutex // guards tx against cancel
+	tx   *dispatch.Tx
+	idle atomic.Bool // waits for a message between transactions, without buffered data
 
-	first    byte // read while the connection was idle; the next message begins with it
-	hasFirst bool
+	firstByte    byte // read while the connection was idle; the next message begins with it
+	hasFirstByte bool
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{server: s, prepared: make(map[string]*prepared), portals: make(map[string]*prepared), status: 'I', batch: newBatch()}
-	c.setNet(nc)
+	c := &conn{server: s, prepared: make(map[string]*preparedStatement), portals: make(map[string]*preparedStatement), status: 'I', batch: newBatch()}
+	c.setConn(nc)
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	_, _ = rand.Read(c.secret[:]) // rand.Read never returns an error
 	return c
 }
 
-// setNet replaces the underlying connection, when TLS begins. Data that was received before,
+// setConn replaces the underlying connection, when TLS begins. Data that was received before,
 // in plain text, is discarded.
-func (c *conn) setNet(nc net.Conn) {
+func (c *conn) setConn(nc net.Conn) {
 	c.net = nc
 	c.codec = nil
-	c.borrow()
-	c.codec.in.untyped = true
+	c.acquireCodec()
+	c.codec.in.expectStartup = true
 }
 
-// refuseStart rejects a client when the server is at its connection limit.
-func (c *conn) refuseStart(code, message string) {
+// rejectStartup rejects a client when the server is at its connection limit.
+func (c *conn) rejectStartup(code, message string) {
 	defer c.net.Close()
 	if err := c.net.SetDeadline(time.Now().Add(time.Second)); err != nil {
 		return
@@ -78,20 +78,20 @@
 // serve handles the connection until it ends.
 func (c *conn) serve() {
 	defer c.close()
-	if !c.start() {
+	if !c.startup() {
 		return
 	}
 	for {
 		msg, err := c.receive()
 		if err != nil {
-			c.farewell(err)
+			c.sendClosingError(err)
 			return
 		}
 		if _, ok := msg.(*pgproto3.Terminate); ok {
 			return
 		}
 		if err := c.handle(msg); err != nil {
-			c.farewell(err)
+			c.sendClosingError(err)
 			return
 		}
 	}
@@ -103,7 +103,7 @@
 		c.tx.Close()
 	}
 	if c.registered {
-		c.server.forget(c)
+		c.server.unregister(c)
 	}
 	c.net.Close()
 }
@@ -115,7 +115,7 @@
 // transaction, the idle timeout does.
 func (c *conn) receive() (pgproto3.FrontendMessage, error) {
 	if c.status == 'I' && c.tx == nil && c.batch.empty() && c.codec.in.drained() {
-		if err := c.rest(); err != nil {
+		if err := c.waitIdle(); err != nil {
 			return nil, err
 		}
 	}
@@ -138,15 +138,15 @@
 	}
 }
 
-// rest waits for the first byte of the next message without holding buffers.
-func (c *conn) rest() error {
-	c.lend()
-	defer c.borrow()
+// waitIdle waits for the first byte of the next message without holding buffers.
+func (c *conn) waitIdle() error {
+	c.releaseCodec()
+	defer c.acquireCodec()
 	if err := c.net.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
-	c.atRest.Store(true)
-	defer c.atRest.Store(false)
+	c.idle.Store(true)
+	defer c.idle.Store(false)
 	if c.server.stopping.Load() {
 		return errStopping
 	}
@@ -154,7 +154,7 @@
 	for {
 		n, err := c.net.Read(first[:])
 		if n == 1 {
-			c.first, c.hasFirst = first[0], true
+			c.firstByte, c.hasFirstByte = first[0], true
 			return nil
 		}
 		switch {
@@ -168,7 +168,7 @@
 
 // wake interrupts the wait of an idle connection, so that it notices a shutdown.
 func (c *conn) wake() {
-	if c.atRest.Load() {
+	if c.idle.Load() {
 		_ = c.net.SetReadDeadline(time.Now()) // fails only if the connection is closed
 	}
 }
@@ -186,8 +186,8 @@
 	}
 }
 
-// farewell sends the client the reason for which the connection ends, if there is one.
-func (c *conn) farewell(err error) {
+// sendClosingError sends the client the reason for which the connection ends, if there is one.
+func (c *conn) sendClosingError(err error) {
 	var f *failure
 	if errors.As(err, &f) {
 		c.sendFatal(f)
@@ -234,7 +234,7 @@
 	case *pgproto3.Flush:
 		return c.flushBatch(m)
 	}
-	if c.skipping {
+	if c.ignoringUntilSync {
 		return nil
 	}
 	err := c.collect(msg)
@@ -245,19 +245,19 @@
 	return err
 }
 
-// forgetParsed removes the prepared statements of a batch that was not run.
-func (c *conn) forgetParsed(b *batch) {
-	for _, name := range b.parsed {
+// removeParsed removes the prepared statements of a batch that was not run.
+func (c *conn) removeParsed(b *batch) {
+	for _, name := range b.parsedNames {
 		delete(c.prepared, name)
 	}
 }
 
-// doubtParsed marks the prepared statements of a batch that a member answered with an error,
+// markParseUncertain marks the prepared statements of a batch that a member answered with an error,
 // since any of the batch's messages may have failed.
-func (c *conn) doubtParsed(b *batch) {
-	for _, name := range b.parsed {
+func (c *conn) markParseUncertain(b *batch) {
+	for _, name := range b.parsedNames {
 		if p := c.prepared[name]; p != nil {
-			p.doubtful = true
+			p.parseUncertain = true
 		}
 	}
 }
@@ -266,9 +266,9 @@
 // drops the collected batch and ignores further messages up to Sync.
 func (c *conn) rejectExtended(f *failure) error {
 	c.server.events.Refused(f.code)
-	c.skipping = true
+	c.ignoringUntilSync = true
 	c.failedTx = c.failedTx || c.status != 'I'
-	c.forgetParsed(c.batch)
+	c.removeParsed(c.batch)
 	c.batch = newBatch()
 	c.backend.Send(f.response())
 	return c.flush()
@@ -283,7 +283,7 @@
 	if err := c.batch.add(kindQuery, m, 0); err != nil {
 		return c.rejectQuery(err)
 	}
-	c.batch.execute(class)
+	c.batch.addExecuted(class)
 	return c.runBatch(true)
 }
 
@@ -308,8 +308,8 @@
 }
 
 func (c *conn) sync(m *pgproto3.Sync) error {
-	skipped := c.skipping
-	c.skipping = false
+	skipped := c.ignoringUntilSync
+	c.ignoringUntilSync = false
 	if skipped && c.status == 'I' {
 		c.endTx()
 	}
@@ -324,7 +324,7 @@
 }
 
 func (c *conn) flushBatch(m *pgproto3.Flush) error {
-	if c.skipping || c.batch.empty() {
+	if c.ignoringUntilSync || c.batch.empty() {
 		return nil
 	}
 	if err := c.batch.add(kindFlush, m, 0); err != nil {
--- a/internal/caller/errors.go
+++ b/internal/caller/errors.go
@@ -17,7 +17,7 @@
 	codeUnknown        = "08007" // outcome unknown
 	codeNoPrimary      = "57P03" // not run: no primary, or no owner
 	codeOverload       = "53300" // not run: queue full or deadline passed
-	codeTooManyCallers = "53300"
+	codeTooManyClients = "53300"
 	codeShutdown       = "57P01" // not run: the instance is shutting down
 	codeIdleInTx       = "25P03" // rolled back: idle for too long
 	codeFailedTx       = "25P02" // not run: the transaction has failed
--- a/internal/caller/extended.go
+++ b/internal/caller/extended.go
@@ -23,31 +23,31 @@
 	return fail(codeProtocol, "not run: unexpected message %T", msg)
 }
 
-// maxPreparedPerCaller bounds the prepared statements of one client.
-const maxPreparedPerCaller = 1000
+// maxPreparedPerClient bounds the prepared statements of one client.
+const maxPreparedPerClient = 1000
 
 func (c *conn) parse(m *pgproto3.Parse) error {
 	class := c.server.classifier.Classify(m.Query)
 	if reason := class.Refusal(); reason != "" {
 		return fail(codeFeature, "not run: %s cannot be served over shared connections", reason)
 	}
-	if known := c.prepared[m.Name]; known != nil && !known.doubtful && m.Name != "" {
+	if known := c.prepared[m.Name]; known != nil && !known.parseUncertain && m.Name != "" {
 		return fail("42P05", "not run: prepared statement %q already exists", m.Name)
 	}
-	if len(c.prepared) >= maxPreparedPerCaller {
-		return fail("54000", "not run: a caller may keep %d prepared statements at most", maxPreparedPerCaller)
+	if len(c.prepared) >= maxPreparedPerClient {
+		return fail("54000", "not run: a caller may keep %d prepared statements at most", maxPreparedPerClient)
 	}
 	oids := append([]uint32(nil), m.ParameterOIDs...)
-	p := &prepared{
+	p := &preparedStatement{
 		statement: &peerpb.Statement{Name: statementName(m.Query, oids), Sql: m.Query, ParameterOids: oids},
 		class:     class,
 	}
 	c.prepared[m.Name] = p
-	c.batch.parsed = append(c.batch.parsed, m.Name)
+	c.batch.parsedNames = append(c.batch.parsedNames, m.Name)
 	return c.batch.add(kindParse, nil, c.batch.reference(p))
 }
 
-func (c *conn) lookup(name string) (*prepared, error) {
+func (c *conn) lookup(name string) (*preparedStatement, error) {
 	p := c.prepared[name]
 	if p == nil {
 		return nil, fail(codeStatement, "not run: prepared statement %q does not exist", name)
@@ -84,7 +84,7 @@
 	if p == nil {
 		return fail("34000", "not run: portal %q does not exist", m.Portal)
 	}
-	c.batch.execute(p.class)
+	c.batch.addExecuted(p.class)
 	return c.batch.add(kindExecute, m, 0)
 }
 
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -22,15 +22,15 @@
 	return &Service{Name: name, Group: database, Database: database, QueueTimeout: time.Millisecond, Weight: 1}, nil
 }
 
-type noInstances struct{}
+type stubPlacement struct{}
 
-func (noInstances) Ranking(string) []string   { return nil }
-func (noInstances) Local(string) *owner.Group { return nil }
+func (stubPlacement) Ranking(string) []string   { return nil }
+func (stubPlacement) Local(string) *owner.Group { return nil }
 
-type noEvents struct{}
+type stubEvents struct{}
 
-func (noEvents) Statement(string, bool, bool, time.Duration) {}
-func (noEvents) Refused(string)                              {}
+func (stubEvents) Statement(string, bool, bool, time.Duration) {}
+func (stubEvents) Refused(string)                              {}
 
 func encodeAll(messages ...pgproto3.FrontendMessage) []byte {
 	var raw []byte
@@ -44,9 +44,9 @@
 // field can make the server allocate.
 const maxFuzzMessage = 1 << 16
 
-// FuzzCaller sends arbitrary bytes to a connection. It must neither panic nor hang, and must
+// FuzzClientConnection sends arbitrary bytes to a connection. It must neither panic nor hang, and must
 // reject a message whose length field exceeds the limit without reading it.
-func FuzzCaller(f *testing.F) {
+func FuzzClientConnection(f *testing.F) {
 	start := &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{
 		"user": "roster", "database": "roster", "options": "-c stackspindle.session=a -c search_path=b",
 	}}
@@ -66,20 +66,20 @@
 	opts.MaxMessage = maxFuzzMessage
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	server, err := NewServer(opts, stubCatalogue{}, dispatch.New("me", noInstances{}, peer.NewClient(nil, &peer.Traffic{})), classifier, noEvents{}, logrus.NewEntry(log))
+	server, err := NewServer(opts, stubCatalogue{}, dispatch.New("me", stubPlacement{}, peer.NewClient(nil, &peer.Traffic{})), classifier, stubEvents{}, logrus.NewEntry(log))
 	must.NoError(f, err)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		ours, theirs := net.Pipe()
+		serverSide, clientSide := net.Pipe()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			newConn(server, ours).serve()
+			newConn(server, serverSide).serve()
 		}()
 		go func() {
-			_, _ = io.Copy(io.Discard, theirs) // discard the answers
+			_, _ = io.Copy(io.Discard, clientSide) // discard the answers
 		}()
-		_, _ = theirs.Write(raw) // ends early if the server closes the connection
-		theirs.Close()
+		_, _ = clientSide.Write(raw) // ends early if the server closes the connection
+		clientSide.Close()
 		<-done
 		must.Zero(t, server.Callers())
 	})
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -18,25 +18,25 @@
 func (c *conn) runBatch(complete bool) error {
 	b := c.batch
 	c.batch = newBatch()
-	if b.ownCount > 0 {
-		return c.answerOwn(b, complete)
+	if b.localStatements > 0 {
+		return c.answerLocally(b, complete)
 	}
 	if c.failedTx {
-		c.forgetParsed(b)
-		return c.answerFailed(b)
+		c.removeParsed(b)
+		return c.answerFailedTransaction(b)
 	}
 	return c.dispatch(b, complete)
 }
 
-// answerOwn answers statements that only concern stackspindle, without an upstream.
-func (c *conn) answerOwn(b *batch, complete bool) error {
-	if b.ownCount != b.executed {
+// answerLocally answers statements that only concern stackspindle, without an upstream.
+func (c *conn) answerLocally(b *batch, complete bool) error {
+	if b.localStatements != b.executedStatements {
 		return c.rejectQuery(fail(codeFeature, "not run: settings of stackspindle cannot share a request with other statements"))
 	}
 	tag := ""
 	for _, st := range b.statements {
 		var err error
-		if tag, err = c.applyOwn(st); err != nil {
+		if tag, err = c.applyLocally(st); err != nil {
 			return c.rejectQuery(err)
 		}
 	}
@@ -51,18 +51,18 @@
 	return c.flush()
 }
 
-func (c *conn) applyOwn(st sqlclass.Statement) (string, error) {
+func (c *conn) applyLocally(st sqlclass.Statement) (string, error) {
 	switch st.Kind {
 	case sqlclass.KindDiscardAll:
 		if c.status != 'I' {
 			return "", fail("25001", "not run: DISCARD ALL cannot run inside a transaction block")
 		}
-		c.prepared = make(map[string]*prepared)
+		c.prepared = make(map[string]*preparedStatement)
 		c.session.settings = make(map[string]string)
 		return "DISCARD ALL", nil
 	case sqlclass.KindDeallocate:
 		if st.Name == "" {
-			c.prepared = make(map[string]*prepared)
+			c.prepared = make(map[string]*preparedStatement)
 			return "DEALLOCATE ALL", nil
 		}
 		if _, err := c.lookup(st.Name); err != nil {
@@ -71,14 +71,14 @@
 		delete(c.prepared, st.Name)
 		return "DEALLOCATE", nil
 	case sqlclass.KindReset:
-		return "RESET", c.session.setOwn(st.Name, "")
+		return "RESET", c.session.setOption(st.Name, "")
 	}
-	return "SET", c.session.setOwn(st.Name, st.Value)
+	return "SET", c.session.setOption(st.Name, st.Value)
 }
 
-// answerFailed answers a batch within a transaction that this instance has failed: it accepts
+// answerFailedTransaction answers a batch within a transaction that this instance has failed: it accepts
 // only COMMIT and ROLLBACK, and both roll back.
-func (c *conn) answerFailed(b *batch) error {
+func (c *conn) answerFailedTransaction(b *batch) error {
 	ends := false
 	for _, st := range b.statements {
 		ends = ends || st.Kind == sqlclass.KindCommit || st.Kind == sqlclass.KindRollback
@@ -106,7 +106,7 @@
 	tx := c.tx
 	c.tx = nil
 	c.mu.Unlock()
-	c.keyed = false
+	c.hasRequestKey = false
 	if tx != nil {
 		tx.Close()
 	}
@@ -115,34 +115,34 @@
 // dispatch runs a batch at the owner of the group and passes the answer on to the client.
 func (c *conn) dispatch(b *batch, complete bool) error {
 	req := b.finish(c.tx != nil)
-	keyed := c.session.requestKey != "" && b.executes && c.tx == nil
+	startsKeyed := c.session.requestKey != "" && b.executesStatement && c.tx == nil
 	if c.tx == nil {
 		req.Header = c.session.header()
-		if keyed {
+		if startsKeyed {
 			req.Header.RequestKey = c.session.requestKey
 			req.Class = peerpb.Class_CLASS_WRITE
 			req.EndsTransaction = !b.begins
 			c.session.requestKey = ""
-			c.keyed = true
+			c.hasRequestKey = true
 		}
 		c.mu.Lock()
 		c.tx = c.server.dispatcher.Begin()
 		c.mu.Unlock()
 	}
-	if c.keyed {
+	if c.hasRequestKey {
 		req.Digest = b.digest()
 	}
 	started := time.Now()
 	result := c.tx.Run(c.ctx, req, c.session.service.QueueTimeout, c.write)
 	if result.Done.Refusal != peerpb.Refusal_REFUSAL_NONE {
-		c.forgetParsed(b)
-		return c.refused(result, complete)
+		c.removeParsed(b)
+		return c.sendRefusal(result, complete)
 	}
 	c.server.events.Statement(result.Done.Member, req.Class == peerpb.Class_CLASS_READ, result.Done.Primary, time.Since(started))
-	return c.answered(b, result, complete)
+	return c.sendAnswer(b, result, complete)
 }
 
-func (c *conn) answered(b *batch, result dispatch.Result, complete bool) error {
+func (c *conn) sendAnswer(b *batch, result dispatch.Result, complete bool) error {
 	done := result.Done
 	if complete {
 		c.status = byte(done.TxStatus)
@@ -154,9 +154,9 @@
 		c.session.floor = group.Max(c.session.floor, group.Position{Term: p.Term, Index: p.Index})
 	}
 	if done.Failed {
-		c.doubtParsed(b)
+		c.markParseUncertain(b)
 	} else {
-		c.session.noteSettings(b.statements)
+		c.session.recordSettings(b.statements)
 	}
 	if complete && c.status == 'I' {
 		c.session.acceptLoss = false
@@ -190,9 +190,9 @@
 	return c.flush()
 }
 
-// refused sends a refusal to the client. If part of an answer has been delivered already, the
+// sendRefusal sends a refusal to the client. If part of an answer has been delivered already, the
 // connection ends with the error, since the partial answer cannot be taken back.
-func (c *conn) refused(result dispatch.Result, complete bool) error {
+func (c *conn) sendRefusal(result dispatch.Result, complete bool) error {
 	f := refusalFailure(result.Done)
 	c.endTx()
 	c.session.endTransaction(false)
@@ -206,7 +206,7 @@
 	if complete {
 		c.sendReady()
 	} else {
-		c.skipping = true
+		c.ignoringUntilSync = true
 	}
 	return c.flush()
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -91,16 +91,16 @@
 
 // Server accepts and serves clients.
 type Server struct {
-	opts       Options
-	catalogue  Catalogue
-	dispatcher *dispatch.Dispatcher
-	classifier *sqlclass.Classifier
-	events     Events
-	log        *logrus.Entry
-	pool       *ants.Pool
-	callers    sync.WaitGroup
-	stopping   atomic.Bool
-	forward    Forwarder
+	opts            Options
+	catalogue       Catalogue
+	dispatcher      *dispatch.Dispatcher
+	classifier      *sqlclass.Classifier
+	events          Events
+	log             *logrus.Entry
+	workers         *ants.Pool
+	activeConns     sync.WaitGroup
+	stopping        atomic.Bool
+	cancelForwarder Forwarder
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -120,7 +120,7 @@
 		classifier: classifier,
 		events:     events,
 		log:        log,
-		pool:       pool,
+		workers:    pool,
 		conns:      make(map[uint32]*conn),
 	}, nil
 }
@@ -144,18 +144,18 @@
 
 func (s *Server) accept(nc net.Conn) {
 	c := newConn(s, nc)
-	s.callers.Add(1)
-	err := s.pool.Submit(func() {
-		defer s.callers.Done()
+	s.activeConns.Add(1)
+	err := s.workers.Submit(func() {
+		defer s.activeConns.Done()
 		c.serve()
 	})
 	if err == nil {
 		return
 	}
-	s.callers.Done()
-	s.events.Refused(codeTooManyCallers)
+	s.activeConns.Done()
+	s.events.Refused(codeTooManyClients)
 	s.log.Warn("too many callers, one refused")
-	go c.refuseStart(codeTooManyCallers, "this instance serves as many callers as it may")
+	go c.rejectStartup(codeTooManyClients, "this instance serves as many callers as it may")
 }
 
 // Callers returns the number of connected clients, once authenticated.
@@ -194,7 +194,7 @@
 	}
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) unregister(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c.pid)
@@ -225,7 +225,7 @@
 	s.mu.Unlock()
 	finished := make(chan struct{})
 	go func() {
-		s.callers.Wait()
+		s.activeConns.Wait()
 		close(finished)
 	}()
 	select {
@@ -233,7 +233,7 @@
 	case <-ctx.Done():
 		s.Kill()
 	}
-	s.pool.Release()
+	s.workers.Release()
 }
 
 // Kill closes the listener and all connections at once.
--- a/internal/caller/session.go
+++ b/internal/caller/session.go
@@ -68,8 +68,8 @@
 	return settings, nil
 }
 
-// setOwn applies one of stackspindle's own settings; an empty value resets it.
-func (s *session) setOwn(name, value string) error {
+// setOption applies one of stackspindle's own settings; an empty value resets it.
+func (s *session) setOption(name, value string) error {
 	switch name {
 	case settingKey:
 		if value != "" && !sessionNamePattern.MatchString(value) {
@@ -118,10 +118,10 @@
 	return nil
 }
 
-// own reports whether a statement only concerns stackspindle and is answered without an
+// answeredLocally reports whether a statement only concerns stackspindle and is answered without an
 // upstream. This includes DISCARD ALL and DEALLOCATE, since this package keeps all the state
 // that they discard.
-func own(st sqlclass.Statement) bool {
+func answeredLocally(st sqlclass.Statement) bool {
 	switch st.Kind {
 	case sqlclass.KindDiscardAll, sqlclass.KindDeallocate:
 		return true
@@ -131,25 +131,25 @@
 	return false
 }
 
-// noteSettings records the run-time parameters that a successful batch has set or reset.
-func (s *session) noteSettings(statements []sqlclass.Statement) {
+// recordSettings records the run-time parameters that a successful batch has set or reset.
+func (s *session) recordSettings(statements []sqlclass.Statement) {
 	for _, st := range statements {
 		name := strings.ToLower(st.Name)
 		switch {
 		case st.Kind == sqlclass.KindSet && !st.Local && settingNamePattern.MatchString(name):
 			value := st.Value
-			s.put(name, &value)
+			s.setPending(name, &value)
 		case st.Kind == sqlclass.KindReset && name == "":
 			for known := range s.settings {
-				s.put(known, nil)
+				s.setPending(known, nil)
 			}
 		case st.Kind == sqlclass.KindReset:
-			s.put(name, nil)
+			s.setPending(name, nil)
 		}
 	}
 }
 
-func (s *session) put(name string, value *string) {
+func (s *session) setPending(name string, value *string) {
 	if s.pending == nil {
 		s.pending = make(map[string]*string)
 	}
--- a/internal/caller/start.go
+++ b/internal/caller/start.go
@@ -12,9 +12,9 @@
 	"github.com/xdg-go/scram"
 )
 
-// start negotiates TLS, reads the startup message and authenticates the client. It returns
+// startup negotiates TLS, reads the startup message and authenticates the client. It returns
 // false if the connection is to be closed.
-func (c *conn) start() bool {
+func (c *conn) startup() bool {
 	deadline := time.Now().Add(c.server.opts.AuthTimeout)
 	if err := c.net.SetDeadline(deadline); err != nil {
 		return false
@@ -30,23 +30,23 @@
 	if err := c.net.SetDeadline(time.Time{}); err != nil {
 		return false
 	}
-	c.greet()
+	c.completeStartup()
 	return c.flush() == nil
 }
 
-// maxStartMessages bounds the number of messages up to and including the startup message.
-const maxStartMessages = 4
+// maxStartupMessages bounds the number of messages up to and including the startup message.
+const maxStartupMessages = 4
 
 // startupMessage returns the startup message, or nil if the client sent a cancel request instead.
 func (c *conn) startupMessage() (*pgproto3.StartupMessage, error) {
-	for range maxStartMessages {
+	for range maxStartupMessages {
 		msg, err := c.backend.ReceiveStartupMessage()
 		if err != nil {
 			return nil, fmt.Errorf("caller: startup: %w", err)
 		}
 		switch m := msg.(type) {
 		case *pgproto3.StartupMessage:
-			c.codec.in.untyped = false
+			c.codec.in.expectStartup = false
 			return m, nil
 		case *pgproto3.CancelRequest:
 			c.server.forwardCancel(m)
@@ -80,7 +80,7 @@
 	if err := secure.Handshake(); err != nil {
 		return fmt.Errorf("caller: TLS: %w", err)
 	}
-	c.setNet(secure)
+	c.setConn(secure)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 	c.session.name = service.Name + "/" + name
 	for key, value := range settings {
 		if strings.HasPrefix(key, settingPrefix) {
-			if err := c.session.setOwn(key, value); err != nil {
+			if err := c.session.setOption(key, value); err != nil {
 				return err
 			}
 			continue
@@ -142,16 +142,16 @@
 		c.session.settings[key] = value
 	}
 	for key, value := range msg.Parameters {
-		if passedOn[strings.ToLower(key)] {
+		if forwardedParameters[strings.ToLower(key)] {
 			c.session.settings[strings.ToLower(key)] = value
 		}
 	}
 	return nil
 }
 
-// passedOn lists the startup parameters that affect how statements run; they become settings
+// forwardedParameters lists the startup parameters that affect how statements run; they become settings
 // of the session.
-var passedOn = map[string]bool{
+var forwardedParameters = map[string]bool{
 	"bytea_output":       true,
 	"datestyle":          true,
 	"extra_float_digits": true,
@@ -263,9 +263,9 @@
 	return nil
 }
 
-// greet registers the connection and completes the startup: it sends AuthenticationOk, the
+// completeStartup registers the connection and completes the startup: it sends AuthenticationOk, the
 // server parameters, the cancel key and ReadyForQuery.
-func (c *conn) greet() {
+func (c *conn) completeStartup() {
 	c.server.register(c)
 	c.registered = true
 	c.backend.Send(&pgproto3.AuthenticationOk{})
