--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -78,7 +78,7 @@
 	if len(c.out) > 0 {
 		if _, err := c.conn.Write(c.out); err != nil {
 			c.Kill()
-			return Result{}, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrUnknown, err)
+			return Result{}, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrOutcomeUnknown, err)
 		}
 	}
 	// The answer is still in use after the connection has returned to its pool, so its
@@ -203,7 +203,7 @@
 		}
 		msg, err := r.conn.frontend.Receive()
 		if err != nil {
-			return fmt.Errorf("upstream %s: %w: %w", r.conn.target.Member, ErrUnknown, err)
+			return fmt.Errorf("upstream %s: %w: %w", r.conn.target.Member, ErrOutcomeUnknown, err)
 		}
 		if err := r.process(msg); err != nil {
 			return err
@@ -336,7 +336,7 @@
 		return nil // the batch left a transaction open in which the query fails; there is no position
 	}
 	if e.Severity == "FATAL" || e.SeverityUnlocalized == "FATAL" {
-		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrUnknown, e.Message, e.Code)
+		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrOutcomeUnknown, e.Message, e.Code)
 	}
 	r.result.Failed = true
 	if err := r.appendMessage(e); err != nil {
@@ -354,7 +354,7 @@
 
 func (r *responseReader) flush() error {
 	if err := r.emit(r.chunk); err != nil {
-		return fmt.Errorf("upstream %s: %w: the caller is gone: %w", r.conn.target.Member, ErrUnknown, err)
+		return fmt.Errorf("upstream %s: %w: the caller is gone: %w", r.conn.target.Member, ErrOutcomeUnknown, err)
 	}
 	r.result.Emitted = true
 	r.chunk = make([]byte, 0, minEmitSize+minEmitSize/4)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -61,9 +61,9 @@
 var (
 	// ErrNotSent means that no part of the batch reached the member.
 	ErrNotSent = errors.New("the batch was not sent")
-	// ErrUnknown means that the batch was sent but its complete answer did not arrive:
+	// ErrOutcomeUnknown means that the batch was sent but its complete answer did not arrive:
 	// its outcome is unknown.
-	ErrUnknown = errors.New("the connection broke before the whole answer arrived")
+	ErrOutcomeUnknown = errors.New("the connection broke before the whole answer arrived")
 	// ErrProtocol means that the member sent a message that does not answer the batch.
 	ErrProtocol = errors.New("unexpected message from the member")
 )
@@ -140,7 +140,7 @@
 // Broken reports whether the connection must not be used any more.
 func (c *Conn) Broken() bool { return c.broken.Load() }
 
-// Kill closes the connection at once. A batch in flight ends with ErrUnknown.
+// Kill closes the connection at once. A batch in flight ends with ErrOutcomeUnknown.
 func (c *Conn) Kill() {
 	c.broken.Store(true)
 	c.conn.Close()
@@ -208,7 +208,7 @@
 	c.out = request
 	if _, err := c.conn.Write(request); err != nil {
 		c.Kill()
-		return nil, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrUnknown, err)
+		return nil, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrOutcomeUnknown, err)
 	}
 	return c.readRow()
 }
@@ -221,7 +221,7 @@
 		msg, err := c.frontend.Receive()
 		if err != nil {
 			c.Kill()
-			return nil, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrUnknown, err)
+			return nil, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrOutcomeUnknown, err)
 		}
 		switch m := msg.(type) {
 		case *pgproto3.DataRow:
