--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -156,7 +156,7 @@
 		return s.acquireRefusal(err, member)
 	}
 	s.member = member
-	if err := lease.Conn.Prepare(settingsMap(s.header.Settings)); err != nil {
+	if err := lease.Conn.ApplySettings(settingsMap(s.header.Settings)); err != nil {
 		lease.Release()
 		return fmt.Errorf("%w: %w", upstream.ErrNotSent, err)
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -82,7 +82,7 @@
 	unsynced           bool              // the last batch did not end with Query or Sync
 	ignoringUntilSync  bool              // the member ignores messages until Sync, after an error in the extended protocol
 	preparedStatements map[string]bool   // names of the statements that are prepared on the connection
-	appliedSettings    map[string]string // run-time parameters that Prepare has set
+	appliedSettings    map[string]string // run-time parameters that ApplySettings has set
 	settingsChanged    bool              // the member's run-time parameters may differ from appliedSettings
 	tainted            bool              // a statement may have left other session state behind
 	broken             atomic.Bool
@@ -264,9 +264,9 @@
 	return group.Position{}, fmt.Errorf("position %q: %w", row, ErrProtocol)
 }
 
-// Prepare sets the run-time parameters of a session before its transaction. It does nothing
+// ApplySettings sets the run-time parameters of a session before its transaction. It does nothing
 // if the connection has them already. On an error the connection is closed.
-func (c *Conn) Prepare(wanted map[string]string) error {
+func (c *Conn) ApplySettings(wanted map[string]string) error {
 	if !c.settingsChanged && sameSettings(c.appliedSettings, wanted) {
 		return nil
 	}
