--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -236,7 +236,7 @@
 }
 
 func batchOf(req *peerpb.RunRequest, probe bool) *upstream.Batch {
-	b := &upstream.Batch{Wire: req.Wire, Kinds: req.Kinds, Ends: req.Ends, Refs: req.Refs, Probe: probe}
+	b := &upstream.Batch{Wire: req.Wire, Kinds: req.Kinds, Ends: req.Ends, Refs: req.Refs, QueryPosition: probe}
 	for _, st := range req.Statements {
 		b.Statements = append(b.Statements, upstream.Statement{Name: st.Name, SQL: st.Sql, ParameterOIDs: st.ParameterOids})
 	}
--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -33,12 +33,12 @@
 // Batch holds the messages of a client up to and including a Query, Sync or Flush. Kinds,
 // Ends and Refs have one element per message.
 type Batch struct {
-	Wire       []byte
-	Kinds      []byte
-	Ends       []uint32 // offset in Wire at which each message ends
-	Refs       []uint32 // 1-based index into Statements; 0: none
-	Statements []Statement
-	Probe      bool // query the member's log position after the batch
+	Wire          []byte
+	Kinds         []byte
+	Ends          []uint32 // offset in Wire at which each message ends
+	Refs          []uint32 // 1-based index into Statements; 0: none
+	Statements    []Statement
+	QueryPosition bool // query the member's log position after the batch
 }
 
 // Result is the end of an answer: the part that Run has not passed to emit.
@@ -123,7 +123,7 @@
 			return nil, err
 		}
 	}
-	if b.Probe {
+	if b.QueryPosition {
 		var err error
 		if c.out, err = (&pgproto3.Query{String: positionQuery}).Encode(c.out); err != nil {
 			return nil, err
