--- a/internal/owner/journal.go
+++ b/internal/owner/journal.go
@@ -208,7 +208,7 @@
 		return nil, false, s.notRun(err)
 	}
 	answer = append(answer, result.Wire...)
-	return answer[:len(answer)-readyLength], result.Failed, nil
+	return answer[:len(answer)-readyLength], result.HasError, nil
 }
 
 func withoutProbe(req *peerpb.RunRequest) *peerpb.RunRequest {
--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -250,12 +250,12 @@
 	if !s.lease.Conn.Synced() {
 		status = 'T' // more of the same request follows
 	}
-	done := &peerpb.Done{TxStatus: uint32(status), Member: s.member, Reason: s.reason, Failed: result.Failed, Primary: s.member == s.view.primary}
+	done := &peerpb.Done{TxStatus: uint32(status), Member: s.member, Reason: s.reason, Failed: result.HasError, Primary: s.member == s.view.primary}
 	if status != 'I' {
 		return done, s.admitAnswer(ctx, done)
 	}
 	var err error
-	if s.wrote && s.member == s.view.primary && (req.EndsTransaction || !result.Failed) {
+	if s.wrote && s.member == s.view.primary && (req.EndsTransaction || !result.HasError) {
 		err = s.admitCommit(ctx, done, result)
 	} else {
 		err = s.admitAnswer(ctx, done)
--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -45,7 +45,7 @@
 type Result struct {
 	Wire     []byte         // the last chunk, which includes the command's completion
 	Position group.Position // zero unless the batch asked for it and the member returned it
-	Failed   bool           // the answer contains an ErrorResponse
+	HasError bool           // the answer contains an ErrorResponse
 	Emitted  bool           // part of the answer has already been passed to emit
 }
 
@@ -338,7 +338,7 @@
 	if e.Severity == "FATAL" || e.SeverityUnlocalized == "FATAL" {
 		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrOutcomeUnknown, e.Message, e.Code)
 	}
-	r.result.Failed = true
+	r.result.HasError = true
 	if err := r.appendMessage(e); err != nil {
 		return err
 	}
