--- a/internal/caller/cancel.go
+++ b/internal/caller/cancel.go
@@ -12,7 +12,7 @@
 // forwardCancel handles a cancel request. It is forwarded if the client to cancel is connected
 // to another instance: a load balancer may send the request to any of them.
 func (s *Server) forwardCancel(m *pgproto3.CancelRequest) {
-	tag := OwnerOfCancel(m.ProcessID)
+	tag := InstanceTagOf(m.ProcessID)
 	if tag == InstanceTag(s.opts.Instance) {
 		s.Cancel(m.ProcessID, m.SecretKey)
 		return
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -175,8 +175,8 @@
 	return uint32(xxhash.Sum64String(instance)) >> (32 - instanceBits)
 }
 
-// OwnerOfCancel returns the instance tag of a process ID.
-func OwnerOfCancel(pid uint32) uint32 {
+// InstanceTagOf returns the instance tag of a process ID.
+func InstanceTagOf(pid uint32) uint32 {
 	return pid >> (32 - instanceBits)
 }
 
