--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -100,7 +100,7 @@
 	workers         *ants.Pool
 	activeConns     sync.WaitGroup
 	stopping        atomic.Bool
-	cancelForwarder Forwarder
+	cancelForwarder CancelForwarder
 
 	mu       sync.Mutex
 	listener net.Listener
