--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	i.callers.SetForwarder(i.forwardCancel)
+	i.callers.SetCancelForwarder(i.forwardCancel)
 	i.operators = operator.NewServer(i, i.settings.OperatorToken, tls.operator, i.prefixed("operator"))
 	return nil
 }
