--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -56,7 +56,7 @@
 	Instance        string
 	TLS             func() *tls.Config // TLS is refused if this is nil or returns nil
 	Authenticate    bool
-	MaxCallers      int           // concurrent client connections
+	MaxClients      int           // concurrent client connections
 	MaxMessage      int           // maximum size of a message in bytes
 	AuthTimeout     time.Duration // from accept to the end of authentication
 	WriteTimeout    time.Duration // of one write to a client
@@ -75,7 +75,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Authenticate:    true,
-		MaxCallers:      10_000,
+		MaxClients:      10_000,
 		MaxMessage:      64 << 20,
 		AuthTimeout:     defaultAuthTimeout,
 		WriteTimeout:    defaultWriteTimeout,
@@ -109,9 +109,9 @@
 
 // NewServer returns a server that is not listening yet.
 func NewServer(opts Options, catalogue Catalogue, dispatcher *dispatch.Dispatcher, classifier *sqlclass.Classifier, events Events, log *logrus.Entry) (*Server, error) {
-	pool, err := ants.NewPool(opts.MaxCallers, ants.WithNonblocking(true))
+	pool, err := ants.NewPool(opts.MaxClients, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, fmt.Errorf("caller: pool of %d: %w", opts.MaxCallers, err)
+		return nil, fmt.Errorf("caller: pool of %d: %w", opts.MaxClients, err)
 	}
 	return &Server{
 		opts:       opts,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -329,7 +329,7 @@
 		{"capacity", "descriptors"}:            number(&s.Capacity.Descriptors, 1, maxDescriptors),
 		{"caller", "listen"}:                   address(&s.CallerListen),
 		{"caller", "authenticate"}:             boolean(&s.Caller.Authenticate),
-		{"caller", "max_callers"}:              number(&s.Caller.MaxCallers, 1, 1_000_000),
+		{"caller", "max_callers"}:              number(&s.Caller.MaxClients, 1, 1_000_000),
 		{"caller", "max_message_bytes"}:        number(&s.Caller.MaxMessage, 1024, 1<<30),
 		{"caller", "authentication_timeout"}:   duration(&s.Caller.AuthTimeout),
 		{"caller", "write_timeout"}:            duration(&s.Caller.WriteTimeout),
