--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -119,7 +119,7 @@
 			return nil, err
 		}
 	}
-	deadline := time.Now().Add(c.server.opts.IdleTransaction)
+	deadline := time.Now().Add(c.server.opts.IdleInTransactionTimeout)
 	for {
 		if err := c.net.SetReadDeadline(deadline); err != nil {
 			return nil, err
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -53,14 +53,14 @@
 
 // Options are the settings of a server.
 type Options struct {
-	Instance        string
-	TLS             func() *tls.Config // TLS is refused if this is nil or returns nil
-	Authenticate    bool
-	MaxClients      int           // concurrent client connections
-	MaxMessage      int           // maximum size of a message in bytes
-	AuthTimeout     time.Duration // from accept to the end of authentication
-	WriteTimeout    time.Duration // of one write to a client
-	IdleTransaction time.Duration // idle time within a transaction after which it is rolled back
+	Instance                 string
+	TLS                      func() *tls.Config // TLS is refused if this is nil or returns nil
+	Authenticate             bool
+	MaxClients               int           // concurrent client connections
+	MaxMessage               int           // maximum size of a message in bytes
+	AuthTimeout              time.Duration // from accept to the end of authentication
+	WriteTimeout             time.Duration // of one write to a client
+	IdleInTransactionTimeout time.Duration // idle time within a transaction after which it is rolled back
 }
 
 // Default timeouts. They leave slow clients time to authenticate, disconnect clients that have
@@ -74,12 +74,12 @@
 // DefaultOptions returns the settings used when nothing else is configured.
 func DefaultOptions() Options {
 	return Options{
-		Authenticate:    true,
-		MaxClients:      10_000,
-		MaxMessage:      64 << 20,
-		AuthTimeout:     defaultAuthTimeout,
-		WriteTimeout:    defaultWriteTimeout,
-		IdleTransaction: defaultIdleTransaction,
+		Authenticate:             true,
+		MaxClients:               10_000,
+		MaxMessage:               64 << 20,
+		AuthTimeout:              defaultAuthTimeout,
+		WriteTimeout:             defaultWriteTimeout,
+		IdleInTransactionTimeout: defaultIdleTransaction,
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -333,7 +333,7 @@
 		{"caller", "max_message_bytes"}:        number(&s.Caller.MaxMessage, 1024, 1<<30),
 		{"caller", "authentication_timeout"}:   duration(&s.Caller.AuthTimeout),
 		{"caller", "write_timeout"}:            duration(&s.Caller.WriteTimeout),
-		{"caller", "idle_transaction_timeout"}: duration(&s.Caller.IdleTransaction),
+		{"caller", "idle_transaction_timeout"}: duration(&s.Caller.IdleInTransactionTimeout),
 		{"caller", "tls_certificate"}:          text(&s.CallerTLS.Certificate),
 		{"caller", "tls_key"}:                  text(&s.CallerTLS.Key),
 		{"peer", "listen"}:                     address(&s.PeerListen),
