--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -81,6 +81,6 @@
 		_, _ = clientSide.Write(raw) // ends early if the server closes the connection
 		clientSide.Close()
 		<-done
-		must.Zero(t, server.Callers())
+		must.Zero(t, server.NumClients())
 	})
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -158,8 +158,8 @@
 	go c.rejectStartup(codeTooManyClients, "this instance serves as many callers as it may")
 }
 
-// Callers returns the number of connected clients, once authenticated.
-func (s *Server) Callers() int {
+// NumClients returns the number of connected clients, once authenticated.
+func (s *Server) NumClients() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
--- a/internal/instance/metrics.go
+++ b/internal/instance/metrics.go
@@ -59,7 +59,7 @@
 	fmt.Fprintf(w, "stackspindle_control_bytes_total{direction=\"sent\"} %d\n", sent)
 	fmt.Fprintf(w, "stackspindle_control_bytes_total{direction=\"received\"} %d\n", received)
 	fmt.Fprintf(w, "stackspindle_platform_calls_total %d\n", i.store.Calls())
-	fmt.Fprintf(w, "stackspindle_callers %d\n", i.callers.Callers())
+	fmt.Fprintf(w, "stackspindle_callers %d\n", i.callers.NumClients())
 	fmt.Fprintf(w, "stackspindle_config_revision %d\n", i.Revision())
 	for name, g := range *i.groups.Load() {
 		st := g.Load()
