--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -371,7 +371,7 @@
 
 func (d *Dispatcher) stream(target, group string) (Stream, error) {
 	if target != d.self {
-		return d.peers.Open(target)
+		return d.peers.OpenStream(target)
 	}
 	local := d.placement.Local(group)
 	if local == nil {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -140,8 +140,8 @@
 	sendMu        sync.Mutex // serializes Send calls: Cancel and Handle may run concurrently
 }
 
-// Open returns an idle stream to an instance from the pool, or opens a new one.
-func (c *Client) Open(name string) (*Stream, error) {
+// OpenStream returns an idle stream to an instance from the pool, or opens a new one.
+func (c *Client) OpenStream(name string) (*Stream, error) {
 	r, err := c.remote(name)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
