--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -40,7 +40,7 @@
 			return c.rejectQuery(err)
 		}
 	}
-	wire, err := peer.Completion(&b.request, tag)
+	wire, err := peer.EncodeCompletion(&b.request, tag)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	c.failedTx = false
 	c.status = 'I'
 	c.session.endTransaction(false)
-	wire, err := peer.Completion(&b.request, "ROLLBACK")
+	wire, err := peer.EncodeCompletion(&b.request, "ROLLBACK")
 	if err != nil {
 		return err
 	}
--- a/internal/owner/journal.go
+++ b/internal/owner/journal.go
@@ -181,7 +181,7 @@
 
 // answerBegin answers the caller's BEGIN: the transaction is open already.
 func (s *Stream) answerBegin(req *peerpb.RunRequest) (*peerpb.RunReply, error) {
-	answer, err := peer.Completion(req, "BEGIN")
+	answer, err := peer.EncodeCompletion(req, "BEGIN")
 	if err != nil {
 		return nil, err
 	}
@@ -238,13 +238,13 @@
 func (s *Stream) commitJournal(ctx context.Context, req *peerpb.RunRequest) (*peerpb.RunReply, error) {
 	rollback := req.Class != peerpb.Class_CLASS_WRITE
 	if s.lease.Conn.TxStatus() == 'E' || rollback {
-		answer, err := peer.Completion(req, "ROLLBACK")
+		answer, err := peer.EncodeCompletion(req, "ROLLBACK")
 		if err != nil {
 			return nil, err
 		}
 		return s.failJournal(answer)
 	}
-	answer, err := peer.Completion(req, "COMMIT")
+	answer, err := peer.EncodeCompletion(req, "COMMIT")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/peer/completion.go
+++ b/internal/peer/completion.go
@@ -12,9 +12,9 @@
 // messageHeaderLength is the size in bytes of a message's type and length fields.
 const messageHeaderLength = 5
 
-// Completion encodes the answer to a batch that is not run on a member: each command
+// EncodeCompletion encodes the answer to a batch that is not run on a member: each command
 // completes with the tag and returns no rows. ReadyForQuery is not included.
-func Completion(req *peerpb.RunRequest, tag string) ([]byte, error) {
+func EncodeCompletion(req *peerpb.RunRequest, tag string) ([]byte, error) {
 	var out []byte
 	start := uint32(0)
 	for i, kind := range req.Kinds {
