--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -17,11 +17,11 @@
 	return known && n <= 0 && err != syscall.EAGAIN && err != syscall.EINTR
 }
 
-// Silent reports whether an idle connection is still open and has received no unsolicited
+// IsIdle reports whether an idle connection is still open and has received no unsolicited
 // data. This detects a peer that has closed the connection, or has announced that it will,
 // before a request is sent whose outcome would then be unknown. Connections without a file
 // descriptor, such as TLS connections, count as idle: only a request shows their state.
-func Silent(conn net.Conn) bool {
+func IsIdle(conn net.Conn) bool {
 	_, known, err := peek(conn)
 	return !known || err == syscall.EAGAIN
 }
