--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// Closed reports whether the peer has closed a connection. It consumes no received data, and
+// ClosedByPeer reports whether the peer has closed a connection. It consumes no received data, and
 // while there is unread data it does not detect the close. Connections without a file
 // descriptor, such as TLS connections, count as open.
-func Closed(conn net.Conn) bool {
+func ClosedByPeer(conn net.Conn) bool {
 	n, known, err := peek(conn)
 	return known && n <= 0 && err != syscall.EAGAIN && err != syscall.EINTR
 }
