--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -132,7 +132,7 @@
 
 // dial opens a connection on which bytes that are not acknowledged are noticed.
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Control: socket.Options}
+	d := net.Dialer{Control: socket.SetUserTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
--- a/internal/socket/options.go
+++ b/internal/socket/options.go
@@ -13,9 +13,9 @@
 // sooner; the application's own timeouts cover the other cases.
 const userTimeout = 800 * time.Millisecond
 
-// Options sets the TCP user timeout of a connection that is being opened. It is a Control
+// SetUserTimeout sets the TCP user timeout of a connection that is being opened. It is a Control
 // function for net.Dialer.
-func Options(_, _ string, conn syscall.RawConn) error {
+func SetUserTimeout(_, _ string, conn syscall.RawConn) error {
 	var optErr error
 	err := conn.Control(func(fd uintptr) {
 		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
