--- a/internal/caller/cancel.go
+++ b/internal/caller/cancel.go
@@ -10,7 +10,7 @@
 func (s *Server) SetCancelForwarder(f CancelForwarder) { s.cancelForwarder = f }
 
 // forwardCancel handles a cancel request. It is forwarded if the client to cancel is connected
-// to another instance: a load balancer may send the request to any of them.
+// to another instance, since a cancel request may arrive at any of them.
 func (s *Server) forwardCancel(m *pgproto3.CancelRequest) {
 	tag := InstanceTagOf(m.ProcessID)
 	if tag == InstanceTag(s.opts.Instance) {
--- a/internal/caller/codec.go
+++ b/internal/caller/codec.go
@@ -22,8 +22,8 @@
 // connWriter writes to the connection that currently uses the codec.
 type connWriter struct{ net.Conn }
 
-// source reads from the connection that currently uses the codec. It first returns
-// the byte that was read while the connection was idle, if there is one.
+// source reads from the connection that currently uses the codec. It first returns the byte
+// that was read while the connection was idle, if there is one.
 type source struct {
 	conn         net.Conn
 	firstByte    byte
@@ -39,8 +39,8 @@
 	return s.conn.Read(p)
 }
 
-// messageReader returns the bytes of one message at a time and never reads into the next, so
-// that the pgproto3 backend holds no buffered data between messages.
+// messageReader returns the bytes of one message at a time. A Read never returns bytes of the
+// next message, so that the pgproto3 backend holds no buffered data between messages.
 type messageReader struct {
 	source        source
 	buf           *bufio.Reader
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -66,9 +66,9 @@
 // Default timeouts. They leave slow clients time to authenticate, disconnect clients that have
 // stopped reading, and roll back transactions that a client has left open.
 const (
-	defaultAuthTimeout     = 10 * time.Second
-	defaultWriteTimeout    = 30 * time.Second
-	defaultIdleTransaction = 60 * time.Second
+	defaultAuthTimeout       = 10 * time.Second
+	defaultWriteTimeout      = 30 * time.Second
+	defaultIdleInTransaction = 60 * time.Second
 )
 
 // DefaultOptions returns the settings used when nothing else is configured.
@@ -79,7 +79,7 @@
 		MaxMessage:               64 << 20,
 		AuthTimeout:              defaultAuthTimeout,
 		WriteTimeout:             defaultWriteTimeout,
-		IdleInTransactionTimeout: defaultIdleTransaction,
+		IdleInTransactionTimeout: defaultIdleInTransaction,
 	}
 }
 
--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -190,7 +190,7 @@
 	emit              func([]byte) error
 	chunk             []byte
 	result            Result
-	betweenStatements bool // no statement of the current simple query is partly answered
+	statementComplete bool // the answer to the current statement of a simple query has ended; false before the first
 }
 
 func (r *responseReader) read() error {
@@ -279,7 +279,7 @@
 	}
 	r.trackStatementEnd(msg)
 	if ready, ok := msg.(*pgproto3.ReadyForQuery); ok && head.kind != expectPosition {
-		if head.kind == KindQuery && !r.betweenStatements {
+		if head.kind == KindQuery && !r.statementComplete {
 			return fmt.Errorf("upstream %s: the answer ends in the middle: %w", r.conn.target.Member, ErrProtocol)
 		}
 		r.conn.status = ready.TxStatus
@@ -313,9 +313,9 @@
 func (r *responseReader) trackStatementEnd(msg pgproto3.BackendMessage) {
 	switch msg.(type) {
 	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.ErrorResponse:
-		r.betweenStatements = true
+		r.statementComplete = true
 	case *pgproto3.RowDescription, *pgproto3.DataRow:
-		r.betweenStatements = false
+		r.statementComplete = false
 	}
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -33,7 +33,7 @@
 }
 
 // config returns the connection settings. A term above 0 binds the connection to that term:
-// the member closes it once a fence raises the term. 0 binds it to no term.
+// the member closes it once a higher term is fenced. 0 binds it to no term.
 func (t Target) config(term uint64) (*pgconn.Config, error) {
 	cfg, err := pgconn.ParseConfig("sslmode=disable")
 	if err != nil {
@@ -89,8 +89,8 @@
 	out                []byte // encoded request; the buffer is reused
 }
 
-// maxPreparedStatements is the number of prepared statements above which a connection is reset with
-// DISCARD ALL before it is shared again.
+// maxPreparedStatements is the number of prepared statements above which a connection is reset
+// with DISCARD ALL before it is shared again.
 const maxPreparedStatements = 512
 
 // Dial opens a data connection that is bound to a term, or to none if term is 0.
