--- a/internal/caller/codec.go
+++ b/internal/caller/codec.go
@@ -10,66 +10,66 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// codec reads and writes the messages of one connection at a time. Its buffers
-// are lent to a connection while messages are in flight, so that an idle caller
-// holds none.
+// codec reads and writes the messages of one connection at a time. Codecs are pooled: a
+// connection holds one only while messages are in flight, so that idle clients occupy no
+// buffers.
 type codec struct {
 	backend *pgproto3.Backend
 	in      *messageReader
 	out     *connWriter
 }
 
-// connWriter writes to the connection that the codec is lent to.
+// connWriter writes to the connection that currently uses the codec.
 type connWriter struct{ net.Conn }
 
-// source reads from the connection that the codec is lent to, after the one byte
-// that ended its idleness.
+// source reads from the connection that currently uses the codec. It first returns the byte
+// that was read while the connection was idle, if there is one.
 type source struct {
-	conn   net.Conn
-	first  byte
-	primed bool
+	conn         net.Conn
+	firstByte    byte
+	hasFirstByte bool
 }
 
 func (s *source) Read(p []byte) (int, error) {
-	if s.primed && len(p) > 0 {
-		p[0] = s.first
-		s.primed = false
+	if s.hasFirstByte && len(p) > 0 {
+		p[0] = s.firstByte
+		s.hasFirstByte = false
 		return 1, nil
 	}
 	return s.conn.Read(p)
 }
 
-// messageReader hands out the bytes of one message and never those of the next,
-// so that nothing is left in the backend between two messages.
+// messageReader returns the bytes of one message at a time. A Read never returns bytes of the
+// next message, so that the pgproto3 backend holds no buffered data between messages.
 type messageReader struct {
-	source  source
-	buf     *bufio.Reader
-	left    int  // bytes of the current message not handed out yet
-	untyped bool // the next message is one of the start, which have no type
+	source        source
+	buf           *bufio.Reader
+	remaining     int  // bytes of the current message that have not been read
+	expectStartup bool // the next message is a startup message, which has no type byte
 }
 
-// readBuffer is what most messages fit in, in bytes.
-const readBuffer = 4 << 10
+// readBufferSize is the size of the read buffer in bytes; most messages fit.
+const readBufferSize = 4 << 10
 
-// errMessageLength says that a message's length makes no sense.
+// errMessageLength means that a message's length field is below the minimum.
 var errMessageLength = errors.New("a message claims an impossible length")
 
 // Read implements io.Reader.
 func (r *messageReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
-		if err := r.begin(); err != nil {
+	if r.remaining == 0 {
+		if err := r.readHeader(); err != nil {
 			return 0, err
 		}
 	}
-	n, err := r.buf.Read(p[:min(len(p), r.left)])
-	r.left -= n
+	n, err := r.buf.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
 
-// begin looks at the header of the next message.
-func (r *messageReader) begin() error {
+// readHeader peeks at the header of the next message and sets remaining.
+func (r *messageReader) readHeader() error {
 	typeLength := 1
-	if r.untyped {
+	if r.expectStartup {
 		typeLength = 0
 	}
 	header, err := r.buf.Peek(typeLength + 4)
@@ -80,37 +80,37 @@
 	if length < 4 {
 		return errMessageLength
 	}
-	r.left = typeLength + length
+	r.remaining = typeLength + length
 	return nil
 }
 
-// drained reports whether nothing has been received that is not handed out.
+// drained reports whether all received data has been read.
 func (r *messageReader) drained() bool {
-	return r.left == 0 && r.buf.Buffered() == 0 && !r.source.primed
+	return r.remaining == 0 && r.buf.Buffered() == 0 && !r.source.hasFirstByte
 }
 
-// codecs are those that no connection uses.
-var codecs = sync.Pool{New: func() any {
+// codecPool holds the codecs that no connection uses.
+var codecPool = sync.Pool{New: func() any {
 	in := &messageReader{}
-	in.buf = bufio.NewReaderSize(&in.source, readBuffer)
+	in.buf = bufio.NewReaderSize(&in.source, readBufferSize)
 	out := &connWriter{}
 	return &codec{backend: pgproto3.NewBackend(in, out), in: in, out: out}
 }}
 
-// borrow takes a codec for the connection.
-func (c *conn) borrow() {
-	c.codec = codecs.Get().(*codec)
-	c.codec.in.source = source{conn: c.net, first: c.first, primed: c.hasFirst}
-	c.hasFirst = false
-	c.codec.in.untyped = false
+// acquireCodec takes a codec from the pool for the connection.
+func (c *conn) acquireCodec() {
+	c.codec = codecPool.Get().(*codec)
+	c.codec.in.source = source{conn: c.net, firstByte: c.firstByte, hasFirstByte: c.hasFirstByte}
+	c.hasFirstByte = false
+	c.codec.in.expectStartup = false
 	c.codec.out.Conn = c.net
 	c.backend = c.codec.backend
 	c.backend.SetMaxBodyLen(c.server.opts.MaxMessage)
 }
 
-// lend gives the codec back. The caller has checked that it is drained.
-func (c *conn) lend() {
+// releaseCodec returns the codec to the pool. It must be drained.
+func (c *conn) releaseCodec() {
 	c.codec.in.source.conn, c.codec.out.Conn = nil, nil
-	codecs.Put(c.codec)
+	codecPool.Put(c.codec)
 	c.codec, c.backend = nil, nil
 }
--- a/internal/owner/journal.go
+++ b/internal/owner/journal.go
@@ -187,7 +187,7 @@
 // answerBegin answers the client's BEGIN without running it: openJournal has
 // opened the transaction already.
 func (s *Stream) answerBegin(req *peerpb.RunRequest) (*peerpb.RunReply, error) {
-	answer, err := peer.Completion(req, "BEGIN")
+	answer, err := peer.EncodeCompletion(req, "BEGIN")
 	if err != nil {
 		return nil, err
 	}
@@ -215,7 +215,7 @@
 		return nil, false, s.refuseNotRun(err)
 	}
 	answer = append(answer, result.Wire...)
-	return answer[:len(answer)-readyLength], result.Failed, nil
+	return answer[:len(answer)-readyLength], result.HasError, nil
 }
 
 // withoutPositionProbe returns a copy of the request that does not read the log
@@ -248,13 +248,13 @@
 func (s *Stream) commitJournal(ctx context.Context, req *peerpb.RunRequest) (*peerpb.RunReply, error) {
 	rollback := req.Class != peerpb.Class_CLASS_WRITE
 	if s.lease.Conn.TxStatus() == 'E' || rollback {
-		answer, err := peer.Completion(req, "ROLLBACK")
+		answer, err := peer.EncodeCompletion(req, "ROLLBACK")
 		if err != nil {
 			return nil, err
 		}
 		return s.rollBackJournal(answer)
 	}
-	answer, err := peer.Completion(req, "COMMIT")
+	answer, err := peer.EncodeCompletion(req, "COMMIT")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -159,7 +159,7 @@
 		return s.acquireRefusal(err, member)
 	}
 	s.member = member
-	if err := lease.Conn.Prepare(settingsMap(s.header.Settings)); err != nil {
+	if err := lease.Conn.ApplySettings(settingsMap(s.header.Settings)); err != nil {
 		lease.Release()
 		return fmt.Errorf("%w: %w", upstream.ErrNotSent, err)
 	}
@@ -242,7 +242,7 @@
 }
 
 func batchOf(req *peerpb.RunRequest, probe bool) *upstream.Batch {
-	b := &upstream.Batch{Wire: req.Wire, Kinds: req.Kinds, Ends: req.Ends, Refs: req.Refs, Probe: probe}
+	b := &upstream.Batch{Wire: req.Wire, Kinds: req.Kinds, Ends: req.Ends, Refs: req.Refs, QueryPosition: probe}
 	for _, st := range req.Statements {
 		b.Statements = append(b.Statements, upstream.Statement{Name: st.Name, SQL: st.Sql, ParameterOIDs: st.ParameterOids})
 	}
@@ -256,12 +256,12 @@
 	if !s.lease.Conn.Synced() {
 		status = 'T' // the client has not sent Sync yet: more of the batch follows
 	}
-	done := &peerpb.Done{TxStatus: uint32(status), Member: s.member, Reason: s.reason, Failed: result.Failed, Primary: s.member == s.view.primary}
+	done := &peerpb.Done{TxStatus: uint32(status), Member: s.member, Reason: s.reason, Failed: result.HasError, Primary: s.member == s.view.primary}
 	if status != 'I' {
 		return done, s.confirmLease(ctx, done)
 	}
 	var err error
-	if s.wrote && s.member == s.view.primary && (req.EndsTransaction || !result.Failed) {
+	if s.wrote && s.member == s.view.primary && (req.EndsTransaction || !result.HasError) {
 		err = s.acknowledgeCommit(ctx, done, result)
 	} else {
 		err = s.confirmLease(ctx, done)
--- a/internal/peer/completion.go
+++ b/internal/peer/completion.go
@@ -6,21 +6,21 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// Kinds of messages in a batch that carry no letter of the protocol.
+// describeStatement is the object type of a Describe message for a prepared statement.
 const describeStatement = 'S'
 
-// headerLength is the length of a message's type and length.
-const headerLength = 5
+// messageHeaderLength is the size in bytes of a message's type and length fields.
+const messageHeaderLength = 5
 
-// Completion encodes the answer to a batch that is answered without running it:
-// each command completes with the tag and gives no rows. ReadyForQuery is left out.
-func Completion(req *peerpb.RunRequest, tag string) ([]byte, error) {
+// EncodeCompletion encodes the answer to a batch that is not run on a member: each command
+// completes with the tag and returns no rows. ReadyForQuery is not included.
+func EncodeCompletion(req *peerpb.RunRequest, tag string) ([]byte, error) {
 	var out []byte
 	start := uint32(0)
 	for i, kind := range req.Kinds {
 		body := req.Wire[start:req.Ends[i]]
 		start = req.Ends[i]
-		for _, msg := range completionOf(kind, body, tag) {
+		for _, msg := range completionMessages(kind, body, tag) {
 			var err error
 			if out, err = msg.Encode(out); err != nil {
 				return nil, err
@@ -30,7 +30,7 @@
 	return out, nil
 }
 
-func completionOf(kind byte, body []byte, tag string) []pgproto3.BackendMessage {
+func completionMessages(kind byte, body []byte, tag string) []pgproto3.BackendMessage {
 	switch kind {
 	case 'P':
 		return []pgproto3.BackendMessage{&pgproto3.ParseComplete{}}
@@ -39,7 +39,7 @@
 	case 'C', 'c':
 		return []pgproto3.BackendMessage{&pgproto3.CloseComplete{}}
 	case 'D':
-		if len(body) > headerLength && body[headerLength] == describeStatement {
+		if len(body) > messageHeaderLength && body[messageHeaderLength] == describeStatement {
 			return []pgproto3.BackendMessage{&pgproto3.ParameterDescription{}, &pgproto3.NoData{}}
 		}
 		return []pgproto3.BackendMessage{&pgproto3.NoData{}}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,15 +14,20 @@
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
 )
 
-// Runner runs the transactions of one stream on the owner's side.
+// Runner runs the transactions of one stream at the owner. Cancel and Abort may be called
+// while Handle runs.
 type Runner interface {
+	// Handle runs a batch and passes its replies to deliver.
 	Handle(ctx context.Context, req *peerpb.RunRequest, deliver func(*peerpb.RunReply) error) error
+	// Cancel cancels the batch in flight.
 	Cancel()
+	// Abort ends the batch in flight because the ingress instance is gone.
 	Abort()
+	// Close ends the use of the runner.
 	Close()
 }
 
-// Backend is what an instance offers to others.
+// Backend implements the calls that an instance serves to other instances.
 type Backend interface {
 	// Runner returns a runner for a group, or nil when the group is unknown.
 	Runner(group string) Runner
@@ -34,7 +39,7 @@
 	Cancel(req *peerpb.CancelRequest)
 }
 
-// Server serves other instances.
+// Server is the gRPC server for other instances.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	backend  Backend
@@ -43,10 +48,11 @@
 	stopOnce sync.Once
 }
 
-// NewServer returns a server that is not listening yet.
+// NewServer returns a server that is not listening yet. If creds is nil, connections are not
+// encrypted.
 func NewServer(backend Backend, creds credentials.TransportCredentials, traffic *Traffic) *Server {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageSize),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime / 2, PermitWithoutStream: true}),
 		grpc.WaitForHandlers(true),
 		grpc.StatsHandler(traffic),
@@ -59,7 +65,7 @@
 	return s
 }
 
-// Serve accepts connections until Stop.
+// Serve accepts connections until Stop or Kill.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.grpc.Serve(l); err != nil {
 		return fmt.Errorf("peer: serve: %w", err)
@@ -67,7 +73,7 @@
 	return nil
 }
 
-// Stop lets calls in flight end, for at most grace, and closes.
+// Stop shuts down gracefully: calls in flight may end within the grace period.
 func (s *Server) Stop(grace time.Duration) {
 	s.stopOnce.Do(func() { close(s.stopping) })
 	timer := time.AfterFunc(grace, s.grpc.Stop)
@@ -75,7 +81,7 @@
 	s.grpc.GracefulStop()
 }
 
-// Kill closes at once.
+// Kill closes all connections at once.
 func (s *Server) Kill() { s.grpc.Stop() }
 
 // Probe implements peerpb.PeerServer.
@@ -109,10 +115,10 @@
 	return &peerpb.CancelReply{}, nil
 }
 
-// Run implements peerpb.PeerServer. Requests are received apart from the one
-// being handled, so that a cancel, or the loss of the entry, reaches it.
+// Run implements peerpb.PeerServer. Requests are received in a goroutine of their own, so that
+// a cancel request, or the loss of the ingress instance, interrupts the batch in flight.
 func (s *Server) Run(stream grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]) error {
-	session := &runSession{
+	session := &runStream{
 		backend:  s.backend,
 		stream:   stream,
 		requests: make(chan *peerpb.RunRequest),
@@ -122,58 +128,58 @@
 	return session.serve()
 }
 
-// runSession is the server's side of one stream.
-type runSession struct {
-	backend  Backend
-	stream   grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]
-	requests chan *peerpb.RunRequest
-	stopping <-chan struct{} // closed when the server stops
-	current  runnerSlot
-	open     bool // a transaction is open
+// runStream is the server side of one stream.
+type runStream struct {
+	backend       Backend
+	stream        grpc.BidiStreamingServer[peerpb.RunRequest, peerpb.RunReply]
+	requests      chan *peerpb.RunRequest
+	stopping      <-chan struct{} // closed when the server stops
+	currentRunner runnerSlot
+	inTransaction bool // a transaction is open
 }
 
-func (r *runSession) receive() {
+func (r *runStream) receive() {
 	defer close(r.requests)
 	for {
 		req, err := r.stream.Recv()
 		if err != nil {
-			r.current.abort()
+			r.currentRunner.abort()
 			return
 		}
 		if req.Cancel {
-			r.current.cancel()
+			r.currentRunner.cancel()
 			continue
 		}
 		select {
 		case r.requests <- req:
 		case <-r.stream.Context().Done():
-			r.current.abort()
+			r.currentRunner.abort()
 			return
 		}
 	}
 }
 
-func (r *runSession) serve() error {
+func (r *runStream) serve() error {
 	var runner Runner
 	var group string
 	defer func() {
-		r.current.set(nil)
+		r.currentRunner.set(nil)
 		if runner != nil {
 			runner.Close()
 		}
 	}()
 	for {
-		req, ok := r.next()
+		req, ok := r.nextRequest()
 		if !ok {
 			return nil
 		}
 		if req.Header != nil && (runner == nil || req.Header.Group != group) {
 			group = req.Header.Group
 			runner = r.backend.Runner(group)
-			r.current.set(runner)
+			r.currentRunner.set(runner)
 		}
 		if runner == nil {
-			if err := r.stream.Send(notOwner()); err != nil {
+			if err := r.stream.Send(notOwnerReply()); err != nil {
 				return err
 			}
 			continue
@@ -184,11 +190,11 @@
 	}
 }
 
-// next returns the next request. Once the server stops, the stream is ended in
-// good order between transactions: the entry then knows that a request which it
-// had sent meanwhile was not taken up.
-func (r *runSession) next() (*peerpb.RunRequest, bool) {
-	if r.open {
+// nextRequest returns the next request, or false when the stream ends. Once the server stops, the
+// stream is ended in order between transactions, which tells the ingress instance that a
+// request that it has sent meanwhile was not run.
+func (r *runStream) nextRequest() (*peerpb.RunRequest, bool) {
+	if r.inTransaction {
 		req, ok := <-r.requests
 		return req, ok
 	}
@@ -205,14 +211,14 @@
 	}
 }
 
-func (r *runSession) send(reply *peerpb.RunReply) error {
+func (r *runStream) send(reply *peerpb.RunReply) error {
 	if reply.Done != nil {
-		r.open = reply.Done.TxStatus != 'I'
+		r.inTransaction = reply.Done.TxStatus != 'I'
 	}
 	return r.stream.Send(reply)
 }
 
-func notOwner() *peerpb.RunReply {
+func notOwnerReply() *peerpb.RunReply {
 	return &peerpb.RunReply{Done: &peerpb.Done{
 		TxStatus: 'I',
 		Refusal:  peerpb.Refusal_REFUSAL_NOT_OWNER,
--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -133,7 +133,7 @@
 
 // dial opens a connection with a bound on how long sent bytes may stay unacknowledged.
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Control: socket.Options}
+	d := net.Dialer{Control: socket.SetUserTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -8,64 +8,68 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Kinds of the messages in a batch. Those of the protocol keep their letters.
+// Kinds of the messages in a batch. The values are the type bytes of the PostgreSQL
+// protocol, except KindCloseStatement, which the protocol sends as a Close ('C').
 const (
 	KindQuery          = 'Q'
-	KindParse          = 'P' // no bytes of its own: the statement is in Statements
+	KindParse          = 'P' // no bytes in Wire: the statement is in Statements
 	KindBind           = 'B'
 	KindDescribe       = 'D'
 	KindExecute        = 'E'
 	KindClosePortal    = 'C'
-	KindCloseStatement = 'c' // no bytes: answered here
+	KindCloseStatement = 'c' // no bytes in Wire: answered by this instance
 	KindSync           = 'S'
 	KindFlush          = 'H'
 )
 
-// Statement is a prepared statement by content: two callers that prepare the
-// same text with the same types share it under the same name.
+// Statement is a prepared statement. Its name is derived from the text and the parameter
+// types, so that clients that prepare the same statement share it on a connection.
 type Statement struct {
 	Name          string
 	SQL           string
 	ParameterOIDs []uint32
 }
 
-// Batch is what a caller sent up to a Query, Sync or Flush.
+// Batch holds the messages of a client up to and including a Query, Sync or Flush. Kinds,
+// Ends and Refs have one element per message.
 type Batch struct {
-	Wire       []byte
-	Kinds      []byte
-	Ends       []uint32 // where each message ends in Wire
-	Refs       []uint32 // 1-based index into Statements, 0: none
-	Statements []Statement
-	Probe      bool // ask for the log position after the batch
+	Wire          []byte
+	Kinds         []byte
+	Ends          []uint32 // offset in Wire at which each message ends
+	Refs          []uint32 // 1-based index into Statements; 0: none
+	Statements    []Statement
+	QueryPosition bool // query the member's log position after the batch
 }
 
-// Result is what is left of an answer when all else was emitted.
+// Result is the end of an answer: the part that Run has not passed to emit.
 type Result struct {
-	Wire     []byte         // the last chunk, which holds the acknowledgement
-	Position group.Position // zero unless Probe was set and answered
-	Failed   bool           // the answer holds an error
-	Emitted  bool           // part of the answer was emitted before
+	Wire     []byte         // the last chunk, which includes the command's completion
+	Position group.Position // zero unless the batch asked for it and the member returned it
+	HasError bool           // the answer contains an ErrorResponse
+	Emitted  bool           // part of the answer has already been passed to emit
 }
 
-// expectation is what the next answers belong to.
+// expectation is a message that the member, or this instance, still has to answer.
 type expectation struct {
-	kind    byte
-	silent  bool   // the answer is not for the caller
-	prepare string // name of the statement that is known afterwards
+	kind              byte
+	discard           bool   // the answer is not passed on to the client
+	preparesStatement string // name of the statement that is prepared once the answer has arrived
 }
 
-const expectPosition = 'p' // the position probe
+const expectPosition = 'p' // the query for the log position
 
-// chunkSize is the least size of a chunk that is emitted early.
-const chunkSize = 32 << 10
+// minEmitSize is the size in bytes from which a chunk is emitted before the answer ends.
+const minEmitSize = 32 << 10
 
-// firstChunk is the capacity that most answers fit in.
-const firstChunk = 512
+// initialChunkCapacity is the initial capacity of the answer's buffer in bytes; most answers fit.
+const initialChunkCapacity = 512
 
-// Run sends a batch and hands on its answer. Rows are emitted in chunks as they
-// arrive; the rest, which always includes the command's completion, is
-// returned, so that the caller of Run decides whether it may be acknowledged.
-// Answers are matched to messages in order, so none can reach another request.
+// Run sends a batch and reads its answer. Rows are passed to emit in chunks as they
+// arrive. The rest, which always includes the command's completion, is returned, so that
+// Run's caller can check that the command may be acknowledged before it passes the
+// completion on. Every backend message is matched to the frontend message that it answers,
+// in order; a message that does not match closes the connection, so that no answer can
+// reach another request.
 func (c *Conn) Run(b *Batch, emit func(wire []byte) error) (Result, error) {
 	expected, err := c.encode(b)
 	if err != nil {
@@ -74,12 +78,12 @@
 	if len(c.out) > 0 {
 		if _, err := c.conn.Write(c.out); err != nil {
 			c.Kill()
-			return Result{}, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrUnknown, err)
+			return Result{}, fmt.Errorf("upstream %s: %w: %w", c.target.Member, ErrOutcomeUnknown, err)
 		}
 	}
-	// The answer outlives the lease of the connection, so its bytes are never
-	// those of a buffer that the next batch uses.
-	r := &reader{conn: c, expected: expected, emit: emit, chunk: make([]byte, 0, firstChunk)}
+	// The answer is still in use after the connection has returned to its pool, so its
+	// buffer is never shared with the next batch.
+	r := &responseReader{conn: c, expected: expected, emit: emit, chunk: make([]byte, 0, initialChunkCapacity)}
 	if err := r.read(); err != nil {
 		c.Kill()
 		return r.result, err
@@ -97,7 +101,7 @@
 	return last == KindQuery || last == KindSync
 }
 
-// encode fills c.out and returns what is expected back.
+// encode writes the frontend messages into c.out and returns the expected answers.
 func (c *Conn) encode(b *Batch) ([]expectation, error) {
 	c.out = c.out[:0]
 	expected := make([]expectation, 0, len(b.Kinds)+1)
@@ -110,21 +114,21 @@
 		}
 		body := b.Wire[start:end]
 		start = end
-		if c.skipping && kind != KindSync {
+		if c.ignoringUntilSync && kind != KindSync {
 			continue
 		}
-		c.skipping = false
+		c.ignoringUntilSync = false
 		var err error
 		if expected, err = c.encodeOne(b, kind, body, b.Refs[i], pending, expected); err != nil {
 			return nil, err
 		}
 	}
-	if b.Probe {
+	if b.QueryPosition {
 		var err error
 		if c.out, err = (&pgproto3.Query{String: positionQuery}).Encode(c.out); err != nil {
 			return nil, err
 		}
-		expected = append(expected, expectation{kind: expectPosition, silent: true})
+		expected = append(expected, expectation{kind: expectPosition, discard: true})
 	}
 	return expected, nil
 }
@@ -135,7 +139,7 @@
 	}
 	if ref > 0 {
 		s := &b.Statements[ref-1]
-		known := c.prepared[s.Name] || pending[s.Name]
+		known := c.preparedStatements[s.Name] || pending[s.Name]
 		if !known {
 			var err error
 			parse := pgproto3.Parse{Name: s.Name, Query: s.SQL, ParameterOIDs: s.ParameterOIDs}
@@ -143,7 +147,7 @@
 				return nil, err
 			}
 			pending[s.Name] = true
-			expected = append(expected, expectation{kind: KindParse, silent: kind != KindParse, prepare: s.Name})
+			expected = append(expected, expectation{kind: KindParse, discard: kind != KindParse, preparesStatement: s.Name})
 		}
 		if kind == KindParse {
 			if known {
@@ -159,35 +163,37 @@
 	return append(expected, expectation{kind: kind}), nil
 }
 
-// encodeClose forgets a statement here too, since callers close statements whose
-// plans have become invalid, and answers the caller itself.
+// encodeClose closes a prepared statement on the member as well, because clients close
+// statements whose plans have become invalid. CloseComplete is generated here; the member's
+// own is discarded.
 func (c *Conn) encodeClose(b *Batch, ref uint32, expected []expectation) ([]expectation, error) {
-	if ref > 0 && c.prepared[b.Statements[ref-1].Name] {
+	if ref > 0 && c.preparedStatements[b.Statements[ref-1].Name] {
 		name := b.Statements[ref-1].Name
 		var err error
 		if c.out, err = (&pgproto3.Close{ObjectType: 'S', Name: name}).Encode(c.out); err != nil {
 			return nil, err
 		}
-		delete(c.prepared, name)
-		expected = append(expected, expectation{kind: KindClosePortal, silent: true})
+		delete(c.preparedStatements, name)
+		expected = append(expected, expectation{kind: KindClosePortal, discard: true})
 	}
 	return append(expected, expectation{kind: KindCloseStatement}), nil
 }
 
-// Kinds of expectations that are met without the member.
+// syntheticParse expects a ParseComplete that is generated here, because the statement is
+// already prepared on the connection.
 const syntheticParse = 'p' + 1
 
-// reader takes in the answer to one batch.
-type reader struct {
-	conn     *Conn
-	expected []expectation
-	emit     func([]byte) error
-	chunk    []byte
-	result   Result
-	whole    bool // the simple query at the head has no statement half answered
+// responseReader reads the answer to one batch.
+type responseReader struct {
+	conn              *Conn
+	expected          []expectation
+	emit              func([]byte) error
+	chunk             []byte
+	result            Result
+	statementComplete bool // the answer to the current statement of a simple query has ended; false before the first
 }
 
-func (r *reader) read() error {
+func (r *responseReader) read() error {
 	for {
 		if err := r.synthesize(); err != nil {
 			return err
@@ -197,16 +203,16 @@
 		}
 		msg, err := r.conn.frontend.Receive()
 		if err != nil {
-			return fmt.Errorf("upstream %s: %w: %w", r.conn.target.Member, ErrUnknown, err)
+			return fmt.Errorf("upstream %s: %w: %w", r.conn.target.Member, ErrOutcomeUnknown, err)
 		}
-		if err := r.take(msg); err != nil {
+		if err := r.process(msg); err != nil {
 			return err
 		}
 	}
 }
 
-// synthesize answers the messages at the head that the member never saw.
-func (r *reader) synthesize() error {
+// synthesize generates the answers to leading messages that were not sent to the member.
+func (r *responseReader) synthesize() error {
 	for len(r.expected) > 0 {
 		var msg pgproto3.BackendMessage
 		switch r.expected[0].kind {
@@ -218,21 +224,21 @@
 			return nil
 		}
 		r.expected = r.expected[1:]
-		if err := r.relay(msg); err != nil {
+		if err := r.appendMessage(msg); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *reader) relay(msg pgproto3.BackendMessage) error {
+func (r *responseReader) appendMessage(msg pgproto3.BackendMessage) error {
 	var err error
 	r.chunk, err = msg.Encode(r.chunk)
 	return err
 }
 
-// done reports which message completes an expectation.
-func done(kind byte, msg pgproto3.BackendMessage) bool {
+// endsAnswer reports whether msg ends the answer to a message of the given kind.
+func endsAnswer(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.ParseComplete:
 		return kind == KindParse
@@ -250,8 +256,8 @@
 	return false
 }
 
-// part reports which messages may come before the one that completes.
-func part(kind byte, msg pgproto3.BackendMessage) bool {
+// belongsToAnswer reports whether msg may precede the end of the answer to a message of the given kind.
+func belongsToAnswer(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.DataRow:
 		return kind == KindExecute || kind == KindQuery || kind == expectPosition
@@ -265,55 +271,55 @@
 	return false
 }
 
-func (r *reader) take(msg pgproto3.BackendMessage) error {
+func (r *responseReader) process(msg pgproto3.BackendMessage) error {
 	head := r.expected[0]
-	completes := done(head.kind, msg)
-	if !completes && !part(head.kind, msg) {
+	completes := endsAnswer(head.kind, msg)
+	if !completes && !belongsToAnswer(head.kind, msg) {
 		return fmt.Errorf("upstream %s: %T: %w", r.conn.target.Member, msg, ErrProtocol)
 	}
-	r.noteWhole(msg)
+	r.trackStatementEnd(msg)
 	if ready, ok := msg.(*pgproto3.ReadyForQuery); ok && head.kind != expectPosition {
-		if head.kind == KindQuery && !r.whole {
+		if head.kind == KindQuery && !r.statementComplete {
 			return fmt.Errorf("upstream %s: the answer ends in the middle: %w", r.conn.target.Member, ErrProtocol)
 		}
 		r.conn.status = ready.TxStatus
 	}
 	if head.kind == expectPosition {
-		r.takePosition(msg)
+		r.recordPosition(msg)
 	}
 	if e, ok := msg.(*pgproto3.ErrorResponse); ok {
-		return r.takeError(head, e)
+		return r.processError(head, e)
 	}
 	if completes {
 		r.expected = r.expected[1:]
-		if head.prepare != "" {
-			r.conn.prepared[head.prepare] = true
+		if head.preparesStatement != "" {
+			r.conn.preparedStatements[head.preparesStatement] = true
 		}
 	}
-	if head.silent {
+	if head.discard {
 		return nil
 	}
-	if err := r.relay(msg); err != nil {
+	if err := r.appendMessage(msg); err != nil {
 		return err
 	}
-	if _, ok := msg.(*pgproto3.DataRow); ok && len(r.chunk) >= chunkSize {
+	if _, ok := msg.(*pgproto3.DataRow); ok && len(r.chunk) >= minEmitSize {
 		return r.flush()
 	}
 	return nil
 }
 
-// noteWhole keeps whether a statement is half answered, so that an answer cut
-// short by a stray ReadyForQuery is not taken for a short result.
-func (r *reader) noteWhole(msg pgproto3.BackendMessage) {
+// trackStatementEnd tracks whether a statement is partly answered, so that a result that an
+// unexpected ReadyForQuery truncates is not mistaken for a complete one.
+func (r *responseReader) trackStatementEnd(msg pgproto3.BackendMessage) {
 	switch msg.(type) {
 	case *pgproto3.CommandComplete, *pgproto3.EmptyQueryResponse, *pgproto3.ErrorResponse:
-		r.whole = true
+		r.statementComplete = true
 	case *pgproto3.RowDescription, *pgproto3.DataRow:
-		r.whole = false
+		r.statementComplete = false
 	}
 }
 
-func (r *reader) takePosition(msg pgproto3.BackendMessage) {
+func (r *responseReader) recordPosition(msg pgproto3.BackendMessage) {
 	row, ok := msg.(*pgproto3.DataRow)
 	if !ok || len(row.Values) != 1 {
 		return
@@ -323,16 +329,17 @@
 	}
 }
 
-// takeError skips what the member will not answer: everything up to Sync.
-func (r *reader) takeError(head expectation, e *pgproto3.ErrorResponse) error {
+// processError handles an ErrorResponse. After an error in the extended protocol the member
+// ignores all messages up to Sync, so their expectations are removed.
+func (r *responseReader) processError(head expectation, e *pgproto3.ErrorResponse) error {
 	if head.kind == expectPosition {
-		return nil // the batch left a transaction open; there is no position
+		return nil // the batch left a transaction open in which the query fails; there is no position
 	}
 	if e.Severity == "FATAL" || e.SeverityUnlocalized == "FATAL" {
-		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrUnknown, e.Message, e.Code)
+		return fmt.Errorf("upstream %s: %w: %s (%s)", r.conn.target.Member, ErrOutcomeUnknown, e.Message, e.Code)
 	}
-	r.result.Failed = true
-	if err := r.relay(e); err != nil {
+	r.result.HasError = true
+	if err := r.appendMessage(e); err != nil {
 		return err
 	}
 	if head.kind == KindQuery {
@@ -341,15 +348,15 @@
 	for len(r.expected) > 0 && r.expected[0].kind != KindSync {
 		r.expected = r.expected[1:]
 	}
-	r.conn.skipping = len(r.expected) == 0
+	r.conn.ignoringUntilSync = len(r.expected) == 0
 	return nil
 }
 
-func (r *reader) flush() error {
+func (r *responseReader) flush() error {
 	if err := r.emit(r.chunk); err != nil {
-		return fmt.Errorf("upstream %s: %w: the caller is gone: %w", r.conn.target.Member, ErrUnknown, err)
+		return fmt.Errorf("upstream %s: %w: the caller is gone: %w", r.conn.target.Member, ErrOutcomeUnknown, err)
 	}
 	r.result.Emitted = true
-	r.chunk = make([]byte, 0, chunkSize+chunkSize/4)
+	r.chunk = make([]byte, 0, minEmitSize+minEmitSize/4)
 	return nil
 }
