--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -143,12 +143,12 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	<-ctx.Done()
 	stop()
-	drain, cancel := context.WithTimeout(context.Background(), settings.DrainTime)
+	drainCtx, cancel := context.WithTimeout(context.Background(), settings.DrainTime)
 	defer cancel()
-	again, stopAgain := signal.NotifyContext(drain, syscall.SIGTERM, os.Interrupt)
-	defer stopAgain()
-	inst.Stop(again)
-	if errors.Is(drain.Err(), context.DeadlineExceeded) {
+	stopCtx, cancelStop := signal.NotifyContext(drainCtx, syscall.SIGTERM, os.Interrupt)
+	defer cancelStop()
+	inst.Stop(stopCtx)
+	if errors.Is(drainCtx.Err(), context.DeadlineExceeded) {
 		log.Warn("serve: the graceful stop reached its timeout")
 	}
 	return nil
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -44,7 +44,7 @@
 				return err
 			}
 			defer fleet.Close()
-			if _, err := fleet.AwaitOwner(demoStart); err != nil {
+			if _, err := fleet.AwaitOwner(demoStartTimeout); err != nil {
 				return err
 			}
 			if _, err := fmt.Fprintf(cmd.Root().Writer, demoText, base, base, base+1, base, cmd.String("operator")); err != nil {
@@ -62,8 +62,8 @@
 // be noticeable in an interactive session.
 const demoLag = 200 * time.Millisecond
 
-// demoStart is the timeout for the start of the demo, which takes a fraction of this time.
-const demoStart = 10 * time.Second
+// demoStartTimeout is the timeout for the start of the demo, which takes a fraction of this time.
+const demoStartTimeout = 10 * time.Second
 
 const demoText = `
 Three instances serve the database "roster" (a primary and two replicas). Try:
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -23,7 +23,7 @@
 	writer := logs.NewWriter(os.Stdout)
 	defer writer.Close()
 	log.SetOutput(writer)
-	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTime})
+	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeFormat})
 	if level, err := logrus.ParseLevel(settings.Fleet.LogLevel); err == nil {
 		log.SetLevel(level) // never fails: config.Load has validated the level
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// logTime is the time format of log lines: RFC 3339 with milliseconds.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat is the time format of log lines: RFC 3339 with milliseconds.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // reload reads the settings file again and applies its log level. The other settings affect
 // listeners and names, which stay fixed for the life of the process. Reloading reports
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -57,13 +57,13 @@
 	}
 }
 
-// client is an HTTP client of the operator API of an instance.
-type client struct {
+// apiClient is an HTTP client of the operator API of an instance.
+type apiClient struct {
 	base, token string
 }
 
-func newClient(cmd *cli.Command) *client {
-	return &client{base: strings.TrimSuffix(cmd.String(flagServer), "/"), token: cmd.String(flagToken)}
+func newAPIClient(cmd *cli.Command) *apiClient {
+	return &apiClient{base: strings.TrimSuffix(cmd.String(flagServer), "/"), token: cmd.String(flagToken)}
 }
 
 // problemError is an error response of the operator API.
@@ -83,7 +83,7 @@
 	return text
 }
 
-func (c *client) do(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+func (c *apiClient) do(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 	return nil, problem
 }
 
-func (c *client) call(ctx context.Context, method, path string, body []byte, into any) error {
+func (c *apiClient) call(ctx context.Context, method, path string, body []byte, into any) error {
 	resp, err := c.do(ctx, method, path, body)
 	if err != nil {
 		return err
@@ -139,12 +139,12 @@
 	}
 	var list []*resource.Resource
 	if name == "" {
-		if err := newClient(cmd).call(ctx, http.MethodGet, resourcePath(kind, ""), nil, &list); err != nil {
+		if err := newAPIClient(cmd).call(ctx, http.MethodGet, resourcePath(kind, ""), nil, &list); err != nil {
 			return err
 		}
 	} else {
 		var one resource.Resource
-		if err := newClient(cmd).call(ctx, http.MethodGet, resourcePath(kind, name), nil, &one); err != nil {
+		if err := newAPIClient(cmd).call(ctx, http.MethodGet, resourcePath(kind, name), nil, &one); err != nil {
 			return err
 		}
 		list = append(list, &one)
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	c := newClient(cmd)
+	c := newAPIClient(cmd)
 	path := resourcePath(string(document.Kind), document.Metadata.Name)
 	if document.Metadata.ResourceVersion == "" {
 		var current resource.Resource
@@ -235,7 +235,7 @@
 	if v := cmd.String("resource-version"); v != "" {
 		path += "?resourceVersion=" + url.QueryEscape(v)
 	}
-	return newClient(cmd).call(ctx, http.MethodDelete, path, nil, nil)
+	return newAPIClient(cmd).call(ctx, http.MethodDelete, path, nil, nil)
 }
 
 func runWatch(ctx context.Context, cmd *cli.Command) error {
@@ -248,7 +248,7 @@
 
 // follow prints the rollout progress of a resource until it is active on all live instances.
 func follow(ctx context.Context, cmd *cli.Command, path string) error {
-	resp, err := newClient(cmd).do(ctx, http.MethodGet, path+"/watch", nil)
+	resp, err := newAPIClient(cmd).do(ctx, http.MethodGet, path+"/watch", nil)
 	if err != nil {
 		return err
 	}
@@ -281,9 +281,9 @@
 	return err
 }
 
-// followEvery is the poll interval of timeline --follow. It is short enough for somebody
+// followInterval is the poll interval of timeline --follow. It is short enough for somebody
 // who watches the output.
-const followEvery = 500 * time.Millisecond
+const followInterval = 500 * time.Millisecond
 
 func runTimeline(ctx context.Context, cmd *cli.Command) error {
 	var since timeline.Stamp
@@ -292,34 +292,34 @@
 	}
 	for first := true; ; first = false {
 		path := "/v1/timeline?since=" + strconv.FormatUint(uint64(since), 10) + "&group=" + url.QueryEscape(cmd.String("group"))
-		var line operator.Timeline
-		if err := newClient(cmd).call(ctx, http.MethodGet, path, nil, &line); err != nil {
+		var result operator.Timeline
+		if err := newAPIClient(cmd).call(ctx, http.MethodGet, path, nil, &result); err != nil {
 			return err
 		}
-		if err := printTimeline(cmd, &line, first); err != nil {
+		if err := printTimeline(cmd, &result, first); err != nil {
 			return err
 		}
-		if n := len(line.Events); n > 0 {
-			since = line.Events[n-1].Clock
+		if n := len(result.Events); n > 0 {
+			since = result.Events[n-1].Clock
 		}
 		if !cmd.Bool("follow") {
 			return nil
 		}
 		select {
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-func printTimeline(cmd *cli.Command, line *operator.Timeline, first bool) error {
+func printTimeline(cmd *cli.Command, result *operator.Timeline, first bool) error {
 	out := cmd.Root().Writer
 	if cmd.String(flagOutput) == "json" {
-		return printJSON(out, line)
+		return printJSON(out, result)
 	}
 	if cmd.Bool("failovers") {
-		for _, f := range timeline.Failovers(line.Events) {
+		for _, f := range timeline.Failovers(result.Events) {
 			fmt.Fprint(out, f.Report())
 		}
 		return nil
@@ -327,11 +327,11 @@
 	if first {
 		fmt.Fprintf(out, "%-24s %-12s %-12s %-10s %-14s %4s  %s\n", "TIME", "INSTANCE", "GROUP", "MEMBER", "KIND", "TERM", "EVENT")
 	}
-	for _, e := range line.Events {
+	for _, e := range result.Events {
 		fmt.Fprintf(out, "%-24s %-12s %-12s %-10s %-14s %4d  %s\n",
 			e.Clock.Time().Format("2006-01-02T15:04:05.000Z"), e.Instance, e.Group, e.Member, e.Kind, e.Term, e.Text)
 	}
-	for _, name := range line.Missing {
+	for _, name := range result.Missing {
 		fmt.Fprintf(out, "(%s did not answer)\n", name)
 	}
 	return nil
@@ -344,7 +344,7 @@
 	q.Set("session", cmd.String("session"))
 	q.Set("sql", cmd.Args().First())
 	var e operator.Explanation
-	if err := newClient(cmd).call(ctx, http.MethodGet, "/v1/explain?"+q.Encode(), nil, &e); err != nil {
+	if err := newAPIClient(cmd).call(ctx, http.MethodGet, "/v1/explain?"+q.Encode(), nil, &e); err != nil {
 		return err
 	}
 	return printJSON(cmd.Root().Writer, &e)
--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -13,13 +13,13 @@
 	"github.com/stackspindle/stackspindle/internal/standin/soak"
 )
 
-// shownFindings is the maximum number of findings printed per seed, because one cause may
+// maxShownFindings is the maximum number of findings printed per seed, because one cause may
 // produce hundreds.
-const shownFindings = 10
+const maxShownFindings = 10
 
-// plannedEvery selects the seeds that run with planned operations only, such as stops and reloads:
+// plannedSeedInterval selects the seeds that run with planned operations only, such as stops and reloads:
 // the multiples of it.
-const plannedEvery = 5
+const plannedSeedInterval = 5
 
 func soakCommand() *cli.Command {
 	return &cli.Command{
@@ -84,7 +84,7 @@
 	}
 	return soak.Run(ctx, soak.Options{
 		Binary: binary, Dir: folder, Seed: seed, Faults: cmd.Duration("faults"),
-		Instances: cmd.Int("instances"), Callers: cmd.Int("callers"), Planned: seed%plannedEvery == 0,
+		Instances: cmd.Int("instances"), Callers: cmd.Int("callers"), Planned: seed%plannedSeedInterval == 0,
 	})
 }
 
@@ -94,7 +94,7 @@
 	if err != nil {
 		_, _ = fmt.Fprintf(out, "  could not be run: %v\n", err)
 	}
-	for _, finding := range report.Findings[:min(shownFindings, len(report.Findings))] {
+	for _, finding := range report.Findings[:min(maxShownFindings, len(report.Findings))] {
 		_, _ = fmt.Fprintf(out, "  %s\n", finding)
 	}
 	if len(report.Findings) > 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -149,25 +149,25 @@
 // error, if any, is a findings.List.
 func Parse(name string, raw []byte) (*Settings, error) {
 	s := Defaults()
-	p := &parser{file: name, lines: locate(string(raw))}
+	p := &parser{file: name, lines: keyLines(string(raw))}
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true, AllowShadows: true}, raw)
 	if err != nil {
 		p.list.Add(name, "%s", err.Error())
 		return nil, p.list.Err()
 	}
-	keys := table(s)
+	keys := setters(s)
 	for _, section := range file.Sections() {
-		p.section(s, section, keys)
+		p.parseSection(s, section, keys)
 	}
-	p.complete(s)
+	p.checkComplete(s)
 	if err := p.list.Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// place identifies a key of the file.
-type place struct {
+// keyRef identifies a key of the file.
+type keyRef struct {
 	section, key string
 }
 
@@ -176,137 +176,137 @@
 
 type parser struct {
 	file  string
-	lines map[place]int
+	lines map[keyRef]int
 	list  findings.List
 }
 
-// at formats the location of a key for a finding, with its line if the file has the key.
-func (p *parser) at(pl place) string {
-	line := p.lines[pl]
+// location formats the location of a key for a finding, with its line if the file has the key.
+func (p *parser) location(ref keyRef) string {
+	line := p.lines[ref]
 	if line == 0 {
-		return fmt.Sprintf("%s: [%s] %s", p.file, pl.section, pl.key)
+		return fmt.Sprintf("%s: [%s] %s", p.file, ref.section, ref.key)
 	}
-	return fmt.Sprintf("%s:%d: [%s] %s", p.file, line, pl.section, pl.key)
+	return fmt.Sprintf("%s:%d: [%s] %s", p.file, line, ref.section, ref.key)
 }
 
-func (p *parser) section(s *Settings, section *ini.Section, keys map[place]setter) {
+func (p *parser) parseSection(s *Settings, section *ini.Section, keys map[keyRef]setter) {
 	for _, key := range section.Keys() {
-		pl := place{section: section.Name(), key: key.Name()}
+		ref := keyRef{section: section.Name(), key: key.Name()}
 		if values := key.ValueWithShadows(); len(values) > 1 {
-			p.list.Add(p.at(pl), "stands %d times", len(values))
+			p.list.Add(p.location(ref), "stands %d times", len(values))
 			continue
 		}
-		if pl.section == credentialSection {
-			s.Credentials[pl.key] = key.Value()
+		if ref.section == credentialSection {
+			s.Credentials[ref.key] = key.Value()
 			continue
 		}
-		if pl.section == regionSection {
-			p.region(s, pl, key.Value())
+		if ref.section == regionSection {
+			p.addRegion(s, ref, key.Value())
 			continue
 		}
-		set, ok := keys[pl]
+		set, ok := keys[ref]
 		if !ok {
-			p.list.Add(p.at(pl), "unknown key")
+			p.list.Add(p.location(ref), "unknown key")
 			continue
 		}
 		if err := set(key.Value()); err != nil {
-			p.list.Add(p.at(pl), "%s", err.Error())
+			p.list.Add(p.location(ref), "%s", err.Error())
 		}
 	}
 }
 
-// region adds the region of a data centre.
-func (p *parser) region(s *Settings, pl place, region string) {
+// addRegion adds the region of a data centre.
+func (p *parser) addRegion(s *Settings, ref keyRef, region string) {
 	var checked string
 	if err := name(&checked)(region); err != nil {
-		p.list.Add(p.at(pl), "%s", err.Error())
+		p.list.Add(p.location(ref), "%s", err.Error())
 	}
-	s.Regions[pl.key] = region // also an invalid one, so that it is not reported as missing as well
+	s.Regions[ref.key] = region // also an invalid one, so that it is not reported as missing as well
 }
 
-// regions checks that the instance's data centre has a region, and that the region set
+// checkRegions checks that the instance's data centre has a region, and that the region set
 // in [instance], if any, is the same.
-func (p *parser) regions(s *Settings) {
+func (p *parser) checkRegions(s *Settings) {
 	known := slices.Collect(maps.Values(s.Regions))
 	own, ok := s.Regions[s.DataCentre]
 	switch {
 	case len(s.Regions) > 0 && !ok:
-		p.list.Add(p.at(place{"instance", "data_centre"}), "%q has no region in [%s]", s.DataCentre, regionSection)
+		p.list.Add(p.location(keyRef{"instance", "data_centre"}), "%q has no region in [%s]", s.DataCentre, regionSection)
 	case s.Region == "":
 	case !slices.Contains(known, s.Region):
-		p.list.Add(p.at(place{"instance", "region"}), "%q is not a region of [%s]", s.Region, regionSection)
+		p.list.Add(p.location(keyRef{"instance", "region"}), "%q is not a region of [%s]", s.Region, regionSection)
 	case s.Region != own:
-		p.list.Add(p.at(place{"instance", "region"}), "%q is not the region of data centre %q, which is %q", s.Region, s.DataCentre, own)
+		p.list.Add(p.location(keyRef{"instance", "region"}), "%q is not the region of data centre %q, which is %q", s.Region, s.DataCentre, own)
 	}
 	s.Region = cmp.Or(s.Region, own)
 }
 
-// leastStoreSilence leaves enough time for a watch request and its round trip on a
+// minStoreTimeout is the minimum of store_silence. It leaves enough time for a watch request and its round trip on a
 // healthy network.
-const leastStoreSilence = time.Second
+const minStoreTimeout = time.Second
 
 // requirement is a mandatory key with its current value.
 type requirement struct {
-	pl    place
+	ref   keyRef
 	value string
 }
 
-// complete checks mandatory keys and constraints between keys, and fills in defaults
+// checkComplete checks mandatory keys and constraints between keys, and fills in defaults
 // that depend on other keys.
-func (p *parser) complete(s *Settings) {
+func (p *parser) checkComplete(s *Settings) {
 	required := []requirement{
-		{place{"instance", "name"}, s.Name},
-		{place{"caller", "listen"}, s.CallerListen},
-		{place{"peer", "listen"}, s.PeerListen},
+		{keyRef{"instance", "name"}, s.Name},
+		{keyRef{"caller", "listen"}, s.CallerListen},
+		{keyRef{"peer", "listen"}, s.PeerListen},
 	}
 	if s.Fleet.Store != "" {
 		required = append(required,
-			requirement{place{"fleet", "promoter"}, s.Fleet.Promoter},
-			requirement{place{"fleet", "ready"}, s.Fleet.Ready})
+			requirement{keyRef{"fleet", "promoter"}, s.Fleet.Promoter},
+			requirement{keyRef{"fleet", "ready"}, s.Fleet.Ready})
 	} else {
 		required = append(required,
-			requirement{place{"operator", "listen"}, s.OperatorListen},
-			requirement{place{"platform", "endpoint"}, s.PlatformEndpoint})
+			requirement{keyRef{"operator", "listen"}, s.OperatorListen},
+			requirement{keyRef{"platform", "endpoint"}, s.PlatformEndpoint})
 	}
 	for _, required := range required {
-		if required.value == "" && p.lines[required.pl] == 0 {
-			p.list.Add(p.at(required.pl), "must be set")
+		if required.value == "" && p.lines[required.ref] == 0 {
+			p.list.Add(p.location(required.ref), "must be set")
 		}
 	}
 	if s.PeerAddress == "" {
 		s.PeerAddress = s.PeerListen
 	}
-	if s.Fleet.StoreSilence < leastStoreSilence {
-		p.list.Add(p.at(place{"fleet", "store_silence"}), "must be at least %s", leastStoreSilence)
+	if s.Fleet.StoreSilence < minStoreTimeout {
+		p.list.Add(p.location(keyRef{"fleet", "store_silence"}), "must be at least %s", minStoreTimeout)
 	}
-	p.regions(s)
-	p.pair("caller", s.CallerTLS)
-	p.pair("peer", s.PeerTLS)
-	p.pair("operator", s.OperatorTLS)
+	p.checkRegions(s)
+	p.checkKeyPair("caller", s.CallerTLS)
+	p.checkKeyPair("peer", s.PeerTLS)
+	p.checkKeyPair("operator", s.OperatorTLS)
 	f := s.Failover
 	if f.Lease < 2*f.Heartbeat {
-		p.list.Add(p.at(place{"failover", "lease"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
+		p.list.Add(p.location(keyRef{"failover", "lease"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
 	if f.Silence < 2*f.Heartbeat {
-		p.list.Add(p.at(place{"failover", "silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
+		p.list.Add(p.location(keyRef{"failover", "silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
 	if f.OwnerSilence < 2*f.Heartbeat {
-		p.list.Add(p.at(place{"failover", "owner_silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
+		p.list.Add(p.location(keyRef{"failover", "owner_silence"}), "must be at least twice the heartbeat of %s", f.Heartbeat)
 	}
 }
 
-func (p *parser) pair(section string, k KeyPair) {
+func (p *parser) checkKeyPair(section string, k KeyPair) {
 	if (k.Certificate == "") != (k.Key == "") {
-		p.list.Add(p.at(place{section, "tls_key"}), "tls_certificate and tls_key must be set together")
+		p.list.Add(p.location(keyRef{section, "tls_key"}), "tls_certificate and tls_key must be set together")
 	}
 	if k.Authority != "" && k.Certificate == "" {
-		p.list.Add(p.at(place{section, "tls_authority"}), "needs tls_certificate and tls_key")
+		p.list.Add(p.location(keyRef{section, "tls_authority"}), "needs tls_certificate and tls_key")
 	}
 }
 
-// locate returns the line number of each key, which the INI library does not report.
-func locate(text string) map[place]int {
-	lines := make(map[place]int)
+// keyLines returns the line number of each key, which the INI library does not report.
+func keyLines(text string) map[keyRef]int {
+	lines := make(map[keyRef]int)
 	section := ini.DefaultSection
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -315,15 +315,15 @@
 			continue
 		}
 		if name, _, ok := strings.Cut(line, "="); ok && !strings.HasPrefix(line, "#") && !strings.HasPrefix(line, ";") {
-			lines[place{section, strings.TrimSpace(name)}] = i + 1
+			lines[keyRef{section, strings.TrimSpace(name)}] = i + 1
 		}
 	}
 	return lines
 }
 
-// table maps every key to the setter of its field in s.
-func table(s *Settings) map[place]setter {
-	return map[place]setter{
+// setters maps every key to the setter of its field in s.
+func setters(s *Settings) map[keyRef]setter {
+	return map[keyRef]setter{
 		{"instance", "name"}:                   name(&s.Name),
 		{"instance", "data_centre"}:            name(&s.DataCentre),
 		{"instance", "region"}:                 name(&s.Region),
@@ -374,8 +374,8 @@
 		{"fleet", "log_level"}:                 logLevel(&s.Fleet.LogLevel),
 		{"fleet", "first_start"}:               boolean(&s.Fleet.FirstStart),
 		{"limits", "window"}:                   duration(&s.Fleet.Limits.Window),
-		{"limits", "tolerance"}:                amount(&s.Fleet.Limits.Tolerance),
-		{"limits", "slack"}:                    amount(&s.Fleet.Limits.Slack),
+		{"limits", "tolerance"}:                nonNegative(&s.Fleet.Limits.Tolerance),
+		{"limits", "slack"}:                    nonNegative(&s.Fleet.Limits.Slack),
 	}
 }
 
@@ -452,7 +452,7 @@
 // maxAmount is the upper bound of settings that accept fractions.
 const maxAmount = 1e6
 
-func amount(target *float64) setter {
+func nonNegative(target *float64) setter {
 	return func(value string) error {
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(n >= 0 && n <= maxAmount) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/stackspindle/stackspindle/internal/findings"
 )
 
-func TestAllFindingsWithTheirPlaces(t *testing.T) {
+func TestAllFindingsWithLocations(t *testing.T) {
 	_, err := Parse("x.ini", []byte(strings.Join([]string{
 		"[instance]",              // 1
 		"name = a b",              // 2
@@ -55,7 +55,7 @@
 }
 
 // Each invalid region setting is reported with its file, line, section and key.
-func TestFindingsOfRegions(t *testing.T) {
+func TestRegionFindings(t *testing.T) {
 	head := "[caller]\nlisten = 127.0.0.1:1\n[peer]\nlisten = 127.0.0.1:2\n[fleet]\nstore = 127.0.0.1:3\npromoter = 127.0.0.1:4\nready = 127.0.0.1:5\n"
 	for name, c := range map[string]struct {
 		text string
@@ -83,7 +83,7 @@
 
 // A capacity of 0, and one that is out of range, is reported with its file, line,
 // section and key.
-func TestFindingsOfCapacity(t *testing.T) {
+func TestCapacityFindings(t *testing.T) {
 	for _, wrong := range []string{
 		"cpu_share = 0", "cpu_share = -1", "cpu_share = NaN", "cpu_share = 5000", "cpu_speed = 0", "cpu_speed = 1e9", "memory_mb = 0", "memory_mb = 1e3",
 		"link_mbps = 0", "link_mbps = Inf", "link_mbps = much", "descriptors = 0", "descriptors = 9999999999",
--- a/internal/etcd/client.go
+++ b/internal/etcd/client.go
@@ -61,24 +61,24 @@
 // Calls returns the number of requests sent. A watch counts as one.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// number is an int64, which the gateway encodes as a JSON string.
-type number int64
+// jsonInt64 is an int64, which the gateway encodes as a JSON string.
+type jsonInt64 int64
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (n *number) UnmarshalJSON(raw []byte) error {
+func (n *jsonInt64) UnmarshalJSON(raw []byte) error {
 	parsed, err := strconv.ParseInt(strings.Trim(string(raw), `"`), 10, 64)
-	*n = number(parsed)
+	*n = jsonInt64(parsed)
 	return err
 }
 
 type header struct {
-	Revision number `json:"revision"`
+	Revision jsonInt64 `json:"revision"`
 }
 
 type keyValue struct {
-	Key         []byte `json:"key"`
-	Value       []byte `json:"value"`
-	ModRevision number `json:"mod_revision"`
+	Key         []byte    `json:"key"`
+	Value       []byte    `json:"value"`
+	ModRevision jsonInt64 `json:"mod_revision"`
 }
 
 type rangeRequest struct {
@@ -134,9 +134,9 @@
 
 type watchMessage struct {
 	Result struct {
-		Header          header `json:"header"`
-		Canceled        bool   `json:"canceled"`
-		CompactRevision number `json:"compact_revision"`
+		Header          header    `json:"header"`
+		Canceled        bool      `json:"canceled"`
+		CompactRevision jsonInt64 `json:"compact_revision"`
 		Events          []struct {
 			Type string   `json:"type"`
 			KV   keyValue `json:"kv"`
@@ -188,14 +188,14 @@
 	return end
 }
 
-func (c *Client) key(k rollout.Key) string {
+func (c *Client) encodeKey(k rollout.Key) string {
 	if k.Kind == KindInstances {
 		return c.prefix + "instances/" + k.Name
 	}
 	return c.prefix + "resources/" + k.Kind + "/" + k.Name
 }
 
-// parseKey is the inverse of key.
+// parseKey is the inverse of encodeKey.
 func (c *Client) parseKey(raw string) (rollout.Key, bool) {
 	rest, ok := strings.CutPrefix(raw, c.prefix)
 	if !ok {
@@ -212,8 +212,8 @@
 	return rollout.Key{Kind: kind, Name: name}, ok
 }
 
-// entry decodes a key-value pair. An empty value is the tombstone of a resource.
-func (c *Client) entry(kv keyValue) (rollout.Entry, bool) {
+// decodeEntry decodes a key-value pair. An empty value is the tombstone of a resource.
+func (c *Client) decodeEntry(kv keyValue) (rollout.Entry, bool) {
 	key, ok := c.parseKey(string(kv.Key))
 	if !ok {
 		return rollout.Entry{}, false
@@ -242,7 +242,7 @@
 	}
 	content := Content{StoreRevision: int64(resp.Header.Revision)}
 	for _, kv := range resp.KVs {
-		if e, ok := c.entry(kv); ok {
+		if e, ok := c.decodeEntry(kv); ok {
 			content.Entries = append(content.Entries, e)
 			content.Revision = max(content.Revision, e.Revision)
 		}
@@ -274,7 +274,7 @@
 		}
 		var entries []rollout.Entry
 		for _, ev := range msg.Result.Events {
-			if e, ok := c.entry(ev.KV); ok {
+			if e, ok := c.decodeEntry(ev.KV); ok {
 				e.Deleted = e.Deleted || ev.Type == "DELETE"
 				entries = append(entries, e)
 			}
@@ -285,37 +285,37 @@
 	}
 }
 
-// settleTries is the maximum number of attempts to write and to learn the outcome.
-const settleTries = 5
+// maxPutAttempts is the maximum number of attempts to write and to learn the outcome.
+const maxPutAttempts = 5
 
 // Put writes a resource with a compare-and-swap on its stored revision; expected 0 means
 // that it must not exist. It returns the new revision. If the answer to a write is lost,
 // the write is sent again. If the first attempt did take effect, the compare fails, and
-// settled decides from the stored document whether it is the one of this write.
-func (c *Client) Put(ctx context.Context, key rollout.Key, document string, expected int64, settled func(document string) bool) (int64, error) {
-	var last error
-	for try := range settleTries {
+// isOwnWrite decides from the stored document whether it is the one of this write.
+func (c *Client) Put(ctx context.Context, key rollout.Key, document string, expected int64, isOwnWrite func(document string) bool) (int64, error) {
+	var lastErr error
+	for attempt := range maxPutAttempts {
 		revision, current, err := c.compareAndSwap(ctx, key, document, expected)
 		switch {
 		case err == nil && current == nil:
 			return revision, nil
-		case err == nil && settled(current.Document):
+		case err == nil && isOwnWrite(current.Document):
 			return current.Revision, nil
 		case err == nil:
 			return 0, &ConflictError{Current: *current}
 		}
-		last = err
-		if !pause(ctx, time.Duration(try+1)*settleDelay) {
+		lastErr = err
+		if !sleep(ctx, time.Duration(attempt+1)*putRetryDelay) {
 			break
 		}
 	}
-	return 0, fmt.Errorf("%w: %w", ErrUnsettled, last)
+	return 0, fmt.Errorf("%w: %w", ErrUnsettled, lastErr)
 }
 
-// settleDelay is the delay after the first attempt. It grows linearly with each attempt.
-const settleDelay = 50 * time.Millisecond
+// putRetryDelay is the delay after the first attempt. It grows linearly with each attempt.
+const putRetryDelay = 50 * time.Millisecond
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -328,7 +328,7 @@
 
 // compareAndSwap returns the new revision, or the stored entry if the compare failed.
 func (c *Client) compareAndSwap(ctx context.Context, key rollout.Key, document string, expected int64) (int64, *rollout.Entry, error) {
-	raw := []byte(c.key(key))
+	raw := []byte(c.encodeKey(key))
 	req := txnRequest{
 		Compare: []compare{{Key: raw, Target: "MOD", Result: "EQUAL", ModRevision: expected}},
 		Success: []requestOp{{RequestPut: &putRequest{Key: raw, Value: []byte(document)}}},
@@ -347,7 +347,7 @@
 			continue
 		}
 		for _, kv := range r.ResponseRange.KVs {
-			if e, ok := c.entry(kv); ok {
+			if e, ok := c.decodeEntry(kv); ok {
 				current = &e
 			}
 		}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -37,13 +37,13 @@
 }
 
 // Read parses a log. Lines that are not log lines of an instance are skipped and counted.
-func Read(r io.Reader) (lines []Line, foreign int, err error) {
+func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Text())
 		if !ok {
-			foreign++
+			skipped++
 			continue
 		}
 		lines = append(lines, line)
@@ -51,7 +51,7 @@
 	if err := scanner.Err(); err != nil {
 		return nil, 0, fmt.Errorf("log: %w", err)
 	}
-	return lines, foreign, nil
+	return lines, skipped, nil
 }
 
 func parse(text string) (Line, bool) {
@@ -64,24 +64,24 @@
 		return Line{}, false
 	}
 	line := Line{Fields: fields}
-	take := func(name string) string {
+	popString := func(name string) string {
 		value, _ := fields[name].(string)
 		delete(fields, name)
 		return value
 	}
-	line.Instance, line.Part, line.Message = take("instance"), take("part"), take("msg")
-	line.Request, line.Group = take("request"), take("group")
-	line.Requests = strings.Fields(take("requests"))
+	line.Instance, line.Part, line.Message = popString("instance"), popString("part"), popString("msg")
+	line.Request, line.Group = popString("request"), popString("group")
+	line.Requests = strings.Fields(popString("requests"))
 	delete(fields, "level")
 	var err error
-	if line.Time, err = time.Parse(time.RFC3339, take("time")); err != nil || line.Message == "" {
+	if line.Time, err = time.Parse(time.RFC3339, popString("time")); err != nil || line.Message == "" {
 		return Line{}, false
 	}
 	return line, true
 }
 
-// names reports whether a line is about the request with the given id.
-func (l Line) names(request string) bool {
+// isAbout reports whether a line is about the request with the given id.
+func (l Line) isAbout(request string) bool {
 	return l.Request == request || slices.Contains(l.Requests, request)
 }
 
@@ -96,7 +96,7 @@
 func Explain(lines []Line, request string) Explanation {
 	var e Explanation
 	for _, l := range lines {
-		if l.names(request) {
+		if l.isAbout(request) {
 			e.Request = append(e.Request, l)
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 	from, until := e.Request[0].Time.Add(-Before), e.Request[len(e.Request)-1].Time.Add(After)
 	for _, l := range lines {
-		if l.Request == "" && len(l.Requests) == 0 && l.Time.After(from) && l.Time.Before(until) && e.concerns(l) {
+		if l.Request == "" && len(l.Requests) == 0 && l.Time.After(from) && l.Time.Before(until) && e.isRelated(l) {
 			e.Group = append(e.Group, l)
 		}
 	}
@@ -115,9 +115,9 @@
 	return e
 }
 
-// concerns reports whether a line is about the request's group or, if it names no group,
+// isRelated reports whether a line is about the request's group or, if it names no group,
 // comes from the request's instance.
-func (e Explanation) concerns(l Line) bool {
+func (e Explanation) isRelated(l Line) bool {
 	for _, r := range e.Request {
 		if l.Group != "" && l.Group == r.Group || l.Group == "" && l.Instance == r.Instance {
 			return true
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,9 +19,9 @@
 `
 
 func TestExplain(t *testing.T) {
-	lines, foreign, err := Read(strings.NewReader(log))
+	lines, skipped, err := Read(strings.NewReader(log))
 	must.NoError(t, err)
-	must.Eq(t, 1, foreign)
+	must.Eq(t, 1, skipped)
 	e := Explain(lines, "x1")
 	must.Len(t, 1, e.Request)
 	must.Len(t, 2, e.Group)
--- a/internal/instance/backend.go
+++ b/internal/instance/backend.go
@@ -36,7 +36,7 @@
 
 // Probe implements peer.Backend.
 func (i *Instance) Probe(req *peerpb.ProbeRequest) *peerpb.ProbeReply {
-	i.holdForTest(owner.StepControl)
+	i.injectFault(owner.StepControl)
 	i.metrics.peerMessages.Inc()
 	i.hlc.Observe(timeline.Stamp(req.Clock))
 	i.post(func(c *control) {
@@ -104,7 +104,7 @@
 
 // Announce implements peer.Backend.
 func (i *Instance) Announce(req *peerpb.AnnounceRequest) *peerpb.AnnounceReply {
-	i.holdForTest(owner.StepControl)
+	i.injectFault(owner.StepControl)
 	i.metrics.peerMessages.Inc()
 	i.hlc.Observe(timeline.Stamp(req.Clock))
 	for _, st := range req.Groups {
@@ -113,8 +113,8 @@
 	i.post(func(c *control) {
 		c.members.Heard(i.now(), req.From, req.Leaving)
 		for _, st := range req.Groups {
-			if w := c.watches[st.Group]; w != nil {
-				delete(w.idle, req.From)
+			if w := c.ownerWatches[st.Group]; w != nil {
+				delete(w.idleSince, req.From)
 			}
 		}
 	})
@@ -124,7 +124,7 @@
 // handOverAll hands every group that this instance serves to the first instance of the
 // group's ranking, and waits until all hand-overs have ended.
 func (i *Instance) handOverAll(ctx context.Context) {
-	i.do(func(c *control) { c.publishFleet(true) })
+	i.runOnControl(func(c *control) { c.publishFleet(true) })
 	rankings := i.fleet.Load().rankings
 	done := make(chan struct{})
 	groups := *i.groups.Load()
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	if _, err := p.HandOver(ctx, req); err != nil {
-		i.prefixed("owner").WithError(err).Warn("owner: hand-over request to the successor failed")
+		i.loggerFor("owner").WithError(err).Warn("owner: hand-over request to the successor failed")
 	}
 }
 
@@ -184,7 +184,7 @@
 		h.Floors[f.Session] = position(f.Floor)
 	}
 	accepted := false
-	ran := i.do(func(c *control) {
+	ran := i.runOnControl(func(c *control) {
 		g := c.groups[req.Group]
 		if d := i.catalogue.Load().databases[req.Group]; g == nil && d != nil {
 			c.startGroup(groupSpec(req.Group, d, i.settings.Credentials))
@@ -226,7 +226,7 @@
 
 // Cancel implements peer.Backend.
 func (i *Instance) Cancel(req *peerpb.CancelRequest) {
-	i.callers.Cancel(req.ProcessId, req.Secret)
+	i.clientServer.Cancel(req.ProcessId, req.Secret)
 }
 
 // forwardCancel forwards a cancel request to all instances whose name hashes to the tag.
@@ -248,11 +248,11 @@
 // Exchange implements peer.Backend. It applies the changes that the requester pushes, or
 // returns the entries that the requester does not have.
 func (i *Instance) Exchange(req *peerpb.ExchangeRequest) *peerpb.ExchangeReply {
-	i.holdForTest(owner.StepControl)
+	i.injectFault(owner.StepControl)
 	i.metrics.peerMessages.Inc()
 	if len(req.Changes) > 0 {
 		entries := entriesOf(req.Changes)
-		i.post(func(c *control) { c.takePush(req, entries) })
+		i.post(func(c *control) { c.applyPush(req, entries) })
 	}
 	snapshot := i.catalogue.Load().snapshot
 	reply := &peerpb.ExchangeReply{Revision: snapshot.Revision(), Digest: snapshot.Digest()}
@@ -265,10 +265,10 @@
 	return reply
 }
 
-// takePush applies pushed changes. A snapshot is complete up to its revision. If the
+// applyPush applies pushed changes. A snapshot is complete up to its revision. If the
 // changes start after the revision of the local snapshot, merging them would leave a gap,
 // so the missing entries are fetched from the sender instead.
-func (c *control) takePush(req *peerpb.ExchangeRequest, entries []rollout.Entry) {
+func (c *control) applyPush(req *peerpb.ExchangeRequest, entries []rollout.Entry) {
 	current := c.inst.catalogue.Load().snapshot
 	if current.Revision() < req.BaseRevision {
 		c.fetch(req.From)
@@ -304,12 +304,12 @@
 	i := c.inst
 	snapshot := i.catalogue.Load().snapshot
 	req := &peerpb.ExchangeRequest{From: i.settings.Name, Revision: snapshot.Revision(), Digest: snapshot.Digest()}
-	req.WantFull = c.fetched[name] == snapshot.Revision()
-	c.fetched[name] = snapshot.Revision()
+	req.WantFull = c.fetchedAtRevision[name] == snapshot.Revision()
+	c.fetchedAtRevision[name] = snapshot.Revision()
 	i.spawn(func() {
 		reply, err := i.exchange(name, req)
 		i.post(func(c *control) {
-			delete(c.newer, name)
+			delete(c.fetching, name)
 			if err == nil {
 				c.setSnapshot(i.catalogue.Load().snapshot.Merge(reply.Revision, entriesOf(reply.Resources)))
 			}
@@ -357,7 +357,7 @@
 
 func (i *Instance) setCatalogue(s *rollout.Snapshot) {
 	i.catalogue.Store(newCatalogue(s, i.credentials, func(key, problem string) {
-		i.prefixed("config").WithField("resource", key).Warn("config: ignoring a resource that cannot be decoded: " + problem)
+		i.loggerFor("config").WithField("resource", key).Warn("config: ignoring a resource that cannot be decoded: " + problem)
 	}))
 }
 
--- a/internal/instance/catalogue.go
+++ b/internal/instance/catalogue.go
@@ -20,30 +20,30 @@
 // catalogue is the decoded form of the active configuration, indexed for lookups by
 // client connections. It is immutable.
 type catalogue struct {
-	snapshot  *rollout.Snapshot
-	databases map[string]*resource.DatabaseSpec
-	services  map[string]*resource.ServiceSpec
-	instances []membership.Instance
-	byPair    map[pair]*caller.Service
+	snapshot                *rollout.Snapshot
+	databases               map[string]*resource.DatabaseSpec
+	services                map[string]*resource.ServiceSpec
+	instances               []membership.Instance
+	accessByServiceDatabase map[serviceDatabase]*caller.Service
 }
 
-type pair struct{ service, database string }
+type serviceDatabase struct{ service, database string }
 
 // newCatalogue decodes a snapshot. Entries that cannot be decoded were written by a
 // newer version of the software. They are ignored and reported.
 func newCatalogue(s *rollout.Snapshot, credentials map[string]*scram.StoredCredentials, report func(key, problem string)) *catalogue {
 	c := &catalogue{
-		snapshot:  s,
-		databases: make(map[string]*resource.DatabaseSpec),
-		services:  make(map[string]*resource.ServiceSpec),
-		byPair:    make(map[pair]*caller.Service),
+		snapshot:                s,
+		databases:               make(map[string]*resource.DatabaseSpec),
+		services:                make(map[string]*resource.ServiceSpec),
+		accessByServiceDatabase: make(map[serviceDatabase]*caller.Service),
 	}
 	for _, entry := range s.Entries() {
 		if entry.Deleted {
 			continue
 		}
 		if entry.Key.Kind == etcd.KindInstances {
-			c.addListed(entry, report)
+			c.addPlatformInstance(entry, report)
 			continue
 		}
 		var r resource.Resource
@@ -56,15 +56,15 @@
 	for name, s := range c.services {
 		for _, database := range s.Databases {
 			if c.databases[database] != nil {
-				c.byPair[pair{name, database}] = callerService(name, s, database, credentials[s.Credential])
+				c.accessByServiceDatabase[serviceDatabase{name, database}] = callerService(name, s, database, credentials[s.Credential])
 			}
 		}
 	}
 	return c
 }
 
-// addListed adds an entry of the list of instances that the platform maintains.
-func (c *catalogue) addListed(entry rollout.Entry, report func(key, problem string)) {
+// addPlatformInstance adds an entry of the list of instances that the platform maintains.
+func (c *catalogue) addPlatformInstance(entry rollout.Entry, report func(key, problem string)) {
 	var spec resource.InstanceSpec
 	if err := json.Unmarshal([]byte(entry.Document), &spec); err != nil {
 		report(entry.Key.String(), err.Error())
@@ -113,7 +113,7 @@
 	if c.snapshot.Revision() == 0 {
 		return nil, caller.ErrNoConfig
 	}
-	if s := c.byPair[pair{name, database}]; s != nil {
+	if s := c.accessByServiceDatabase[serviceDatabase{name, database}]; s != nil {
 		return s, nil
 	}
 	if c.services[name] == nil {
@@ -157,9 +157,9 @@
 	return names
 }
 
-// sameButLeaving reports whether two specs are equal except for the Leaving flags of
+// equalExceptLeaving reports whether two specs are equal except for the Leaving flags of
 // members. A running group can apply these without a restart.
-func sameButLeaving(a, b owner.Spec) bool {
+func equalExceptLeaving(a, b owner.Spec) bool {
 	strip := func(s owner.Spec) owner.Spec {
 		s.Members = slices.Clone(s.Members)
 		for i := range s.Members {
--- a/internal/instance/catalogue_test.go
+++ b/internal/instance/catalogue_test.go
@@ -27,10 +27,10 @@
 	return rollout.Empty().Merge(0, entries)
 }
 
-func TestCatalogueFindsWhatIsDeclared(t *testing.T) {
+func TestServiceLookup(t *testing.T) {
 	i := &Instance{}
-	var left []string
-	report := func(key, _ string) { left = append(left, key) }
+	var ignored []string
+	report := func(key, _ string) { ignored = append(ignored, key) }
 	i.catalogue.Store(newCatalogue(rollout.Empty(), nil, report))
 	_, err := i.Service("s1", "roster")
 	must.ErrorIs(t, err, caller.ErrNoConfig)
@@ -43,7 +43,7 @@
 	must.ErrorIs(t, err, caller.ErrNoDatabase)
 	_, err = i.Service("s9", "roster")
 	must.ErrorIs(t, err, caller.ErrNoService)
-	must.Eq(t, []string{"Service/newer"}, left)
+	must.Eq(t, []string{"Service/newer"}, ignored)
 }
 
 // BenchmarkCatalogue measures the decoding of a snapshot, which every configuration
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -19,61 +19,61 @@
 
 // Settings of the control goroutine.
 const (
-	controlTick    = 50 * time.Millisecond
-	probeCandidate = 200 * time.Millisecond // probe interval for owners of groups that this instance may take over
-	probeNeighbour = time.Second            // probe interval for neighbours
-	claimStagger   = 150 * time.Millisecond // delay between the claims of one candidate and the next in the ranking
-	claimSpacing   = 100 * time.Millisecond // minimum interval between two claims of one group
-	candidates     = 3                      // number of instances that monitor the owner of a group
-	moveDelay      = 5 * time.Second        // how long an owner must not be the first choice before it hands over
+	controlTick            = 50 * time.Millisecond
+	candidateProbeInterval = 200 * time.Millisecond // probe interval for owners of groups that this instance may take over
+	neighbourProbeInterval = time.Second            // probe interval for neighbours
+	claimStagger           = 150 * time.Millisecond // delay between the claims of one candidate and the next in the ranking
+	claimInterval          = 100 * time.Millisecond // minimum interval between two claims of one group
+	candidates             = 3                      // number of instances that monitor the owner of a group
+	moveDelay              = 5 * time.Second        // how long an owner must not be the first choice before it hands over
 )
 
 // control is the control state. Only the control goroutine accesses it.
 type control struct {
-	inst     *Instance
-	members  *membership.State
-	list     []membership.Instance // instances listed by the platform; initially the seeds
-	probes   map[string]*probe
-	watches  map[string]*watch
-	serving  map[string]uint64 // terms of the groups that were announced as served here
-	groups   map[string]*owner.Group
-	specs    map[string]owner.Spec
-	newer    map[string]bool  // instances from which configuration is being fetched
-	fetched  map[string]int64 // by instance: local revision at the last fetch from it
-	oldNoted bool
+	inst               *Instance
+	members            *membership.State
+	platformList       []membership.Instance // instances listed by the platform; initially the seeds
+	probes             map[string]*probeState
+	ownerWatches       map[string]*ownerWatch
+	announcedTerms     map[string]uint64 // terms of the groups that were announced as served here
+	groups             map[string]*owner.Group
+	specs              map[string]owner.Spec
+	fetching           map[string]bool  // instances from which configuration is being fetched
+	fetchedAtRevision  map[string]int64 // by instance: local revision at the last fetch from it
+	staleStoreRecorded bool
 
 	nextPlacement time.Duration // earliest time of the next placement computation
 }
 
-// probe is the state of the periodic probes of one instance.
-type probe struct {
-	running    bool
-	next       time.Duration
-	introduced time.Duration // when a probe last carried the address of this instance
+// probeState is the state of the periodic probes of one instance.
+type probeState struct {
+	running      bool
+	next         time.Duration
+	introducedAt time.Duration // when a probe last carried the address of this instance
 }
 
-// watch is a candidate's view of the owner of one group.
-type watch struct {
-	missing   time.Duration            // since when no owner is known to be alive; 0: an owner is alive
-	nextClaim time.Duration            // earliest time of the next claim
-	misplaced time.Duration            // since when this instance owns the group without being its first choice; 0: it is not so
-	idle      map[string]time.Duration // by instance: since when it reports that it does not serve the group
+// ownerWatch is a candidate's view of the owner of one group.
+type ownerWatch struct {
+	ownerlessSince time.Duration            // since when no owner is known to be alive; 0: an owner is alive
+	nextClaim      time.Duration            // earliest time of the next claim
+	misplacedSince time.Duration            // since when this instance owns the group without being its first choice; 0: it is not so
+	idleSince      map[string]time.Duration // by instance: since when it reports that it does not serve the group
 }
 
 func newControl(i *Instance) *control {
 	self := membership.Instance{Name: i.settings.Name, Address: i.advertised(), DataCentre: i.settings.DataCentre}
 	c := &control{
-		inst:    i,
-		members: membership.New(membership.DefaultConfig(), self),
-		probes:  make(map[string]*probe),
-		watches: make(map[string]*watch),
-		serving: make(map[string]uint64),
-		groups:  make(map[string]*owner.Group),
-		specs:   make(map[string]owner.Spec),
-		newer:   make(map[string]bool),
-		fetched: make(map[string]int64),
-	}
-	c.list = i.settings.Seeds
+		inst:              i,
+		members:           membership.New(membership.DefaultConfig(), self),
+		probes:            make(map[string]*probeState),
+		ownerWatches:      make(map[string]*ownerWatch),
+		announcedTerms:    make(map[string]uint64),
+		groups:            make(map[string]*owner.Group),
+		specs:             make(map[string]owner.Spec),
+		fetching:          make(map[string]bool),
+		fetchedAtRevision: make(map[string]int64),
+	}
+	c.platformList = i.settings.Seeds
 	return c
 }
 
@@ -88,25 +88,25 @@
 func (c *control) run(ctx context.Context) {
 	ticker := time.NewTicker(controlTick)
 	defer ticker.Stop()
-	c.setList(c.list)
+	c.setList(c.platformList)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-c.inst.events:
-			c.inst.holdForTest(owner.StepControl)
+			c.inst.injectFault(owner.StepControl)
 			ev(c)
 		case <-ticker.C:
-			c.inst.holdForTest(owner.StepControl)
+			c.inst.injectFault(owner.StepControl)
 			c.tick()
 		}
 	}
 }
 
-// holdForTest calls the fault injection hook, if a test has set one.
-func (i *Instance) holdForTest(step owner.Step) {
-	if i.pause != nil {
-		i.pause(step)
+// injectFault calls the fault injection hook, if a test has set one.
+func (i *Instance) injectFault(step owner.Step) {
+	if i.faultHook != nil {
+		i.faultHook(step)
 	}
 }
 
@@ -116,14 +116,14 @@
 	select {
 	case i.events <- ev:
 	default:
-		i.metrics.backgroundFull.Inc()
+		i.metrics.droppedTasks.Inc()
 	}
 }
 
-// do runs an event on the control goroutine and waits until it is done. It returns false
+// runOnControl runs an event on the control goroutine and waits until it is done. It returns false
 // if the instance stops first: the event may then not run at all, or still be running, so
 // the caller must not read what the event writes.
-func (i *Instance) do(ev event) bool {
+func (i *Instance) runOnControl(ev event) bool {
 	done := make(chan struct{})
 	wrapped := func(c *control) {
 		defer close(done)
@@ -146,7 +146,7 @@
 // instances that operators declared: declarations override the list, and the list
 // overrides the seeds.
 func (c *control) setList(list []membership.Instance) {
-	c.list = list
+	c.platformList = list
 	merged := make(map[string]membership.Instance)
 	for _, source := range [][]membership.Instance{c.inst.settings.Seeds, list, c.inst.catalogue.Load().instances} {
 		for _, m := range source {
@@ -165,12 +165,12 @@
 	c.members.Tick(now)
 	c.publishFleet(false)
 	c.reconcileGroups()
-	c.announceNew()
+	c.announceNewTerms()
 	if !c.inst.leaving.Load() {
-		c.claim(now)
+		c.claimOwnerless(now)
 		c.moveMisplaced(now)
 	}
-	c.probe(now)
+	c.sendDueProbes(now)
 }
 
 // publishFleet recomputes the live instances and the ranking of instances for each group,
@@ -184,24 +184,24 @@
 	if !changed && (now < c.nextPlacement || slices.Equal(live, old.live) && slices.Equal(known, old.known)) {
 		return
 	}
-	placed := make([]ownership.Group, 0, len(cat.databases))
+	placements := make([]ownership.Group, 0, len(cat.databases))
 	for name, d := range cat.databases {
-		placed = append(placed, ownership.Group{Name: name, DataCentre: d.DataCentre})
+		placements = append(placements, ownership.Group{Name: name, DataCentre: d.DataCentre})
 	}
 	addrs := make(map[string]string, len(known))
 	for _, m := range known {
 		addrs[m.Name] = m.Address
 	}
 	c.inst.peers.SetAddresses(addrs)
-	limit := ownership.Limit(len(placed), len(live))
-	c.inst.fleet.Store(&fleet{live: live, known: known, rankings: ownership.Assign(placed, live, limit)})
+	limit := ownership.Limit(len(placements), len(live))
+	c.inst.fleet.Store(&fleet{live: live, known: known, rankings: ownership.Assign(placements, live, limit)})
 	after := c.inst.now()
-	c.nextPlacement = after + (after-now)*placementSpacing
+	c.nextPlacement = after + (after-now)*placementPauseFactor
 }
 
-// placementSpacing limits the placement computation to 1/50 of a core while the state of
+// placementPauseFactor limits the placement computation to 1/50 of a core while the state of
 // the fleet keeps changing, for example after the loss of a data centre.
-const placementSpacing = 50
+const placementPauseFactor = 50
 
 // reconcileGroups starts the groups for which this instance is a candidate, applies
 // changed specs, and stops the groups that it need not run any more.
@@ -221,10 +221,10 @@
 		}
 	}
 	for name, g := range c.groups {
-		if databases[name] == nil || c.dispensable(name, g, rankings[name]) {
+		if databases[name] == nil || c.canStop(name, g, rankings[name]) {
 			g.Stop()
 			delete(c.groups, name)
-			delete(c.watches, name)
+			delete(c.ownerWatches, name)
 			changed = true
 		}
 	}
@@ -234,9 +234,9 @@
 	}
 }
 
-// dispensable reports whether this instance can stop running a group: it is no candidate
+// canStop reports whether this instance can stop running a group: it is no candidate
 // for it, and neither serves nor claims it.
-func (c *control) dispensable(name string, g *owner.Group, ranking []string) bool {
+func (c *control) canStop(name string, g *owner.Group, ranking []string) bool {
 	st := g.Status()
 	rank := slices.Index(ranking, c.inst.settings.Name)
 	return (rank < 0 || rank >= candidates) && !st.Serving && !st.Claiming && !c.inst.leaving.Load() && len(ranking) > 0
@@ -248,7 +248,7 @@
 		Self:     c.inst.settings.Name,
 		Failover: c.inst.settings.Failover,
 		Now:      c.inst.now,
-		Pause:    c.inst.pause,
+		Pause:    c.inst.faultHook,
 		MaxWait:  c.inst.settings.MaxWait,
 		Fallback: c.inst.settings.Fallback,
 		Floors:   owner.DefaultFloors,
@@ -261,7 +261,7 @@
 	g.SetLeaving(leavingMembers(spec))
 	c.groups[name] = g
 	c.specs[name] = spec
-	c.watches[name] = &watch{}
+	c.ownerWatches[name] = &ownerWatch{}
 }
 
 // updateGroup applies a changed spec. If only the Leaving flags of members differ, they are
@@ -269,7 +269,7 @@
 // group was restarted.
 func (c *control) updateGroup(g *owner.Group, spec owner.Spec) bool {
 	old := c.specs[spec.Name]
-	if sameButLeaving(old, spec) {
+	if equalExceptLeaving(old, spec) {
 		if !slices.Equal(leavingMembers(old), leavingMembers(spec)) {
 			g.SetLeaving(leavingMembers(spec))
 			c.specs[spec.Name] = spec
@@ -281,19 +281,19 @@
 	return true
 }
 
-// announceNew announces the groups that this instance serves in a new term to all known instances.
-func (c *control) announceNew() {
+// announceNewTerms announces the groups that this instance serves in a new term to all known instances.
+func (c *control) announceNewTerms() {
 	var states []*peerpb.GroupState
 	for name, g := range c.groups {
 		st := g.Status()
 		if !st.Serving {
-			delete(c.serving, name)
+			delete(c.announcedTerms, name)
 			continue
 		}
-		if c.serving[name] == st.Term {
+		if c.announcedTerms[name] == st.Term {
 			continue
 		}
-		c.serving[name] = st.Term
+		c.announcedTerms[name] = st.Term
 		c.inst.dispatcher.SetOwner(name, c.inst.settings.Name, st.Term)
 		states = append(states, &peerpb.GroupState{Group: name, Term: st.Term, Serving: true})
 	}
@@ -302,28 +302,28 @@
 	}
 }
 
-// claim takes over groups that have no live owner. The first candidate claims at once,
+// claimOwnerless takes over groups that have no live owner. The first candidate claims at once,
 // each further one claimStagger later. A claim on wrong information is harmless: it is
 // abandoned if the group's members still get heartbeats from an owner.
-func (c *control) claim(now time.Duration) {
+func (c *control) claimOwnerless(now time.Duration) {
 	rankings := c.inst.fleet.Load().rankings
 	for name, g := range c.groups {
-		w := c.watches[name]
+		w := c.ownerWatches[name]
 		st := g.Status()
 		if st.Serving || st.Claiming || c.ownerAlive(now, name, st) {
-			w.missing = 0
+			w.ownerlessSince = 0
 			continue
 		}
-		if w.missing == 0 {
-			w.missing = now
+		if w.ownerlessSince == 0 {
+			w.ownerlessSince = now
 		}
 		rank := slices.Index(rankings[name], c.inst.settings.Name)
-		patience := time.Duration(rank) * claimStagger
-		if rank < 0 || now-w.missing < patience || now < w.nextClaim {
+		stagger := time.Duration(rank) * claimStagger
+		if rank < 0 || now-w.ownerlessSince < stagger || now < w.nextClaim {
 			continue
 		}
-		w.nextClaim = now + claimSpacing
-		g.Claim("no living owner is known", patience)
+		w.nextClaim = now + claimInterval
+		g.Claim("no living owner is known", stagger)
 	}
 }
 
@@ -336,7 +336,7 @@
 	if name == "" || name == c.inst.settings.Name {
 		return false
 	}
-	if silentSince, ok := c.watches[group].idle[name]; ok && now-silentSince > c.inst.settings.Failover.OwnerSilence {
+	if since, ok := c.ownerWatches[group].idleSince[name]; ok && now-since > c.inst.settings.Failover.OwnerSilence {
 		return false
 	}
 	return !c.members.Down(now, name)
@@ -347,19 +347,19 @@
 func (c *control) moveMisplaced(now time.Duration) {
 	rankings := c.inst.fleet.Load().rankings
 	for name, g := range c.groups {
-		w := c.watches[name]
+		w := c.ownerWatches[name]
 		ranking := rankings[name]
 		if len(ranking) == 0 || ranking[0] == c.inst.settings.Name || !g.Status().Serving {
-			w.misplaced = 0
+			w.misplacedSince = 0
 			continue
 		}
-		if w.misplaced == 0 {
-			w.misplaced = now
+		if w.misplacedSince == 0 {
+			w.misplacedSince = now
 		}
-		if now-w.misplaced < moveDelay {
+		if now-w.misplacedSince < moveDelay {
 			continue
 		}
-		w.misplaced = now
+		w.misplacedSince = now
 		target := ranking[0]
 		c.inst.spawn(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), moveDelay)
@@ -369,50 +369,50 @@
 	}
 }
 
-// probe sends the probes that are due: to the neighbours, and to the owners of the groups
+// sendDueProbes sends the probes that are due: to the neighbours, and to the owners of the groups
 // for which this instance is a candidate and the candidates that rank before it.
-func (c *control) probe(now time.Duration) {
-	every := make(map[string]time.Duration)
+func (c *control) sendDueProbes(now time.Duration) {
+	intervals := make(map[string]time.Duration)
 	for _, name := range c.members.Neighbours() {
-		every[name] = probeNeighbour
+		intervals[name] = neighbourProbeInterval
 	}
 	rankings := c.inst.fleet.Load().rankings
 	for group := range c.groups {
 		rank := slices.Index(rankings[group], c.inst.settings.Name)
-		interval := probeCandidate
+		interval := candidateProbeInterval
 		if rank > 1 {
-			interval = probeNeighbour // only the first two of the ranking probe at the short interval
+			interval = neighbourProbeInterval // only the first two of the ranking probe at the short interval
 		}
 		watched := rankings[group][:max(0, min(rank, candidates))]
 		if name, _ := c.inst.dispatcher.Owner(group); name != "" {
 			watched = append(slices.Clone(watched), name)
 		}
 		for _, name := range watched {
-			if known, ok := every[name]; name != c.inst.settings.Name && (!ok || interval < known) {
-				every[name] = interval
+			if known, ok := intervals[name]; name != c.inst.settings.Name && (!ok || interval < known) {
+				intervals[name] = interval
 			}
 		}
 	}
-	for name, interval := range every {
+	for name, interval := range intervals {
 		p := c.probes[name]
 		if p == nil {
-			p = &probe{}
+			p = &probeState{}
 			c.probes[name] = p
 		}
 		if p.running || now < p.next {
 			continue
 		}
 		p.running, p.next = true, now+interval
-		introduce := p.introduced == 0 || now-p.introduced > introduceEvery
+		introduce := p.introducedAt == 0 || now-p.introducedAt > introduceInterval
 		if introduce {
-			p.introduced = now
+			p.introducedAt = now
 		}
 		c.sendProbe(name, introduce)
 	}
 }
 
-// introduceEvery is how often a probe carries the address of this instance.
-const introduceEvery = 10 * time.Second
+// introduceInterval is how often a probe carries the address of this instance.
+const introduceInterval = 10 * time.Second
 
 func (c *control) sendProbe(name string, introduce bool) {
 	i := c.inst
@@ -422,11 +422,11 @@
 	}
 	i.spawn(func() {
 		reply, refused, err := i.callProbe(name, req)
-		i.post(func(c *control) { c.probed(name, reply, refused, err) })
+		i.post(func(c *control) { c.handleProbeReply(name, reply, refused, err) })
 	})
 }
 
-func (c *control) probed(name string, reply *peerpb.ProbeReply, refused bool, err error) {
+func (c *control) handleProbeReply(name string, reply *peerpb.ProbeReply, refused bool, err error) {
 	now := c.inst.now()
 	if p := c.probes[name]; p != nil {
 		p.running = false
@@ -437,33 +437,33 @@
 	}
 	c.inst.hlc.Observe(timeline.Stamp(reply.Clock))
 	c.members.Heard(now, name, reply.Leaving)
-	c.noteServing(now, name, reply.Groups)
-	if c.inst.catalogue.Load().snapshot.Newer(reply.Revision, reply.Digest) && !c.newer[name] {
-		c.newer[name] = true
+	c.recordServing(now, name, reply.Groups)
+	if c.inst.catalogue.Load().snapshot.Newer(reply.Revision, reply.Digest) && !c.fetching[name] {
+		c.fetching[name] = true
 		c.fetch(name)
 	}
 }
 
-// noteServing records which groups an instance reports as served. An instance that is alive
+// recordServing records which groups an instance reports as served. An instance that is alive
 // but does not serve a group, for example because it has lost its lease, is recorded as idle.
-func (c *control) noteServing(now time.Duration, name string, states []*peerpb.GroupState) {
+func (c *control) recordServing(now time.Duration, name string, states []*peerpb.GroupState) {
 	serving := make(map[string]uint64, len(states))
 	for _, st := range states {
 		if st.Serving {
 			serving[st.Group] = st.Term
 		}
 	}
-	for group, w := range c.watches {
+	for group, w := range c.ownerWatches {
 		if term, ok := serving[group]; ok {
-			delete(w.idle, name)
+			delete(w.idleSince, name)
 			c.inst.dispatcher.SetOwner(group, name, term)
 			continue
 		}
-		if w.idle == nil {
-			w.idle = make(map[string]time.Duration)
+		if w.idleSince == nil {
+			w.idleSince = make(map[string]time.Duration)
 		}
-		if _, ok := w.idle[name]; !ok {
-			w.idle[name] = now
+		if _, ok := w.idleSince[name]; !ok {
+			w.idleSince[name] = now
 		}
 	}
 }
@@ -476,7 +476,7 @@
 		return
 	}
 	c.inst.setCatalogue(s)
-	c.setList(c.list)
+	c.setList(c.platformList)
 	c.inst.record(timeline.Event{Kind: "config-applied", Text: describeRevision(s)})
 	c.push(s, old.Revision())
 }
--- a/internal/instance/do_test.go
+++ b/internal/instance/control_test.go
@@ -7,33 +7,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// do returns false without waiting if the instance stops while the event is running, so that
+// runOnControl returns false without waiting if the instance stops while the event is running, so that
 // its caller does not read what the event still writes. The race detector found such a read
 // in the check for a store that comes back with older data.
-func TestDoWhileTheInstanceStops(t *testing.T) {
+func TestRunOnControlWhileStopping(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	i := &Instance{ctx: ctx, events: make(chan event)}
-	begun, goOn, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	started, resume, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		(<-i.events)(nil)
 	}()
 	go func() {
-		<-begun
+		<-started
 		stop()
 	}()
-	must.False(t, i.do(func(*control) {
-		close(begun)
-		<-goOn
+	must.False(t, i.runOnControl(func(*control) {
+		close(started)
+		<-resume
 	}))
-	close(goOn)
+	close(resume)
 	<-ended
 }
 
-func TestDoWaitsForTheEvent(t *testing.T) {
+func TestRunOnControlWaitsForEvent(t *testing.T) {
 	i := &Instance{ctx: t.Context(), events: make(chan event)}
 	go func() { (<-i.events)(nil) }()
 	ran := false
-	must.True(t, i.do(func(*control) { ran = true }))
+	must.True(t, i.runOnControl(func(*control) { ran = true }))
 	must.True(t, ran)
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -45,28 +45,28 @@
 	credentials map[string]*scram.StoredCredentials
 	store       Store
 
-	catalogue atomic.Pointer[catalogue]
-	fleet     atomic.Pointer[fleet]
-	groups    atomic.Pointer[map[string]*owner.Group]
-	leaving   atomic.Bool
-	reachable atomic.Bool // whether the last call to the platform's key-value service succeeded
-
-	traffic    peer.Traffic // bytes sent and received in RPCs between instances
-	peers      *peer.Client
-	peerServer *peer.Server
-	callers    *caller.Server
-	operators  *operator.Server
-	dispatcher *dispatch.Dispatcher
-	classifier *sqlclass.Classifier
-	background *ants.Pool
-	events     chan event
-	ctx        context.Context // cancelled when the instance stops; ends the control goroutine
-	cancel     context.CancelFunc
-	done       sync.WaitGroup
-	pause      func(owner.Step)
-	control    *control
-
-	callerAddr   string
+	catalogue      atomic.Pointer[catalogue]
+	fleet          atomic.Pointer[fleet]
+	groups         atomic.Pointer[map[string]*owner.Group]
+	leaving        atomic.Bool
+	storeReachable atomic.Bool // whether the last call to the platform's key-value service succeeded
+
+	peerTraffic    peer.Traffic // bytes sent and received in RPCs between instances
+	peers          *peer.Client
+	peerServer     *peer.Server
+	clientServer   *caller.Server
+	operatorServer *operator.Server
+	dispatcher     *dispatch.Dispatcher
+	classifier     *sqlclass.Classifier
+	background     *ants.Pool
+	events         chan event
+	ctx            context.Context // cancelled when the instance stops; ends the control goroutine
+	cancel         context.CancelFunc
+	done           sync.WaitGroup
+	faultHook      func(owner.Step)
+	control        *control
+
+	clientAddr   string
 	peerAddr     string
 	operatorAddr string
 }
@@ -105,7 +105,7 @@
 		credentials: make(map[string]*scram.StoredCredentials),
 		store:       opts.Store,
 		events:      make(chan event, eventBuffer),
-		pause:       opts.Pause,
+		faultHook:   opts.Pause,
 	}
 	if i.store == nil {
 		i.store = etcd.NewClient(settings.PlatformEndpoint, settings.PlatformPrefix, settings.PlatformTimeout)
@@ -135,24 +135,24 @@
 	if err != nil {
 		return err
 	}
-	i.peers = peer.NewClient(tls.peerClient, &i.traffic)
-	i.peerServer = peer.NewServer(i, tls.peerServer, &i.traffic)
+	i.peers = peer.NewClient(tls.peerClient, &i.peerTraffic)
+	i.peerServer = peer.NewServer(i, tls.peerServer, &i.peerTraffic)
 	i.dispatcher = dispatch.New(i.settings.Name, i, i.peers)
 	options := i.settings.Caller
 	options.Instance = i.settings.Name
 	options.TLS = tls.caller
-	i.callers, err = caller.NewServer(options, i, i.dispatcher, i.classifier, i.metrics, i.prefixed("caller"))
+	i.clientServer, err = caller.NewServer(options, i, i.dispatcher, i.classifier, i.metrics, i.loggerFor("caller"))
 	if err != nil {
 		return err
 	}
-	i.callers.SetForwarder(i.forwardCancel)
-	i.operators = operator.NewServer(i, i.settings.OperatorToken, tls.operator, i.prefixed("operator"))
+	i.clientServer.SetForwarder(i.forwardCancel)
+	i.operatorServer = operator.NewServer(i, i.settings.OperatorToken, tls.operator, i.loggerFor("operator"))
 	return nil
 }
 
-// prefixed returns the logger of one part. By convention its messages start with the name
+// loggerFor returns the logger of one part. By convention its messages start with the name
 // of the part.
-func (i *Instance) prefixed(part string) *logrus.Entry {
+func (i *Instance) loggerFor(part string) *logrus.Entry {
 	return i.log.WithFields(logrus.Fields{"part": part, "instance": i.settings.Name})
 }
 
@@ -177,16 +177,16 @@
 		return fmt.Errorf("instance: operator: %w", err)
 	}
 	i.operatorAddr = operatorListener.Addr().String()
-	i.peerAddr, i.callerAddr = peerListener.Addr().String(), callerListener.Addr().String()
+	i.peerAddr, i.clientAddr = peerListener.Addr().String(), callerListener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	i.ctx, i.cancel = ctx, cancel
 	i.control = newControl(i)
-	i.goRun("peer", func() error { return i.peerServer.Serve(peerListener) })
-	i.goRun("caller", func() error { return i.callers.Serve(callerListener) })
-	i.goRun("operator", func() error { return i.operators.Serve(operatorListener) })
-	i.goRun("control", func() error { i.control.run(ctx); return nil })
-	i.goRun("platform", func() error { i.follow(ctx); return nil })
-	i.record(timeline.Event{Kind: "started", Text: "serving callers on " + i.callerAddr})
+	i.runPart("peer", func() error { return i.peerServer.Serve(peerListener) })
+	i.runPart("caller", func() error { return i.clientServer.Serve(callerListener) })
+	i.runPart("operator", func() error { return i.operatorServer.Serve(operatorListener) })
+	i.runPart("control", func() error { i.control.run(ctx); return nil })
+	i.runPart("platform", func() error { i.syncConfiguration(ctx); return nil })
+	i.record(timeline.Event{Kind: "started", Text: "serving callers on " + i.clientAddr})
 	return nil
 }
 
@@ -195,18 +195,18 @@
 	return cfg.Listen(context.Background(), "tcp", address)
 }
 
-func (i *Instance) goRun(part string, f func() error) {
+func (i *Instance) runPart(part string, f func() error) {
 	i.done.Add(1)
 	go func() {
 		defer i.done.Done()
 		if err := f(); err != nil && !errors.Is(err, net.ErrClosed) {
-			i.prefixed(part).WithError(err).Error(part + ": stopped")
+			i.loggerFor(part).WithError(err).Error(part + ": stopped")
 		}
 	}()
 }
 
 // CallerAddr returns the address that clients connect to.
-func (i *Instance) CallerAddr() string { return i.callerAddr }
+func (i *Instance) CallerAddr() string { return i.clientAddr }
 
 // PeerAddr returns the address that other instances connect to.
 func (i *Instance) PeerAddr() string { return i.peerAddr }
@@ -246,7 +246,7 @@
 // record adds an event to the time line and logs it.
 func (i *Instance) record(e timeline.Event) {
 	e = i.ring.Add(e)
-	i.prefixed("timeline").WithFields(logrus.Fields{"kind": e.Kind, "group": e.Group, "member": e.Member, "term": e.Term}).
+	i.loggerFor("timeline").WithFields(logrus.Fields{"kind": e.Kind, "group": e.Group, "member": e.Member, "term": e.Term}).
 		Info("timeline: " + e.Text)
 }
 
@@ -256,24 +256,24 @@
 func (i *Instance) Stop(ctx context.Context) {
 	i.record(timeline.Event{Kind: "stopping", Text: "planned stop"})
 	i.leaving.Store(true)
-	i.do(func(c *control) { c.members.SetSelfLeaving(); c.announceLeaving(ctx) })
+	i.runOnControl(func(c *control) { c.members.SetSelfLeaving(); c.announceLeaving(ctx) })
 	i.handOverAll(ctx)
-	i.callers.Stop(ctx)
-	i.close(stopGrace)
+	i.clientServer.Stop(ctx)
+	i.close(peerStopTimeout)
 }
 
-// stopGrace is how long a graceful stop waits for running RPCs from other instances.
-const stopGrace = 500 * time.Millisecond
+// peerStopTimeout is how long a graceful stop waits for running RPCs from other instances.
+const peerStopTimeout = 500 * time.Millisecond
 
 // Kill stops the instance at once, without hand-over or draining, like a crash.
 func (i *Instance) Kill() {
-	i.callers.Kill()
+	i.clientServer.Kill()
 	i.peerServer.Kill()
 	i.close(0)
 }
 
 func (i *Instance) close(grace time.Duration) {
-	i.operators.Close()
+	i.operatorServer.Close()
 	i.cancel()
 	i.peerServer.Stop(grace)
 	i.peers.Close()
@@ -288,6 +288,6 @@
 // dropped, which is safe because all such tasks recur.
 func (i *Instance) spawn(task func()) {
 	if err := i.background.Submit(task); err != nil {
-		i.metrics.backgroundFull.Inc()
+		i.metrics.droppedTasks.Inc()
 	}
 }
--- a/internal/instance/metrics.go
+++ b/internal/instance/metrics.go
@@ -10,27 +10,27 @@
 
 // counters are the metrics of one instance.
 type counters struct {
-	set            *metrics.Set
-	backgroundFull *metrics.Counter
-	replicaReads   *metrics.Counter
-	primaryReads   *metrics.Counter
-	writes         *metrics.Counter
-	latency        *metrics.Histogram
-	failoverGap    *metrics.Histogram // seconds without a primary, for failovers in which the owner stays the same
-	peerMessages   *metrics.Counter
+	set          *metrics.Set
+	droppedTasks *metrics.Counter
+	replicaReads *metrics.Counter
+	primaryReads *metrics.Counter
+	writes       *metrics.Counter
+	latency      *metrics.Histogram
+	failoverGap  *metrics.Histogram // seconds without a primary, for failovers in which the owner stays the same
+	peerMessages *metrics.Counter
 }
 
 func newCounters() *counters {
 	set := metrics.NewSet()
 	return &counters{
-		set:            set,
-		backgroundFull: set.NewCounter("stackspindle_background_tasks_dropped_total"),
-		replicaReads:   set.NewCounter(`stackspindle_statements_total{class="read",role="replica"}`),
-		primaryReads:   set.NewCounter(`stackspindle_statements_total{class="read",role="primary"}`),
-		writes:         set.NewCounter(`stackspindle_statements_total{class="write",role="primary"}`),
-		latency:        set.NewHistogram("stackspindle_statement_seconds"),
-		failoverGap:    set.NewHistogram("stackspindle_failover_gap_seconds"),
-		peerMessages:   set.NewCounter("stackspindle_control_messages_total"),
+		set:          set,
+		droppedTasks: set.NewCounter("stackspindle_background_tasks_dropped_total"),
+		replicaReads: set.NewCounter(`stackspindle_statements_total{class="read",role="replica"}`),
+		primaryReads: set.NewCounter(`stackspindle_statements_total{class="read",role="primary"}`),
+		writes:       set.NewCounter(`stackspindle_statements_total{class="write",role="primary"}`),
+		latency:      set.NewHistogram("stackspindle_statement_seconds"),
+		failoverGap:  set.NewHistogram("stackspindle_failover_gap_seconds"),
+		peerMessages: set.NewCounter("stackspindle_control_messages_total"),
 	}
 }
 
@@ -55,11 +55,11 @@
 // WriteMetrics writes all metrics in the Prometheus text format.
 func (i *Instance) WriteMetrics(w io.Writer) {
 	i.metrics.set.WritePrometheus(w)
-	sent, received := i.traffic.Bytes()
+	sent, received := i.peerTraffic.Bytes()
 	fmt.Fprintf(w, "stackspindle_control_bytes_total{direction=\"sent\"} %d\n", sent)
 	fmt.Fprintf(w, "stackspindle_control_bytes_total{direction=\"received\"} %d\n", received)
 	fmt.Fprintf(w, "stackspindle_platform_calls_total %d\n", i.store.Calls())
-	fmt.Fprintf(w, "stackspindle_callers %d\n", i.callers.Callers())
+	fmt.Fprintf(w, "stackspindle_callers %d\n", i.clientServer.Callers())
 	fmt.Fprintf(w, "stackspindle_config_revision %d\n", i.Revision())
 	for name, g := range *i.groups.Load() {
 		st := g.Load()
--- a/internal/instance/resources.go
+++ b/internal/instance/resources.go
@@ -127,10 +127,10 @@
 	}
 	revision, err := i.store.Put(ctx, key, document, expected, func(found string) bool { return found == document })
 	if err != nil {
-		return nil, i.putError(err)
+		return nil, i.operatorError(err)
 	}
 	entry := rollout.Entry{Key: key, Document: document, Revision: revision, Deleted: r == nil}
-	i.do(func(c *control) {
+	i.runOnControl(func(c *control) {
 		c.inst.record(timeline.Event{Kind: "config-accepted", Text: fmt.Sprintf("%s accepted as revision %d", key, revision)})
 		c.acceptWrite(entry)
 	})
@@ -140,7 +140,7 @@
 	return decodeEntry(entry)
 }
 
-func (i *Instance) putError(err error) error {
+func (i *Instance) operatorError(err error) error {
 	var conflict *etcd.ConflictError
 	if errors.As(err, &conflict) {
 		current := ""
@@ -168,7 +168,7 @@
 	c.inst.spawn(func() {
 		content, err := c.inst.store.Load(context.Background())
 		if err == nil {
-			_ = c.inst.takeContent(content) // a rejection is recorded on the time line
+			_ = c.inst.applyContent(content) // a rejection is recorded on the time line
 		}
 	})
 }
@@ -198,7 +198,7 @@
 		return nil, err
 	}
 	p := &operator.Progress{Resource: r}
-	revisions := i.revisions(wanted, seen)
+	revisions := i.activeRevisions(wanted, seen)
 	for instance, revision := range revisions {
 		if revision < wanted {
 			p.Lagging = append(p.Lagging, instance)
@@ -223,13 +223,13 @@
 	return status
 }
 
-// revisions returns the active revision of each live instance. It probes the instances
+// activeRevisions returns the active revision of each live instance. It probes the instances
 // that have not confirmed the wanted revision according to seen, and updates seen. An
 // instance that does not answer keeps its last known revision, and so counts as lagging.
-func (i *Instance) revisions(wanted int64, seen map[string]int64) map[string]int64 {
+func (i *Instance) activeRevisions(wanted int64, seen map[string]int64) map[string]int64 {
 	revisions := map[string]int64{i.settings.Name: i.Revision()}
 	var mu sync.Mutex
-	i.eachLive(func(name string) {
+	i.forEachLive(func(name string) {
 		mu.Lock()
 		known := seen[name]
 		revisions[name] = known
@@ -248,8 +248,8 @@
 	return revisions
 }
 
-// eachLive runs call concurrently for every other live instance and waits for all.
-func (i *Instance) eachLive(call func(name string)) {
+// forEachLive runs call concurrently for every other live instance and waits for all.
+func (i *Instance) forEachLive(call func(name string)) {
 	var wait sync.WaitGroup
 	for _, l := range i.fleet.Load().live {
 		if l.Name == i.settings.Name {
@@ -268,21 +268,21 @@
 // in the order of their clocks.
 func (i *Instance) FleetTimeline(ctx context.Context, since timeline.Stamp) *operator.Timeline {
 	lists := [][]timeline.Event{i.ring.Since(since)}
-	line := &operator.Timeline{}
+	merged := &operator.Timeline{}
 	var mu sync.Mutex
-	i.eachLive(func(name string) {
+	i.forEachLive(func(name string) {
 		events, err := i.remoteEvents(ctx, name, since)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			line.Missing = append(line.Missing, name)
+			merged.Missing = append(merged.Missing, name)
 			return
 		}
 		lists = append(lists, events)
 	})
-	line.Events = timeline.Merge(lists...)
-	slices.Sort(line.Missing)
-	return line
+	merged.Events = timeline.Merge(lists...)
+	slices.Sort(merged.Missing)
+	return merged
 }
 
 func (i *Instance) remoteEvents(ctx context.Context, name string, since timeline.Stamp) ([]timeline.Event, error) {
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -18,7 +18,7 @@
 type Store interface {
 	Load(ctx context.Context) (etcd.Content, error)
 	Watch(ctx context.Context, after int64, changed func([]rollout.Entry)) error
-	Put(ctx context.Context, key rollout.Key, document string, expected int64, settled func(document string) bool) (int64, error)
+	Put(ctx context.Context, key rollout.Key, document string, expected int64, isOwnWrite func(document string) bool) (int64, error)
 	Calls() int64
 }
 
@@ -26,34 +26,34 @@
 // key-value service. All others receive changes from their peers.
 const watchersPerDataCentre = 2
 
-// watcherCheck is how often an instance checks whether it should watch the service.
-const watcherCheck = 250 * time.Millisecond
+// watcherCheckInterval is how often an instance checks whether it should watch the service.
+const watcherCheckInterval = 250 * time.Millisecond
 
-// watches reports whether this instance is one of the watchers of its data centre.
-func (i *Instance) watches() bool {
+// isWatcher reports whether this instance is one of the watchers of its data centre.
+func (i *Instance) isWatcher() bool {
 	f := i.fleet.Load()
-	var near []ownership.Instance
+	var local []ownership.Instance
 	for _, l := range f.live {
 		if l.DataCentre == i.settings.DataCentre {
-			near = append(near, l)
+			local = append(local, l)
 		}
 	}
-	ranking := ownership.Rank(ownership.Group{Name: "watch/" + i.settings.DataCentre}, near)
+	ranking := ownership.Rank(ownership.Group{Name: "watch/" + i.settings.DataCentre}, local)
 	return slices.Contains(ranking[:min(watchersPerDataCentre, len(ranking))], i.settings.Name)
 }
 
-// follow keeps the configuration up to date from the platform's key-value service. A
+// syncConfiguration keeps the configuration up to date from the platform's key-value service. A
 // watcher loads and watches it, with exponential backoff between attempts. Any other
 // instance loads it only until it has a first configuration.
-func (i *Instance) follow(ctx context.Context) {
+func (i *Instance) syncConfiguration(ctx context.Context) {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval = 100 * time.Millisecond
 	delay.MaxInterval = 5 * time.Second
 	for ctx.Err() == nil {
-		wait := watcherCheck
-		if i.watches() || i.Revision() == 0 {
+		wait := watcherCheckInterval
+		if i.isWatcher() || i.Revision() == 0 {
 			started := i.now()
-			i.noteStore(i.readStore(ctx))
+			i.setStoreReachable(i.loadAndWatch(ctx))
 			if i.now()-started > delay.MaxInterval {
 				delay.Reset()
 			}
@@ -66,30 +66,30 @@
 	}
 }
 
-// readStore loads the whole configuration. On a watcher it then watches for changes until
+// loadAndWatch loads the whole configuration. On a watcher it then watches for changes until
 // the watch fails or the instance is no longer a watcher.
-func (i *Instance) readStore(ctx context.Context) error {
+func (i *Instance) loadAndWatch(ctx context.Context) error {
 	content, err := i.store.Load(ctx)
 	if err != nil {
 		return err
 	}
-	if err := i.takeContent(content); err != nil {
+	if err := i.applyContent(content); err != nil {
 		return err
 	}
-	i.noteStore(nil)
-	if !i.watches() {
+	i.setStoreReachable(nil)
+	if !i.isWatcher() {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		for i.watches() && pauseFor(ctx, watcherCheck) {
+		for i.isWatcher() && sleep(ctx, watcherCheckInterval) {
 			continue
 		}
 		cancel()
 	}()
 	err = i.store.Watch(ctx, content.StoreRevision, func(entries []rollout.Entry) {
-		i.do(func(c *control) {
+		i.runOnControl(func(c *control) {
 			c.setSnapshot(i.catalogue.Load().snapshot.Merge(0, entries))
 		})
 	})
@@ -99,7 +99,7 @@
 	return err
 }
 
-func pauseFor(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -108,31 +108,31 @@
 	}
 }
 
-// takeContent activates the content of the service. It returns an error if the content is
+// applyContent activates the content of the service. It returns an error if the content is
 // older than the active configuration.
-func (i *Instance) takeContent(content etcd.Content) error {
-	var failed error
-	ran := i.do(func(c *control) {
+func (i *Instance) applyContent(content etcd.Content) error {
+	var applyErr error
+	ran := i.runOnControl(func(c *control) {
 		current := i.catalogue.Load().snapshot
-		next, err := current.Load(content.Revision, withVanished(current, content))
+		next, err := current.Load(content.Revision, withRemovedInstances(current, content))
 		if err != nil {
-			failed = err
-			c.noteOldData(err)
+			applyErr = err
+			c.recordStaleStore(err)
 			return
 		}
-		c.oldNoted = false
+		c.staleStoreRecorded = false
 		c.setSnapshot(next)
 	})
 	if !ran {
 		return i.ctx.Err()
 	}
-	return failed
+	return applyErr
 }
 
-// withVanished returns the content's entries plus a tombstone for each instance that is no
+// withRemovedInstances returns the content's entries plus a tombstone for each instance that is no
 // longer on the platform's list. The platform deletes the keys of such instances, whereas
 // deleted resources leave a tombstone in the service.
-func withVanished(current *rollout.Snapshot, content etcd.Content) []rollout.Entry {
+func withRemovedInstances(current *rollout.Snapshot, content etcd.Content) []rollout.Entry {
 	listed := make(map[rollout.Key]bool)
 	entries := content.Entries
 	for _, e := range entries {
@@ -150,23 +150,23 @@
 	return entries
 }
 
-// noteOldData records an event if the service holds older data than the active
+// recordStaleStore records an event if the service holds older data than the active
 // configuration. It does so once, until the service holds current data again.
-func (c *control) noteOldData(err error) {
-	if c.oldNoted {
+func (c *control) recordStaleStore(err error) {
+	if c.staleStoreRecorded {
 		return
 	}
-	c.oldNoted = true
+	c.staleStoreRecorded = true
 	var old *rollout.OldDataError
 	if errors.As(err, &old) {
 		c.inst.record(timeline.Event{Kind: "store-behind", Text: "the platform's service holds older data, which is not applied: " + err.Error()})
 	}
 }
 
-// noteStore records whether the service is reachable, with an event on each change.
-func (i *Instance) noteStore(err error) {
+// setStoreReachable records whether the service is reachable, with an event on each change.
+func (i *Instance) setStoreReachable(err error) {
 	reachable := err == nil
-	if i.reachable.Swap(reachable) == reachable {
+	if i.storeReachable.Swap(reachable) == reachable {
 		return
 	}
 	if reachable {
--- a/internal/instance/tls.go
+++ b/internal/instance/tls.go
@@ -23,23 +23,23 @@
 	operator   *tls.Config
 }
 
-// keyPair is a certificate that is reloaded when its file changes.
-type keyPair struct {
-	files   config.KeyPair
-	current atomic.Pointer[tls.Certificate]
-	changed atomic.Int64 // modification time of the loaded certificate file, Unix time in ns
-	checked atomic.Int64 // when the file was last checked for changes, Unix time in ns
+// reloadingCertificate is a certificate that is reloaded when its file changes.
+type reloadingCertificate struct {
+	files     config.KeyPair
+	current   atomic.Pointer[tls.Certificate]
+	modTime   atomic.Int64 // modification time of the loaded certificate file, Unix time in ns
+	checkedAt atomic.Int64 // when the file was last checked for changes, Unix time in ns
 }
 
-// reloadCheck is the minimum interval between two checks of a certificate's file.
-const reloadCheck = 10 * time.Second
+// reloadCheckInterval is the minimum interval between two checks of a certificate's file.
+const reloadCheckInterval = 10 * time.Second
 
-func loadPair(files config.KeyPair) (*keyPair, error) {
-	k := &keyPair{files: files}
+func loadCertificate(files config.KeyPair) (*reloadingCertificate, error) {
+	k := &reloadingCertificate{files: files}
 	return k, k.load()
 }
 
-func (k *keyPair) load() error {
+func (k *reloadingCertificate) load() error {
 	info, err := os.Stat(k.files.Certificate)
 	if err != nil {
 		return fmt.Errorf("TLS: %w", err)
@@ -49,17 +49,17 @@
 		return fmt.Errorf("TLS: %s: %w", k.files.Certificate, err)
 	}
 	k.current.Store(&pair)
-	k.changed.Store(info.ModTime().UnixNano())
+	k.modTime.Store(info.ModTime().UnixNano())
 	return nil
 }
 
 // certificate returns the current certificate. It reloads a changed file first; if that
 // fails, it keeps the old certificate.
-func (k *keyPair) certificate() (*tls.Certificate, error) {
+func (k *reloadingCertificate) certificate() (*tls.Certificate, error) {
 	now := time.Now().UnixNano()
-	last := k.checked.Load()
-	if now-last > int64(reloadCheck) && k.checked.CompareAndSwap(last, now) {
-		if info, err := os.Stat(k.files.Certificate); err == nil && info.ModTime().UnixNano() != k.changed.Load() {
+	last := k.checkedAt.Load()
+	if now-last > int64(reloadCheckInterval) && k.checkedAt.CompareAndSwap(last, now) {
+		if info, err := os.Stat(k.files.Certificate); err == nil && info.ModTime().UnixNano() != k.modTime.Load() {
 			_ = k.load() // keeps the old pair on failure
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 func serverTLS(files config.KeyPair) (*tls.Config, error) {
-	pair, err := loadPair(files)
+	pair, err := loadCertificate(files)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.certificate() },
 	}
 	if files.Authority != "" {
-		if cfg.ClientCAs, err = authority(files.Authority); err != nil {
+		if cfg.ClientCAs, err = loadCertPool(files.Authority); err != nil {
 			return nil, err
 		}
 		cfg.ClientAuth = tls.RequireAndVerifyClientCert
@@ -122,11 +122,11 @@
 	if files.Authority == "" {
 		return nil, errors.New("TLS: [peer] tls_authority must be set, so that instances can verify one another")
 	}
-	pool, err := authority(files.Authority)
+	pool, err := loadCertPool(files.Authority)
 	if err != nil {
 		return nil, err
 	}
-	pair, err := loadPair(files)
+	pair, err := loadCertificate(files)
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-func authority(path string) (*x509.CertPool, error) {
+func loadCertPool(path string) (*x509.CertPool, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("TLS: %w", err)
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -19,24 +19,24 @@
 	now func() time.Duration
 
 	mu    sync.Mutex // guards kinds
-	kinds map[string]*kind
+	kinds map[string]*kindState
 }
 
-// kind is the state of one kind of line in the window that began at since.
-type kind struct {
-	since   time.Duration
-	written int
-	leftOut int
+// kindState is the state of one kind of line in the window that began at windowStart.
+type kindState struct {
+	windowStart time.Duration
+	written     int
+	suppressed  int
 }
 
 // NewLimiter returns a limiter that reads the time from now, a monotonic clock.
 func NewLimiter(now func() time.Duration) *Limiter {
-	return &Limiter{now: now, kinds: make(map[string]*kind)}
+	return &Limiter{now: now, kinds: make(map[string]*kindState)}
 }
 
 // Allow reports whether a line of the named kind may be written, and if so how many lines of
 // the kind were suppressed since the last allowed one.
-func (l *Limiter) Allow(name string) (leftOut int, ok bool) {
+func (l *Limiter) Allow(name string) (suppressed int, ok bool) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,17 +45,17 @@
 		if len(l.kinds) >= limitKinds {
 			clear(l.kinds) // bounds the memory; there are few kinds unless the names have a fault
 		}
-		k = &kind{since: now}
+		k = &kindState{windowStart: now}
 		l.kinds[name] = k
 	}
-	if now-k.since >= limitWindow {
-		k.since, k.written = now, 0
+	if now-k.windowStart >= limitWindow {
+		k.windowStart, k.written = now, 0
 	}
 	if k.written >= limitLines {
-		k.leftOut++
+		k.suppressed++
 		return 0, false
 	}
 	k.written++
-	leftOut, k.leftOut = k.leftOut, 0
-	return leftOut, true
+	suppressed, k.suppressed = k.suppressed, 0
+	return suppressed, true
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -54,7 +54,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			stopped := w.collect()
+			stopped := w.waitForFlush()
 			w.flush(line)
 			if stopped {
 				return
@@ -66,9 +66,9 @@
 	}
 }
 
-// collect waits until flushDelay has passed or the writer is closed, and reports whether
+// waitForFlush waits until flushDelay has passed or the writer is closed, and reports whether
 // it is closed.
-func (w *Writer) collect() bool {
+func (w *Writer) waitForFlush() bool {
 	timer := time.NewTimer(flushDelay)
 	defer timer.Stop()
 	select {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -23,21 +23,21 @@
 	_, ok := l.Allow("b")
 	must.True(t, ok, must.Sprint("the first of a kind"))
 	now = limitWindow
-	leftOut, ok := l.Allow("a")
+	suppressed, ok := l.Allow("a")
 	must.True(t, ok)
-	must.Eq(t, 3, leftOut)
-	leftOut, _ = l.Allow("a")
-	must.Zero(t, leftOut)
+	must.Eq(t, 3, suppressed)
+	suppressed, _ = l.Allow("a")
+	must.Zero(t, suppressed)
 }
 
-// stuck is an output whose writes block until release is closed.
-type stuck struct {
+// blockedWriter is an output whose writes block until release is closed.
+type blockedWriter struct {
 	entered chan struct{}
 	release chan struct{}
 	out     bytes.Buffer
 }
 
-func (s *stuck) Write(line []byte) (int, error) {
+func (s *blockedWriter) Write(line []byte) (int, error) {
 	select {
 	case s.entered <- struct{}{}:
 	default:
@@ -47,7 +47,7 @@
 }
 
 func TestWriterNeverBlocks(t *testing.T) {
-	out := &stuck{entered: make(chan struct{}, 1), release: make(chan struct{})}
+	out := &blockedWriter{entered: make(chan struct{}, 1), release: make(chan struct{})}
 	w := NewWriter(out)
 	_, err := w.Write([]byte("first\n"))
 	must.NoError(t, err)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -94,10 +94,10 @@
 
 // Limits and timeouts of the API.
 const (
-	maxDocument  = 1 << 20                // bytes; the largest value that the platform's key-value service accepts
-	watchPoll    = 100 * time.Millisecond // interval at which watch checks the progress
-	headerWait   = 10 * time.Second       // timeout for reading request headers
-	applyTimeout = 10 * time.Second       // timeout of a write
+	maxDocumentBytes  = 1 << 20                // bytes; the largest value that the platform's key-value service accepts
+	watchPollInterval = 100 * time.Millisecond // interval at which watch checks the progress
+	headerTimeout     = 10 * time.Second       // timeout for reading request headers
+	applyTimeout      = 10 * time.Second       // timeout of a write
 )
 
 // NewServer returns a server that is not listening yet. If the token is empty, requests
@@ -108,15 +108,15 @@
 	mux.HandleFunc("GET /healthz", s.health)
 	mux.HandleFunc("GET /readyz", s.ready)
 	mux.HandleFunc("GET /metrics", s.metrics)
-	mux.HandleFunc("GET /v1/timeline", s.guard(s.timeline))
-	mux.HandleFunc("GET /v1/explain", s.guard(s.explain))
-	mux.HandleFunc("GET /v1/resources/{kind}", s.guard(s.list))
-	mux.HandleFunc("GET /v1/resources/{kind}/{name}", s.guard(s.get))
-	mux.HandleFunc("PUT /v1/resources/{kind}/{name}", s.guard(s.put))
-	mux.HandleFunc("DELETE /v1/resources/{kind}/{name}", s.guard(s.remove))
-	mux.HandleFunc("GET /v1/resources/{kind}/{name}/watch", s.guard(s.watch))
+	mux.HandleFunc("GET /v1/timeline", s.requireToken(s.timeline))
+	mux.HandleFunc("GET /v1/explain", s.requireToken(s.explain))
+	mux.HandleFunc("GET /v1/resources/{kind}", s.requireToken(s.list))
+	mux.HandleFunc("GET /v1/resources/{kind}/{name}", s.requireToken(s.get))
+	mux.HandleFunc("PUT /v1/resources/{kind}/{name}", s.requireToken(s.put))
+	mux.HandleFunc("DELETE /v1/resources/{kind}/{name}", s.requireToken(s.remove))
+	mux.HandleFunc("GET /v1/resources/{kind}/{name}/watch", s.requireToken(s.watch))
 	errorLog := log.WriterLevel(logrus.WarnLevel)
-	s.http = &http.Server{Handler: mux, TLSConfig: cfg, ReadHeaderTimeout: headerWait, ErrorLog: newErrorLog(errorLog)}
+	s.http = &http.Server{Handler: mux, TLSConfig: cfg, ReadHeaderTimeout: headerTimeout, ErrorLog: newErrorLog(errorLog)}
 	return s
 }
 
@@ -137,8 +137,8 @@
 // Close ends all connections.
 func (s *Server) Close() { s.http.Close() }
 
-// guard rejects requests without the bearer token.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// requireToken rejects requests without the bearer token.
+func (s *Server) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.token != "" {
 			given, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -188,8 +188,8 @@
 	writeJSON(w, status, Problem{Reason: reason, Message: message})
 }
 
-// fail writes an error of the backend as a response.
-func fail(w http.ResponseWriter, err error) {
+// writeBackendError writes an error of the backend as a response.
+func writeBackendError(w http.ResponseWriter, err error) {
 	var conflict *ConflictError
 	var list findings.List
 	switch {
@@ -235,7 +235,7 @@
 	}
 	found, err := s.backend.Get(kind, r.PathValue("name"))
 	if err != nil {
-		fail(w, err)
+		writeBackendError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, found)
@@ -246,7 +246,7 @@
 	if !ok {
 		return
 	}
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocumentBytes))
 	if err != nil {
 		writeError(w, http.StatusRequestEntityTooLarge, "TooLarge", err.Error())
 		return
@@ -256,14 +256,14 @@
 		err = findings.List{{Place: "metadata.name", Message: "kind and name must be those of the path"}}
 	}
 	if err != nil {
-		fail(w, err)
+		writeBackendError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
 	stored, err := s.backend.Apply(ctx, document)
 	if err != nil {
-		fail(w, err)
+		writeBackendError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, stored)
@@ -277,7 +277,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
 	defer cancel()
 	if err := s.backend.Delete(ctx, kind, r.PathValue("name"), r.URL.Query().Get("resourceVersion")); err != nil {
-		fail(w, err)
+		writeBackendError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -296,7 +296,7 @@
 	for {
 		progress, err := s.backend.Progress(kind, r.PathValue("name"), seen)
 		if err != nil {
-			fail(w, err)
+			writeBackendError(w, err)
 			return
 		}
 		state := fmt.Sprint(progress.InForce, progress.Lagging, progress.Resource.Metadata.ResourceVersion)
@@ -313,7 +313,7 @@
 			return
 		}
 		select {
-		case <-time.After(watchPoll):
+		case <-time.After(watchPollInterval):
 		case <-r.Context().Done():
 			return
 		}
@@ -330,17 +330,17 @@
 		}
 		since = timeline.Stamp(n)
 	}
-	line := s.backend.FleetTimeline(r.Context(), since)
+	result := s.backend.FleetTimeline(r.Context(), since)
 	if group := r.URL.Query().Get("group"); group != "" {
-		kept := line.Events[:0]
-		for _, e := range line.Events {
+		kept := result.Events[:0]
+		for _, e := range result.Events {
 			if e.Group == group {
 				kept = append(kept, e)
 			}
 		}
-		line.Events = kept
+		result.Events = kept
 	}
-	writeJSON(w, http.StatusOK, line)
+	writeJSON(w, http.StatusOK, result)
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 // For any order of writes, pushes (lost, late, duplicated), fetches, loads, crashes, and
 // restores of the service from an older backup: neither the revision of a running instance nor
 // that of an entry decreases, and in the end all instances have the accepted writes.
-func TestSnapshotsConvergeAndNeverGoBack(t *testing.T) {
+func TestSnapshotsConvergeWithoutRegression(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{current: map[Key]Entry{}}
 		instances := []*Snapshot{Empty(), Empty(), Empty()}
@@ -62,12 +62,12 @@
 				other := instances[rapid.IntRange(0, 2).Draw(t, "other")]
 				instances[i] = instances[i].Merge(other.Revision(), other.Since(instances[i].Revision()))
 			case 4:
-				stale(t, instances[i], s)
+				loadBackup(t, instances[i], s)
 			case 5:
 				instances[i] = Empty() // replaced
 				before = instances[i]
 			}
-			checkForward(t, before, instances[i])
+			checkNoDecrease(t, before, instances[i])
 		}
 		for i := range instances {
 			instances[i] = load(t, instances[i], s)
@@ -88,8 +88,8 @@
 	return next
 }
 
-// stale loads the content that the service had at an earlier revision.
-func stale(t *rapid.T, snapshot *Snapshot, s *store) {
+// loadBackup loads the content that the service had at an earlier revision.
+func loadBackup(t *rapid.T, snapshot *Snapshot, s *store) {
 	n := rapid.IntRange(0, len(s.history)).Draw(t, "backup")
 	old := map[Key]Entry{}
 	for _, e := range s.history[:n] {
@@ -103,10 +103,10 @@
 	if int64(n) < snapshot.Revision() && err == nil {
 		t.Fatalf("revision %d was applied over %d", n, snapshot.Revision())
 	}
-	checkForward(t, snapshot, next)
+	checkNoDecrease(t, snapshot, next)
 }
 
-func checkForward(t *rapid.T, before, after *Snapshot) {
+func checkNoDecrease(t *rapid.T, before, after *Snapshot) {
 	if after.Revision() < before.Revision() {
 		t.Fatalf("went back from %d to %d", before.Revision(), after.Revision())
 	}
@@ -127,7 +127,7 @@
 }
 
 // Merging is idempotent and commutative.
-func TestMergeInAnyOrder(t *testing.T) {
+func TestMergeIsIdempotentAndCommutative(t *testing.T) {
 	a := Entry{Key: Key{"Service", "a"}, Document: "1", Revision: 1}
 	b := Entry{Key: Key{"Service", "a"}, Document: "2", Revision: 2}
 	c := Entry{Key: Key{"Service", "c"}, Document: "3", Revision: 3}
--- a/internal/timeline/failovers.go
+++ b/internal/timeline/failovers.go
@@ -24,28 +24,28 @@
 // Failovers extracts the completed failovers from an ordered time line: per group, the
 // events from the loss of the primary, or from a claim, to KindServing.
 func Failovers(events []Event) []Failover {
-	open := make(map[string][]Event)
-	var found []Failover
+	ongoing := make(map[string][]Event)
+	var completed []Failover
 	for _, e := range events {
 		switch e.Kind {
 		case KindPrimaryLost, KindClaim:
-			if len(open[e.Group]) == 0 || e.Kind == KindPrimaryLost {
-				open[e.Group] = []Event{e}
+			if len(ongoing[e.Group]) == 0 || e.Kind == KindPrimaryLost {
+				ongoing[e.Group] = []Event{e}
 				continue
 			}
-			open[e.Group] = append(open[e.Group], e)
+			ongoing[e.Group] = append(ongoing[e.Group], e)
 		case KindFence, KindPromote, KindServing:
-			if len(open[e.Group]) == 0 {
+			if len(ongoing[e.Group]) == 0 {
 				continue
 			}
-			open[e.Group] = append(open[e.Group], e)
+			ongoing[e.Group] = append(ongoing[e.Group], e)
 			if e.Kind == KindServing {
-				found = append(found, Failover{Group: e.Group, Steps: open[e.Group]})
-				delete(open, e.Group)
+				completed = append(completed, Failover{Group: e.Group, Steps: ongoing[e.Group]})
+				delete(ongoing, e.Group)
 			}
 		}
 	}
-	return found
+	return completed
 }
 
 // Gap returns the time from the first step to the last.
