--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -77,7 +77,7 @@
 		DataCentre:    s.DataCentre,
 		Places:        locality.New(s.Regions),
 		Strength:      s.Capacity.Strength(),
-		CallerListen:  s.CallerListen,
+		CallerListen:  s.ClientListen,
 		PeerListen:    s.PeerListen,
 		PeerAddress:   s.PeerAddress,
 		ReadyListen:   s.Fleet.Ready,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,7 +46,7 @@
 
 	Capacity Capacity
 
-	CallerListen string
+	ClientListen string
 	Caller       caller.Options
 	CallerTLS    KeyPair
 
@@ -256,7 +256,7 @@
 func (p *parser) checkComplete(s *Settings) {
 	required := []requirement{
 		{keyRef{"instance", "name"}, s.Name},
-		{keyRef{"caller", "listen"}, s.CallerListen},
+		{keyRef{"caller", "listen"}, s.ClientListen},
 		{keyRef{"peer", "listen"}, s.PeerListen},
 	}
 	if s.Fleet.Store != "" {
@@ -332,7 +332,7 @@
 		{"capacity", "memory_mb"}:              number(&s.Capacity.MemoryMB, 1, maxMemoryMB),
 		{"capacity", "link_mbps"}:              positive(&s.Capacity.LinkMbps, maxLinkMbps),
 		{"capacity", "descriptors"}:            number(&s.Capacity.Descriptors, 1, maxDescriptors),
-		{"caller", "listen"}:                   address(&s.CallerListen),
+		{"caller", "listen"}:                   address(&s.ClientListen),
 		{"caller", "authenticate"}:             boolean(&s.Caller.Authenticate),
 		{"caller", "max_callers"}:              number(&s.Caller.MaxCallers, 1, 1_000_000),
 		{"caller", "max_message_bytes"}:        number(&s.Caller.MaxMessage, 1024, 1<<30),
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return fmt.Errorf("instance: peer: %w", err)
 	}
-	callerListener, err := listen(i.settings.CallerListen)
+	callerListener, err := listen(i.settings.ClientListen)
 	if err != nil {
 		peerListener.Close()
 		return fmt.Errorf("instance: caller: %w", err)
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -185,9 +185,9 @@
 	if f.opts.DataCentres != nil {
 		settings.DataCentre = f.opts.DataCentres(i)
 	}
-	settings.CallerListen, settings.PeerListen, settings.OperatorListen = anyPort, anyPort, anyPort
+	settings.ClientListen, settings.PeerListen, settings.OperatorListen = anyPort, anyPort, anyPort
 	if f.opts.CallerAddr != nil {
-		settings.CallerListen = f.opts.CallerAddr(i)
+		settings.ClientListen = f.opts.CallerAddr(i)
 	}
 	if f.opts.Operator != "" && i == 0 {
 		settings.OperatorListen = f.opts.Operator
