--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -139,7 +139,7 @@
 func BenchmarkIdleCallers(b *testing.B) {
 	for _, n := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("callers=%d", n), func(b *testing.B) {
-			fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Caller.MaxCallers = 5000 }})
+			fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Client.MaxCallers = 5000 }})
 			addr := fleet.Instances[0].CallerAddr()
 			for b.Loop() {
 				before := memoryInUse()
--- a/internal/bench/slopes_test.go
+++ b/internal/bench/slopes_test.go
@@ -89,7 +89,7 @@
 }
 
 func slopeIdleCallers(b *testing.B) {
-	fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Caller.MaxCallers = 10_000 }})
+	fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Client.MaxCallers = 10_000 }})
 	addr := fleet.Instances[0].CallerAddr()
 	idleCaller(b, addr).Close()
 	base := memoryInUse()
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -86,7 +86,7 @@
 		LeaseTTL:      s.Fleet.Lease,
 		DrainTime:     s.Fleet.Drain,
 		StoreSilence:  s.Fleet.StoreSilence,
-		MaxCallers:    s.Caller.MaxCallers,
+		MaxCallers:    s.Client.MaxCallers,
 		FirstStart:    s.Fleet.FirstStart,
 		Limits:        s.Fleet.Limits,
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,7 +47,7 @@
 	Capacity Capacity
 
 	ClientListen string
-	Caller       caller.Options
+	Client       caller.Options
 	CallerTLS    KeyPair
 
 	PeerListen  string
@@ -115,7 +115,7 @@
 // Defaults returns the settings of an instance for which nothing is configured.
 func Defaults() *Settings {
 	return &Settings{
-		Caller:          caller.DefaultOptions(),
+		Client:          caller.DefaultOptions(),
 		PlatformPrefix:  "stackspindle/",
 		PlatformTimeout: 2 * time.Second,
 		Failover:        failover.DefaultConfig(),
@@ -333,12 +333,12 @@
 		{"capacity", "link_mbps"}:              positive(&s.Capacity.LinkMbps, maxLinkMbps),
 		{"capacity", "descriptors"}:            number(&s.Capacity.Descriptors, 1, maxDescriptors),
 		{"caller", "listen"}:                   address(&s.ClientListen),
-		{"caller", "authenticate"}:             boolean(&s.Caller.Authenticate),
-		{"caller", "max_callers"}:              number(&s.Caller.MaxCallers, 1, 1_000_000),
-		{"caller", "max_message_bytes"}:        number(&s.Caller.MaxMessage, 1024, 1<<30),
-		{"caller", "authentication_timeout"}:   duration(&s.Caller.AuthTimeout),
-		{"caller", "write_timeout"}:            duration(&s.Caller.WriteTimeout),
-		{"caller", "idle_transaction_timeout"}: duration(&s.Caller.IdleTransaction),
+		{"caller", "authenticate"}:             boolean(&s.Client.Authenticate),
+		{"caller", "max_callers"}:              number(&s.Client.MaxCallers, 1, 1_000_000),
+		{"caller", "max_message_bytes"}:        number(&s.Client.MaxMessage, 1024, 1<<30),
+		{"caller", "authentication_timeout"}:   duration(&s.Client.AuthTimeout),
+		{"caller", "write_timeout"}:            duration(&s.Client.WriteTimeout),
+		{"caller", "idle_transaction_timeout"}: duration(&s.Client.IdleTransaction),
 		{"caller", "tls_certificate"}:          text(&s.CallerTLS.Certificate),
 		{"caller", "tls_key"}:                  text(&s.CallerTLS.Key),
 		{"peer", "listen"}:                     address(&s.PeerListen),
--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -279,7 +279,7 @@
 
 func TestAuthentication(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1, Adjust: func(s *config.Settings) {
-		s.Caller.Authenticate = true
+		s.Client.Authenticate = true
 		s.Credentials["roster-app"] = "open sesame"
 	}})
 	spec := fleet.Service()
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -138,7 +138,7 @@
 	i.peers = peer.NewClient(tls.peerClient, &i.peerTraffic)
 	i.peerServer = peer.NewServer(i, tls.peerServer, &i.peerTraffic)
 	i.dispatcher = dispatch.New(i.settings.Name, i, i.peers)
-	options := i.settings.Caller
+	options := i.settings.Client
 	options.Instance = i.settings.Name
 	options.TLS = tls.caller
 	i.clientServer, err = caller.NewServer(options, i, i.dispatcher, i.classifier, i.metrics, i.loggerFor("caller"))
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -192,7 +192,7 @@
 	if f.opts.Operator != "" && i == 0 {
 		settings.OperatorListen = f.opts.Operator
 	}
-	settings.Caller.Authenticate = false
+	settings.Client.Authenticate = false
 	settings.PlatformEndpoint = f.Store.URL()
 	settings.PlatformPrefix = Prefix
 	settings.Seeds = f.seeds
