--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,7 +48,7 @@
 
 	ClientListen string
 	Client       caller.Options
-	CallerTLS    KeyPair
+	ClientTLS    KeyPair
 
 	PeerListen  string
 	PeerAddress string // address that other instances connect to; PeerListen by default
@@ -280,7 +280,7 @@
 		p.list.Add(p.location(keyRef{"fleet", "store_silence"}), "must be at least %s", minStoreTimeout)
 	}
 	p.checkRegions(s)
-	p.checkKeyPair("caller", s.CallerTLS)
+	p.checkKeyPair("caller", s.ClientTLS)
 	p.checkKeyPair("peer", s.PeerTLS)
 	p.checkKeyPair("operator", s.OperatorTLS)
 	f := s.Failover
@@ -339,8 +339,8 @@
 		{"caller", "authentication_timeout"}:   duration(&s.Client.AuthTimeout),
 		{"caller", "write_timeout"}:            duration(&s.Client.WriteTimeout),
 		{"caller", "idle_transaction_timeout"}: duration(&s.Client.IdleTransaction),
-		{"caller", "tls_certificate"}:          text(&s.CallerTLS.Certificate),
-		{"caller", "tls_key"}:                  text(&s.CallerTLS.Key),
+		{"caller", "tls_certificate"}:          text(&s.ClientTLS.Certificate),
+		{"caller", "tls_key"}:                  text(&s.ClientTLS.Key),
 		{"peer", "listen"}:                     address(&s.PeerListen),
 		{"peer", "address"}:                    address(&s.PeerAddress),
 		{"peer", "seeds"}:                      seeds(&s.Seeds),
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -54,8 +54,8 @@
 	pair := selfSigned(t)
 	fleet := startFleet(t, standin.Options{Instances: 3, Adjust: func(s *config.Settings) {
 		s.PeerTLS = pair
-		s.CallerTLS = config.KeyPair{Certificate: pair.Certificate, Key: pair.Key}
-		s.OperatorTLS = s.CallerTLS
+		s.ClientTLS = config.KeyPair{Certificate: pair.Certificate, Key: pair.Key}
+		s.OperatorTLS = s.ClientTLS
 	}})
 	insecure := &tls.Config{InsecureSkipVerify: true}
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: insecure}}
--- a/internal/instance/tls.go
+++ b/internal/instance/tls.go
@@ -68,8 +68,8 @@
 
 func newTLS(s *config.Settings) (*tlsSettings, error) {
 	t := &tlsSettings{}
-	if s.CallerTLS.Set() {
-		cfg, err := serverTLS(s.CallerTLS)
+	if s.ClientTLS.Set() {
+		cfg, err := serverTLS(s.ClientTLS)
 		if err != nil {
 			return nil, err
 		}
