--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -63,10 +63,10 @@
 	PlatformPrefix   string
 	PlatformTimeout  time.Duration
 
-	Failover  failover.Config
-	MaxWait   time.Duration // how long a strict read waits for a replica to catch up
-	Fallback  int           // maximum of concurrent strict reads on the primary; 0: half of the connections
-	DrainTime time.Duration // timeout of a graceful stop
+	Failover        failover.Config
+	MaxWait         time.Duration // how long a strict read waits for a replica to catch up
+	MaxPrimaryReads int           // maximum of concurrent strict reads on the primary; 0: half of the connections
+	DrainTime       time.Duration // timeout of a graceful stop
 
 	Credentials map[string]string // passwords by the reference that resources use
 
@@ -361,7 +361,7 @@
 		{"failover", "drain_bound"}:            duration(&s.Failover.DrainBound),
 		{"failover", "isolation"}:              duration(&s.Failover.Isolation),
 		{"reads", "max_wait"}:                  duration(&s.MaxWait),
-		{"reads", "primary_reads"}:             number(&s.Fallback, 0, 10_000),
+		{"reads", "primary_reads"}:             number(&s.MaxPrimaryReads, 0, 10_000),
 		{"stop", "drain_timeout"}:              duration(&s.DrainTime),
 		{"fleet", "store"}:                     address(&s.Fleet.Store),
 		{"fleet", "promoter"}:                  address(&s.Fleet.Promoter),
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -250,7 +250,7 @@
 		Now:      c.inst.now,
 		Pause:    c.inst.faultHook,
 		MaxWait:  c.inst.settings.MaxWait,
-		Fallback: c.inst.settings.Fallback,
+		Fallback: c.inst.settings.MaxPrimaryReads,
 		Floors:   owner.DefaultFloors,
 		Gap:      func(d time.Duration) { c.inst.metrics.failoverGap.Update(d.Seconds()) },
 		Record: func(kind, member string, term uint64, text string) {
