--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -143,7 +143,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	<-ctx.Done()
 	stop()
-	drainCtx, cancel := context.WithTimeout(context.Background(), settings.DrainTime)
+	drainCtx, cancel := context.WithTimeout(context.Background(), settings.DrainTimeout)
 	defer cancel()
 	stopCtx, cancelStop := signal.NotifyContext(drainCtx, syscall.SIGTERM, os.Interrupt)
 	defer cancelStop()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -66,7 +66,7 @@
 	Failover        failover.Config
 	MaxWait         time.Duration // how long a strict read waits for a replica to catch up
 	MaxPrimaryReads int           // maximum of concurrent strict reads on the primary; 0: half of the connections
-	DrainTime       time.Duration // timeout of a graceful stop
+	DrainTimeout    time.Duration // timeout of a graceful stop
 
 	Credentials map[string]string // passwords by the reference that resources use
 
@@ -120,7 +120,7 @@
 		PlatformTimeout: 2 * time.Second,
 		Failover:        failover.DefaultConfig(),
 		MaxWait:         owner.DefaultMaxWait,
-		DrainTime:       30 * time.Second,
+		DrainTimeout:    30 * time.Second,
 		Credentials:     make(map[string]string),
 		Regions:         make(map[string]string),
 		Capacity:        Capacity{CPUSpeed: 1},
@@ -362,7 +362,7 @@
 		{"failover", "isolation"}:              duration(&s.Failover.Isolation),
 		{"reads", "max_wait"}:                  duration(&s.MaxWait),
 		{"reads", "primary_reads"}:             number(&s.MaxPrimaryReads, 0, 10_000),
-		{"stop", "drain_timeout"}:              duration(&s.DrainTime),
+		{"stop", "drain_timeout"}:              duration(&s.DrainTimeout),
 		{"fleet", "store"}:                     address(&s.Fleet.Store),
 		{"fleet", "promoter"}:                  address(&s.Fleet.Promoter),
 		{"fleet", "ready"}:                     address(&s.Fleet.Ready),
