--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -85,7 +85,7 @@
 		Grace:         s.Fleet.Grace,
 		LeaseTTL:      s.Fleet.Lease,
 		DrainTime:     s.Fleet.Drain,
-		StoreSilence:  s.Fleet.StoreSilence,
+		StoreSilence:  s.Fleet.StoreTimeout,
 		MaxCallers:    s.Client.MaxCallers,
 		FirstStart:    s.Fleet.FirstStart,
 		Limits:        s.Fleet.Limits,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -104,10 +104,10 @@
 
 	Limits quota.Rules // rules for the limits of client accounts
 
-	// StoreSilence is the time within which an unresponsive store must be detected.
+	// StoreTimeout is the time within which an unresponsive store must be detected.
 	// A watch request ends earlier than that, so that a watch that no longer delivers
 	// changes is detected in this time too.
-	StoreSilence time.Duration
+	StoreTimeout time.Duration
 
 	LogLevel string // info, or debug for a log line per statement; reloaded on SIGHUP
 }
@@ -126,7 +126,7 @@
 		Capacity:        Capacity{CPUSpeed: 1},
 		// The lease spans several renewals, so that one lost renewal does not end it. It
 		// is short, because a group whose leader died has no leader until it expires.
-		Fleet: Fleet{Grace: 6 * time.Second, Lease: 3 * time.Second, Drain: 7 * time.Second, StoreSilence: 4 * time.Second, LogLevel: "info", Limits: quota.Rules{Window: 5 * time.Second}},
+		Fleet: Fleet{Grace: 6 * time.Second, Lease: 3 * time.Second, Drain: 7 * time.Second, StoreTimeout: 4 * time.Second, LogLevel: "info", Limits: quota.Rules{Window: 5 * time.Second}},
 	}
 }
 
@@ -276,7 +276,7 @@
 	if s.PeerAddress == "" {
 		s.PeerAddress = s.PeerListen
 	}
-	if s.Fleet.StoreSilence < minStoreTimeout {
+	if s.Fleet.StoreTimeout < minStoreTimeout {
 		p.list.Add(p.location(keyRef{"fleet", "store_silence"}), "must be at least %s", minStoreTimeout)
 	}
 	p.checkRegions(s)
@@ -370,7 +370,7 @@
 		{"fleet", "grace"}:                     duration(&s.Fleet.Grace),
 		{"fleet", "lease"}:                     duration(&s.Fleet.Lease),
 		{"fleet", "drain"}:                     duration(&s.Fleet.Drain),
-		{"fleet", "store_silence"}:             duration(&s.Fleet.StoreSilence),
+		{"fleet", "store_silence"}:             duration(&s.Fleet.StoreTimeout),
 		{"fleet", "log_level"}:                 logLevel(&s.Fleet.LogLevel),
 		{"fleet", "first_start"}:               boolean(&s.Fleet.FirstStart),
 		{"limits", "window"}:                   duration(&s.Fleet.Limits.Window),
