--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,8 +34,8 @@
 	Authority   string // CA file; if set, the remote side must present a certificate signed by it
 }
 
-// Set reports whether TLS is configured.
-func (k KeyPair) Set() bool { return k.Certificate != "" }
+// Configured reports whether TLS is configured.
+func (k KeyPair) Configured() bool { return k.Certificate != "" }
 
 // Settings holds all settings of one instance.
 type Settings struct {
--- a/internal/instance/tls.go
+++ b/internal/instance/tls.go
@@ -68,21 +68,21 @@
 
 func newTLS(s *config.Settings) (*tlsSettings, error) {
 	t := &tlsSettings{}
-	if s.ClientTLS.Set() {
+	if s.ClientTLS.Configured() {
 		cfg, err := serverTLS(s.ClientTLS)
 		if err != nil {
 			return nil, err
 		}
 		t.caller = func() *tls.Config { return cfg }
 	}
-	if s.OperatorTLS.Set() {
+	if s.OperatorTLS.Configured() {
 		cfg, err := serverTLS(s.OperatorTLS)
 		if err != nil {
 			return nil, err
 		}
 		t.operator = cfg
 	}
-	if !s.PeerTLS.Set() {
+	if !s.PeerTLS.Configured() {
 		return t, nil
 	}
 	server, err := serverTLS(s.PeerTLS)
