--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 type KeyPair struct {
 	Certificate string
 	Key         string
-	Authority   string // CA file; if set, the remote side must present a certificate signed by it
+	CAFile      string // CA file; if set, the remote side must present a certificate signed by it
 }
 
 // Configured reports whether TLS is configured.
@@ -299,7 +299,7 @@
 	if (k.Certificate == "") != (k.Key == "") {
 		p.list.Add(p.location(keyRef{section, "tls_key"}), "tls_certificate and tls_key must be set together")
 	}
-	if k.Authority != "" && k.Certificate == "" {
+	if k.CAFile != "" && k.Certificate == "" {
 		p.list.Add(p.location(keyRef{section, "tls_authority"}), "needs tls_certificate and tls_key")
 	}
 }
@@ -346,7 +346,7 @@
 		{"peer", "seeds"}:                      seeds(&s.Seeds),
 		{"peer", "tls_certificate"}:            text(&s.PeerTLS.Certificate),
 		{"peer", "tls_key"}:                    text(&s.PeerTLS.Key),
-		{"peer", "tls_authority"}:              text(&s.PeerTLS.Authority),
+		{"peer", "tls_authority"}:              text(&s.PeerTLS.CAFile),
 		{"operator", "listen"}:                 address(&s.OperatorListen),
 		{"operator", "token"}:                  text(&s.OperatorToken),
 		{"operator", "tls_certificate"}:        text(&s.OperatorTLS.Certificate),
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -42,7 +42,7 @@
 	raw, err := x509.MarshalECPrivateKey(key)
 	must.NoError(t, err)
 	dir := t.TempDir()
-	pair := config.KeyPair{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), Authority: filepath.Join(dir, "cert.pem")}
+	pair := config.KeyPair{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CAFile: filepath.Join(dir, "cert.pem")}
 	must.NoError(t, os.WriteFile(pair.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: cert}), 0o600))
 	must.NoError(t, os.WriteFile(pair.Key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: raw}), 0o600))
 	return pair
--- a/internal/instance/tls.go
+++ b/internal/instance/tls.go
@@ -107,8 +107,8 @@
 		MinVersion:     tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.certificate() },
 	}
-	if files.Authority != "" {
-		if cfg.ClientCAs, err = loadCertPool(files.Authority); err != nil {
+	if files.CAFile != "" {
+		if cfg.ClientCAs, err = loadCertPool(files.CAFile); err != nil {
 			return nil, err
 		}
 		cfg.ClientAuth = tls.RequireAndVerifyClientCert
@@ -119,10 +119,10 @@
 // peerClientTLS verifies the certificate chain of the other instance, but not its host
 // name, because instances connect to each other by IP address.
 func peerClientTLS(files config.KeyPair) (*tls.Config, error) {
-	if files.Authority == "" {
+	if files.CAFile == "" {
 		return nil, errors.New("TLS: [peer] tls_authority must be set, so that instances can verify one another")
 	}
-	pool, err := loadCertPool(files.Authority)
+	pool, err := loadCertPool(files.CAFile)
 	if err != nil {
 		return nil, err
 	}
