--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -76,7 +76,7 @@
 		Name:          s.Name,
 		DataCentre:    s.DataCentre,
 		Places:        locality.New(s.Regions),
-		Strength:      s.Capacity.Strength(),
+		Strength:      s.Capacity.Announced(),
 		CallerListen:  s.ClientListen,
 		PeerListen:    s.PeerListen,
 		PeerAddress:   s.PeerAddress,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -82,8 +82,8 @@
 	Descriptors int
 }
 
-// Strength returns the capacity in the form that is announced to other instances.
-func (c Capacity) Strength() placement.Strength {
+// Announced returns the capacity in the form that is announced to other instances.
+func (c Capacity) Announced() placement.Strength {
 	return placement.Strength{Cores: c.CPUShare * c.CPUSpeed, LinkMbps: c.LinkMbps, MemoryMB: float64(c.MemoryMB), Descriptors: float64(c.Descriptors)}
 }
 
--- a/internal/config/template_test.go
+++ b/internal/config/template_test.go
@@ -84,7 +84,7 @@
 	must.Eq(t, "10.200.1.7:8783", s.Fleet.Store)
 	must.Eq(t, "info", s.Fleet.LogLevel)
 	must.MapEmpty(t, s.Regions)
-	must.Eq(t, placement.Strength{}, s.Capacity.Strength())
+	must.Eq(t, placement.Strength{}, s.Capacity.Announced())
 }
 
 func TestTemplateWithRegions(t *testing.T) {
@@ -103,7 +103,7 @@
 	})
 	s, err := Parse("instance.ini", []byte(renderTemplate(t, values)))
 	must.NoError(t, err)
-	must.Eq(t, placement.Strength{Cores: 0.8, LinkMbps: 1000, MemoryMB: 284, Descriptors: 4200}, s.Capacity.Strength())
+	must.Eq(t, placement.Strength{Cores: 0.8, LinkMbps: 1000, MemoryMB: 284, Descriptors: 4200}, s.Capacity.Announced())
 }
 
 // The platform renders a placeholder without a value as empty text, which is a finding for
