--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -157,7 +157,7 @@
 		return
 	}
 	c.staleStoreRecorded = true
-	var old *rollout.OldDataError
+	var old *rollout.StaleDataError
 	if errors.As(err, &old) {
 		c.inst.record(timeline.Event{Kind: "store-behind", Text: "the platform's service holds older data, which is not applied: " + err.Error()})
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -80,12 +80,12 @@
 	return d.Sum64()
 }
 
-// OldDataError reports that a source holds older data than the active configuration.
-type OldDataError struct {
+// StaleDataError reports that a source holds older data than the active configuration.
+type StaleDataError struct {
 	Have, Got int64 // active and offered revision
 }
 
-func (e *OldDataError) Error() string {
+func (e *StaleDataError) Error() string {
 	return fmt.Sprintf("revision %d was offered, %d is in force", e.Got, e.Have)
 }
 
@@ -114,7 +114,7 @@
 // or is older there, the service has lost data, and Load returns an OldDataError.
 func (s *Snapshot) Load(revision int64, entries []Entry) (*Snapshot, error) {
 	if revision < s.revision {
-		return s, &OldDataError{Have: s.revision, Got: revision}
+		return s, &StaleDataError{Have: s.revision, Got: revision}
 	}
 	stored := make(map[Key]int64, len(entries))
 	for _, e := range entries {
@@ -122,7 +122,7 @@
 	}
 	for key, e := range s.entries {
 		if stored[key] < e.Revision {
-			return s, &OldDataError{Have: e.Revision, Got: stored[key]}
+			return s, &StaleDataError{Have: e.Revision, Got: stored[key]}
 		}
 	}
 	return s.Merge(revision, entries), nil
