--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -438,7 +438,7 @@
 	c.inst.hlc.Observe(timeline.Stamp(reply.Clock))
 	c.members.Heard(now, name, reply.Leaving)
 	c.recordServing(now, name, reply.Groups)
-	if c.inst.catalogue.Load().snapshot.Newer(reply.Revision, reply.Digest) && !c.fetching[name] {
+	if c.inst.catalogue.Load().snapshot.IsBehind(reply.Revision, reply.Digest) && !c.fetching[name] {
 		c.fetching[name] = true
 		c.fetch(name)
 	}
@@ -472,7 +472,7 @@
 // changes to the neighbours.
 func (c *control) setSnapshot(s *rollout.Snapshot) {
 	old := c.inst.catalogue.Load().snapshot
-	if !old.Newer(s.Revision(), s.Digest()) {
+	if !old.IsBehind(s.Revision(), s.Digest()) {
 		return
 	}
 	c.inst.setCatalogue(s)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -128,8 +128,8 @@
 	return s.Merge(revision, entries), nil
 }
 
-// Newer reports whether another snapshot has, or may have, entries that s does not have: its
+// IsBehind reports whether another snapshot has, or may have, entries that s does not have: its
 // revision is higher, or it is equal but the digests differ.
-func (s *Snapshot) Newer(otherRevision int64, otherDigest uint64) bool {
+func (s *Snapshot) IsBehind(otherRevision int64, otherDigest uint64) bool {
 	return otherRevision > s.revision || otherRevision == s.revision && otherDigest != s.digest
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -136,5 +136,5 @@
 	must.Eq(t, one.Digest(), two.Digest())
 	must.Eq(t, one.Entries(), two.Entries())
 	must.Eq(t, int64(3), two.Revision())
-	must.False(t, one.Newer(two.Revision(), two.Digest()))
+	must.False(t, one.IsBehind(two.Revision(), two.Digest()))
 }
