--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -114,7 +114,7 @@
 	var applyErr error
 	ran := i.runOnControl(func(c *control) {
 		current := i.catalogue.Load().snapshot
-		next, err := current.Load(content.Revision, withRemovedInstances(current, content))
+		next, err := current.MergeContent(content.Revision, withRemovedInstances(current, content))
 		if err != nil {
 			applyErr = err
 			c.recordStaleStore(err)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -109,10 +109,10 @@
 	return next
 }
 
-// Load merges the complete content of the platform's key-value service as of a revision.
+// MergeContent merges the complete content of the platform's key-value service as of a revision.
 // The service stores deletions as tombstones. If an active entry is missing in the content
 // or is older there, the service has lost data, and Load returns an OldDataError.
-func (s *Snapshot) Load(revision int64, entries []Entry) (*Snapshot, error) {
+func (s *Snapshot) MergeContent(revision int64, entries []Entry) (*Snapshot, error) {
 	if revision < s.revision {
 		return s, &StaleDataError{Have: s.revision, Got: revision}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -81,7 +81,7 @@
 
 func load(t *rapid.T, snapshot *Snapshot, s *store) *Snapshot {
 	revision, entries := s.content()
-	next, err := snapshot.Load(revision, entries)
+	next, err := snapshot.MergeContent(revision, entries)
 	if err != nil {
 		t.Fatalf("the current content was refused: %v", err)
 	}
@@ -99,7 +99,7 @@
 	for _, e := range old {
 		entries = append(entries, e)
 	}
-	next, err := snapshot.Load(int64(n), entries)
+	next, err := snapshot.MergeContent(int64(n), entries)
 	if int64(n) < snapshot.Revision() && err == nil {
 		t.Fatalf("revision %d was applied over %d", n, snapshot.Revision())
 	}
