--- a/internal/etcd/client.go
+++ b/internal/etcd/client.go
@@ -25,9 +25,9 @@
 // KindInstances is the kind of the entries in the platform's list of instances.
 const KindInstances = "PlatformInstance"
 
-// ErrUnsettled reports that the outcome of a write is unknown: it may or may not have
+// ErrOutcomeUnknown reports that the outcome of a write is unknown: it may or may not have
 // taken effect.
-var ErrUnsettled = errors.New("it is not known whether the write took effect")
+var ErrOutcomeUnknown = errors.New("it is not known whether the write took effect")
 
 // ConflictError reports that the stored revision of a resource is not the expected one,
 // because of a concurrent write.
@@ -309,7 +309,7 @@
 			break
 		}
 	}
-	return 0, fmt.Errorf("%w: %w", ErrUnsettled, lastErr)
+	return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, lastErr)
 }
 
 // putRetryDelay is the delay after the first attempt. It grows linearly with each attempt.
