--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -21,7 +21,7 @@
 // included. A failover takes at most a few seconds, and its causes precede it.
 const (
 	TimeBefore = 6 * time.Second
-	After      = time.Second
+	TimeAfter  = time.Second
 )
 
 // Line is one line of a log.
@@ -105,7 +105,7 @@
 	if len(e.Request) == 0 {
 		return e
 	}
-	from, until := e.Request[0].Time.Add(-TimeBefore), e.Request[len(e.Request)-1].Time.Add(After)
+	from, until := e.Request[0].Time.Add(-TimeBefore), e.Request[len(e.Request)-1].Time.Add(TimeAfter)
 	for _, l := range lines {
 		if l.Request == "" && len(l.Requests) == 0 && l.Time.After(from) && l.Time.Before(until) && e.isRelated(l) {
 			e.Group = append(e.Group, l)
@@ -137,7 +137,7 @@
 	for _, l := range e.Request {
 		fmt.Fprintln(out, format(l))
 	}
-	fmt.Fprintf(out, "What was known of its group and instance, from %s before to %s after:\n", TimeBefore, After)
+	fmt.Fprintf(out, "What was known of its group and instance, from %s before to %s after:\n", TimeBefore, TimeAfter)
 	for _, l := range e.Group {
 		fmt.Fprintln(out, format(l))
 	}
