--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -88,8 +88,8 @@
 
 // Options are set by tests and the demo in addition to the settings file.
 type Options struct {
-	Store Store            // nil: a client of the service named in the settings
-	Pause func(owner.Step) // fault injection hook; may be nil
+	Store     Store            // nil: a client of the service named in the settings
+	FaultHook func(owner.Step) // fault injection hook; may be nil
 }
 
 // New creates an instance. Start runs it.
@@ -105,7 +105,7 @@
 		credentials: make(map[string]*scram.StoredCredentials),
 		store:       opts.Store,
 		events:      make(chan event, eventBuffer),
-		faultHook:   opts.Pause,
+		faultHook:   opts.FaultHook,
 	}
 	if i.store == nil {
 		i.store = etcd.NewClient(settings.PlatformEndpoint, settings.PlatformPrefix, settings.PlatformTimeout)
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -203,7 +203,7 @@
 	if f.opts.Pause != nil {
 		pause = func(s owner.Step) { f.opts.Pause(i, s) }
 	}
-	inst, err := instance.New(settings, f.opts.Log, instance.Options{Pause: pause})
+	inst, err := instance.New(settings, f.opts.Log, instance.Options{FaultHook: pause})
 	if err != nil {
 		return nil, err
 	}
