--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -77,7 +77,7 @@
 // owner) and two (the caller reaches another instance), in one run.
 func BenchmarkPath(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 2, Connections: 64})
-	setup := dial(b, fleet.Instances[0].CallerAddr())
+	setup := dial(b, fleet.Instances[0].ClientAddr())
 	_, err := setup.Exec(context.Background(), "INSERT INTO shifts VALUES (1, 'amal', 'open')")
 	must.NoError(b, err)
 	owner := fleet.Owner()
@@ -85,8 +85,8 @@
 		name, addr string
 	}{
 		{"direct", fleet.Group.Member(1).Addr()},
-		{"one-hop", fleet.Instances[owner].CallerAddr()},
-		{"two-hops", fleet.Instances[1-owner].CallerAddr()},
+		{"one-hop", fleet.Instances[owner].ClientAddr()},
+		{"two-hops", fleet.Instances[1-owner].ClientAddr()},
 	}
 	for _, callers := range []int{1, 16, 256} {
 		for _, p := range paths {
@@ -140,7 +140,7 @@
 	for _, n := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("callers=%d", n), func(b *testing.B) {
 			fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Client.MaxCallers = 5000 }})
-			addr := fleet.Instances[0].CallerAddr()
+			addr := fleet.Instances[0].ClientAddr()
 			for b.Loop() {
 				before := memoryInUse()
 				conns := make([]net.Conn, n)
--- a/internal/bench/decisions_test.go
+++ b/internal/bench/decisions_test.go
@@ -119,7 +119,7 @@
 	deadline := time.Now().Add(shareTime)
 	var wait sync.WaitGroup
 	for c := range shareCallers {
-		conn := dial(b, fleet.Instances[c%3].CallerAddr())
+		conn := dial(b, fleet.Instances[c%3].ClientAddr())
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -245,7 +245,7 @@
 	fleet.Store.SetDown(down)
 	owner := fleet.Owner()
 	entry := (owner + 1) % 4
-	w := startGapWriters(fleet.Instances[entry].CallerAddr())
+	w := startGapWriters(fleet.Instances[entry].ClientAddr())
 	defer w.stop()
 	time.Sleep(400*time.Millisecond + time.Duration(rand.Int64N(int64(300*time.Millisecond))))
 	fault(fleet)
@@ -358,7 +358,7 @@
 		good[service] = &atomic.Int64{}
 		callers := int(rate * callerPace.Seconds())
 		for i := range callers {
-			conn, err := connect(fleet.Instances[i%2].CallerAddr(), service, "")
+			conn, err := connect(fleet.Instances[i%2].ClientAddr(), service, "")
 			must.NoError(b, err)
 			wait.Add(1)
 			go func() {
--- a/internal/bench/faults_test.go
+++ b/internal/bench/faults_test.go
@@ -36,14 +36,14 @@
 func measureFaultedWrites(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 5, Ack: resource.AckReplica, Staleness: 30 * time.Second,
 		SetUp: []string{"CREATE TABLE counters (id int PRIMARY KEY, n int)"}})
-	setup := dial(b, fleet.Instances[0].CallerAddr())
+	setup := dial(b, fleet.Instances[0].ClientAddr())
 	for w := range faultWriters {
 		_, err := setup.Exec(context.Background(), "INSERT INTO counters VALUES ($1, 0)", w)
 		must.NoError(b, err)
 	}
 	var addrs []string
 	for _, inst := range fleet.Instances {
-		addrs = append(addrs, inst.CallerAddr())
+		addrs = append(addrs, inst.ClientAddr())
 	}
 	fleet.PinCallerAddresses(addrs)
 	done := make(chan struct{})
@@ -202,7 +202,7 @@
 			}
 			conns := make([]*pgx.Conn, 16)
 			for i := range conns {
-				conns[i] = dial(b, fleet.Instances[0].CallerAddr())
+				conns[i] = dial(b, fleet.Instances[0].ClientAddr())
 			}
 			var id atomic.Int64
 			rec := newRecorder()
--- a/internal/bench/slopes_test.go
+++ b/internal/bench/slopes_test.go
@@ -90,7 +90,7 @@
 
 func slopeIdleCallers(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Client.MaxCallers = 10_000 }})
-	addr := fleet.Instances[0].CallerAddr()
+	addr := fleet.Instances[0].ClientAddr()
 	idleCaller(b, addr).Close()
 	base := memoryInUse()
 	open := 0
@@ -107,7 +107,7 @@
 // measuring the direct path in the same run.
 func slopeStatements(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 2, Connections: 64})
-	conn := dial(b, fleet.Instances[0].CallerAddr())
+	conn := dial(b, fleet.Instances[0].ClientAddr())
 	_, err := conn.Exec(context.Background(), "INSERT INTO shifts VALUES (1, 'amal', 'open')")
 	must.NoError(b, err)
 	o := fleet.Owner()
@@ -119,10 +119,10 @@
 	sizes := []int{10_000, 20_000, 40_000}
 	direct := fleet.Group.Member(1).Addr()
 	row(b, "processor time of reads, one hop less direct", "µs a statement", sizes, func(n int) float64 {
-		return cost(fleet.Instances[o].CallerAddr(), n) - cost(direct, n)
+		return cost(fleet.Instances[o].ClientAddr(), n) - cost(direct, n)
 	})
 	row(b, "processor time of reads, two hops less direct", "µs a statement", sizes, func(n int) float64 {
-		return cost(fleet.Instances[1-o].CallerAddr(), n) - cost(direct, n)
+		return cost(fleet.Instances[1-o].ClientAddr(), n) - cost(direct, n)
 	})
 }
 
--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -26,7 +26,7 @@
 	}
 	for m, mode := range modes {
 		for i, inst := range fleet.Instances {
-			conn := connect(t, inst.CallerAddr(), "", func(c *pgx.ConnConfig) { c.DefaultQueryExecMode = mode })
+			conn := connect(t, inst.ClientAddr(), "", func(c *pgx.ConnConfig) { c.DefaultQueryExecMode = mode })
 			for round := range 3 {
 				id := 1000*m + 100*i + round
 				exec(t, conn, "INSERT INTO shifts (id, volunteer, state) VALUES ($1, $2, 'open')", id, "amal")
@@ -43,7 +43,7 @@
 func TestPipelinedBatch(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	for _, inst := range fleet.Instances {
-		conn := connect(t, inst.CallerAddr(), "")
+		conn := connect(t, inst.ClientAddr(), "")
 		batch := &pgx.Batch{}
 		base := 100
 		if inst == fleet.Instances[1] {
@@ -68,7 +68,7 @@
 func TestTransactionsAndErrors(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	for i, inst := range fleet.Instances {
-		conn := connect(t, inst.CallerAddr(), "")
+		conn := connect(t, inst.ClientAddr(), "")
 		exec(t, conn, "INSERT INTO shifts VALUES ($1, 'a', 'open')", i)
 		tx, err := conn.Begin(testContext(t))
 		must.NoError(t, err)
@@ -89,7 +89,7 @@
 // transaction it fails that transaction.
 func TestRefusedStatementsAreNotRun(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
-	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
+	conn := connect(t, fleet.Instances[0].ClientAddr(), "")
 	for _, sql := range []string{
 		"COPY shifts TO STDOUT", "LISTEN news", "CREATE TEMP TABLE x (id int)", "PREPARE p AS SELECT 1",
 		"SELECT pg_advisory_lock(1)", "SELECT * FROM group_fence(99, 'me')", "SELECT * INTO TEMP x FROM shifts",
@@ -114,7 +114,7 @@
 	var wait sync.WaitGroup
 	for c := range 16 {
 		inst := fleet.Instances[c%2]
-		conn := connect(t, inst.CallerAddr(), "")
+		conn := connect(t, inst.ClientAddr(), "")
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -135,7 +135,7 @@
 func TestBigResultArrivesWhole(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	for _, inst := range fleet.Instances {
-		conn := connect(t, inst.CallerAddr(), "")
+		conn := connect(t, inst.ClientAddr(), "")
 		rows, err := conn.Query(testContext(t), "SELECT generate_series, repeat('x', 1000) FROM generate_series(1, 20000)")
 		must.NoError(t, err)
 		n := 0
@@ -156,7 +156,7 @@
 func TestHalfAnswerIsAnError(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	for i, inst := range fleet.Instances {
-		conn := connect(t, inst.CallerAddr(), "")
+		conn := connect(t, inst.ClientAddr(), "")
 		rows, err := conn.Query(testContext(t), "SELECT generate_series, repeat('x', 1000) FROM generate_series(1, 100000000)")
 		must.NoError(t, err)
 		for range 1000 {
@@ -172,7 +172,7 @@
 		for i := range 3 {
 			must.NoError(t, fleet.Group.Member(i).Restart())
 		}
-		insertUntilServed(t, inst.CallerAddr(), 1000*i)
+		insertUntilServed(t, inst.ClientAddr(), 1000*i)
 	}
 }
 
@@ -180,7 +180,7 @@
 // under its name works once the refusal's cause is gone.
 func TestRefusedPrepareIsForgotten(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1, QueueTimeout: 100 * time.Millisecond})
-	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
+	conn := connect(t, fleet.Instances[0].ClientAddr(), "")
 	for i := range 3 {
 		fleet.Group.Member(i).Kill()
 	}
@@ -201,8 +201,8 @@
 // Settings follow their caller over shared connections and reach nobody else.
 func TestSettingsStayWithTheirCaller(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 2})
-	a := connect(t, fleet.Instances[0].CallerAddr(), "")
-	b := connect(t, fleet.Instances[1].CallerAddr(), "")
+	a := connect(t, fleet.Instances[0].ClientAddr(), "")
+	b := connect(t, fleet.Instances[1].ClientAddr(), "")
 	show := func(conn *pgx.Conn) string {
 		var value string
 		must.NoError(t, conn.QueryRow(testContext(t), "SHOW search_path").Scan(&value))
@@ -225,12 +225,12 @@
 func TestVanishedCallerIsRolledBack(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 2})
 	for i, inst := range fleet.Instances {
-		conn, err := dial(testContext(t), inst.CallerAddr(), "")
+		conn, err := dial(testContext(t), inst.ClientAddr(), "")
 		must.NoError(t, err)
 		exec(t, conn, "BEGIN")
 		exec(t, conn, "INSERT INTO shifts VALUES ($1, 'gone', 'open')", i)
 		must.NoError(t, conn.PgConn().Conn().Close())
-		other := connect(t, inst.CallerAddr(), "")
+		other := connect(t, inst.ClientAddr(), "")
 		eventually(t, "the row's lock is free", func() bool {
 			_, err := other.Exec(testContext(t), "INSERT INTO shifts VALUES ($1, 'next', 'open')", i)
 			return err == nil
@@ -243,8 +243,8 @@
 func TestCancelReachesOnlyItsStatement(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 4})
 	for _, inst := range fleet.Instances {
-		victim := connect(t, inst.CallerAddr(), "")
-		other := connect(t, inst.CallerAddr(), "")
+		victim := connect(t, inst.ClientAddr(), "")
+		other := connect(t, inst.ClientAddr(), "")
 		results := make(map[*pgx.Conn]chan error)
 		for _, conn := range []*pgx.Conn{victim, other} {
 			done := make(chan error, 1)
@@ -255,7 +255,7 @@
 			}()
 		}
 		eventually(t, "the statement is canceled", func() bool {
-			cancelThrough(t, fleet.Instances[1].CallerAddr(), victim)
+			cancelThrough(t, fleet.Instances[1].ClientAddr(), victim)
 			select {
 			case err := <-results[victim]:
 				must.Eq(t, "57014", sqlState(err))
@@ -286,7 +286,7 @@
 	spec.Service.Credential = "roster-app"
 	revision := fleet.Put(spec)
 	eventually(t, "the credential is in force", func() bool { return fleet.Instances[0].Revision() >= revision })
-	addr := fleet.Instances[0].CallerAddr()
+	addr := fleet.Instances[0].ClientAddr()
 	_, err := dial(testContext(t), addr, "", func(c *pgx.ConnConfig) { c.Password = "wrong" })
 	must.Eq(t, "28P01", sqlState(err))
 	_, err = dial(testContext(t), addr, "", func(c *pgx.ConnConfig) { c.User, c.Password = "nobody", "open sesame" })
--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -37,7 +37,7 @@
 			fleet := startFleet(t, standin.Options{Instances: 3, Lag: lag, Staleness: staleness})
 			var conns []*pgx.Conn
 			for _, inst := range fleet.Instances {
-				conns = append(conns, connect(t, inst.CallerAddr(), "amal"))
+				conns = append(conns, connect(t, inst.ClientAddr(), "amal"))
 			}
 			for id := range 9 {
 				exec(t, conns[id%3], "INSERT INTO shifts VALUES ($1, 'amal', 'open')", id)
@@ -58,13 +58,13 @@
 		t.Run(name, func(t *testing.T) {
 			fleet := startFleet(t, standin.Options{Instances: 3, Staleness: 30 * time.Second, Ack: resource.AckReplica})
 			entry := entryOf(t, fleet)
-			addr := fleet.Instances[entry].CallerAddr()
+			addr := fleet.Instances[entry].ClientAddr()
 			exec(t, connect(t, addr, "amal"), "INSERT INTO shifts VALUES (1, 'amal', 'open')")
 			disturb(fleet)
 			insertUntilServed(t, addr, 100)
 			for _, inst := range fleet.Instances {
 				if inst != nil {
-					must.Eq(t, 1, count(t, connect(t, inst.CallerAddr(), "amal"), 1))
+					must.Eq(t, 1, count(t, connect(t, inst.ClientAddr(), "amal"), 1))
 				}
 			}
 		})
@@ -103,14 +103,14 @@
 				fleet := startFleet(t, standin.Options{Instances: 4, Ack: resource.AckReplica})
 				fleet.Store.SetDown(storeDown)
 				entry := entryOf(t, fleet)
-				ledger := startWriters(fleet.Instances[entry].CallerAddr(), 4)
+				ledger := startWriters(fleet.Instances[entry].ClientAddr(), 4)
 				eventually(t, "writes are acknowledged", func() bool { return ledger.acked() > 50 })
 				fault(fleet)
 				before := ledger.acked()
-				last := insertUntilServed(t, fleet.Instances[entry].CallerAddr(), 1_000_000)
+				last := insertUntilServed(t, fleet.Instances[entry].ClientAddr(), 1_000_000)
 				eventually(t, "writes go on", func() bool { return ledger.acked() > before+50 })
 				ledger.stop()
-				check := connect(t, fleet.Instances[entry].CallerAddr(), "check")
+				check := connect(t, fleet.Instances[entry].ClientAddr(), "check")
 				must.Eq(t, 1, count(t, check, last))
 				ledger.verify(t, check)
 			})
@@ -280,7 +280,7 @@
 			fleet := startFleet(t, standin.Options{Instances: 3, Pause: freeze.pause})
 			t.Cleanup(freeze.thaw)
 			old := fleet.Owner()
-			conn := connect(t, fleet.Instances[old].CallerAddr(), "")
+			conn := connect(t, fleet.Instances[old].ClientAddr(), "")
 			exec(t, conn, "SELECT 1")
 			freeze.arm(old, step)
 			result := make(chan error, 1)
@@ -290,14 +290,14 @@
 			}()
 			<-freeze.reached
 			other := (old + 1) % 3
-			insertUntilServed(t, fleet.Instances[other].CallerAddr(), 100)
+			insertUntilServed(t, fleet.Instances[other].ClientAddr(), 100)
 			freeze.thaw()
 			err := <-result
 			must.Error(t, err)
 			switch sqlState(err) {
 			case "08007":
 			case "57P03":
-				must.Eq(t, 0, count(t, connect(t, fleet.Instances[other].CallerAddr(), ""), 1))
+				must.Eq(t, 0, count(t, connect(t, fleet.Instances[other].ClientAddr(), ""), 1))
 			default:
 				must.Unreachable(t, must.Sprint(err))
 			}
@@ -318,13 +318,13 @@
 	})
 	fleet.Group.SetLag(time.Hour)
 	entry := entryOf(t, fleet)
-	addr := fleet.Instances[entry].CallerAddr()
+	addr := fleet.Instances[entry].ClientAddr()
 	session := connect(t, addr, "amal")
 	exec(t, session, "INSERT INTO shifts VALUES (1, 'amal', 'open')")
 	fleet.Group.ByName(primaryOf(fleet)).Kill()
 	insertUntilServed(t, addr, 100)
 	for _, inst := range fleet.Instances {
-		_, err := connect(t, inst.CallerAddr(), "amal").Exec(testContext(t), "SELECT * FROM shifts")
+		_, err := connect(t, inst.ClientAddr(), "amal").Exec(testContext(t), "SELECT * FROM shifts")
 		must.Eq(t, "SS001", sqlState(err))
 	}
 	must.Eq(t, 0, count(t, connect(t, addr, "other"), 1))
@@ -337,7 +337,7 @@
 func TestLeavingMembersAreEmptied(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	primary := primaryOf(fleet)
-	addr := fleet.Instances[0].CallerAddr()
+	addr := fleet.Instances[0].ClientAddr()
 	tx, err := connect(t, addr, "").Begin(testContext(t))
 	must.NoError(t, err)
 	_, err = tx.Exec(testContext(t), "INSERT INTO shifts VALUES (1, 'open', 'open')")
--- a/internal/e2e/key_test.go
+++ b/internal/e2e/key_test.go
@@ -31,7 +31,7 @@
 		var wait sync.WaitGroup
 		key := fmt.Sprintf("booking-%d", round)
 		for i := range 6 {
-			conn := connect(t, fleet.Instances[i%3].CallerAddr(), "")
+			conn := connect(t, fleet.Instances[i%3].ClientAddr(), "")
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
@@ -42,13 +42,13 @@
 			}()
 		}
 		wait.Wait()
-		must.Eq(t, 1, count(t, connect(t, fleet.Instances[0].CallerAddr(), ""), round))
+		must.Eq(t, 1, count(t, connect(t, fleet.Instances[0].ClientAddr(), ""), round))
 	}
 }
 
 func TestRequestKeyOfAnotherRequestIsRefused(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
-	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
+	conn := connect(t, fleet.Instances[0].ClientAddr(), "")
 	_, err := keyed(testContext(t), conn, "k", 1)
 	must.NoError(t, err)
 	_, err = keyed(testContext(t), conn, "k", 2)
@@ -59,7 +59,7 @@
 // A failed request leaves its key free.
 func TestRequestKeyOfFailedRequestIsFree(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
-	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
+	conn := connect(t, fleet.Instances[0].ClientAddr(), "")
 	exec(t, conn, "INSERT INTO shifts VALUES (1, 'there', 'open')")
 	_, err := keyed(testContext(t), conn, "k", 1)
 	must.Eq(t, "23505", sqlState(err))
@@ -71,7 +71,7 @@
 // A whole transaction may carry a key; its repeat runs nothing.
 func TestRequestKeyOfTransaction(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
-	exec(t, connect(t, fleet.Instances[0].CallerAddr(), ""), "INSERT INTO shifts VALUES (1, 'a', '0')")
+	exec(t, connect(t, fleet.Instances[0].ClientAddr(), ""), "INSERT INTO shifts VALUES (1, 'a', '0')")
 	swap := func(conn *pgx.Conn) string {
 		exec(t, conn, "SET stackspindle.request_key = 'swap'")
 		tx, err := conn.Begin(testContext(t))
@@ -83,7 +83,7 @@
 		return state
 	}
 	for _, inst := range fleet.Instances {
-		must.Eq(t, "01", swap(connect(t, inst.CallerAddr(), "", func(c *pgx.ConnConfig) {
+		must.Eq(t, "01", swap(connect(t, inst.ClientAddr(), "", func(c *pgx.ConnConfig) {
 			c.DefaultQueryExecMode = pgx.QueryExecModeExec
 		})))
 	}
@@ -95,7 +95,7 @@
 	fleet := startFleet(t, standin.Options{Instances: 4, Ack: resource.AckReplica, SetUp: []string{"CREATE TABLE counters (id int PRIMARY KEY, n int)"}})
 	const writers, perWriter = 4, 15
 	entry := entryOf(t, fleet)
-	addr := fleet.Instances[entry].CallerAddr()
+	addr := fleet.Instances[entry].ClientAddr()
 	setup := connect(t, addr, "")
 	for w := range writers {
 		exec(t, setup, "INSERT INTO counters VALUES ($1, 0)", w)
--- a/internal/e2e/operator_test.go
+++ b/internal/e2e/operator_test.go
@@ -79,7 +79,7 @@
 	must.Eq(t, 5, p.Instances)
 	must.Eq(t, int64(1), p.Resource.Status.ObservedGeneration)
 	for _, inst := range fleet.Instances {
-		conn := connect(t, inst.CallerAddr(), "")
+		conn := connect(t, inst.ClientAddr(), "")
 		must.NoError(t, conn.Ping(testContext(t)))
 		var seen resource.Resource
 		must.Eq(t, http.StatusOK, request(t, inst, http.MethodGet, "/v1/resources/service/desk", nil, &seen))
@@ -171,14 +171,14 @@
 	fleet.Store.SetDown(true)
 	inst, err := fleet.StartInstance(2)
 	must.NoError(t, err)
-	_, err = dial(testContext(t), inst.CallerAddr(), "")
+	_, err = dial(testContext(t), inst.ClientAddr(), "")
 	must.Eq(t, "57P03", sqlState(err), must.Sprint("without peers there is no configuration"))
 	fleet.Kill(2)
 	fleet.SetSeeds(seeds)
 	inst, err = fleet.StartInstance(2)
 	must.NoError(t, err)
 	eventually(t, "the configuration is in force", func() bool { return inst.Revision() == fleet.Instances[0].Revision() })
-	insertUntilServed(t, inst.CallerAddr(), 0)
+	insertUntilServed(t, inst.ClientAddr(), 0)
 }
 
 // A service that comes back with older data than was accepted is noticed, and
@@ -215,7 +215,7 @@
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	var addrs []string
 	for _, inst := range fleet.Instances {
-		addrs = append(addrs, inst.CallerAddr())
+		addrs = append(addrs, inst.ClientAddr())
 	}
 	fleet.PinCallerAddresses(addrs)
 	var ledgers []*ledger
@@ -251,7 +251,7 @@
 func TestPlannedStopDoesNotWaitOutLongTransactions(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	stopping := fleet.Owner()
-	entry := fleet.Instances[entryOf(t, fleet)].CallerAddr()
+	entry := fleet.Instances[entryOf(t, fleet)].ClientAddr()
 	tx, err := connect(t, entry, "").Begin(testContext(t))
 	must.NoError(t, err)
 	_, err = tx.Exec(testContext(t), "INSERT INTO shifts VALUES (1, 'long', 'open')")
@@ -283,7 +283,7 @@
 func TestTimelineOrdersAFailover(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	fleet.Group.ByName(primaryOf(fleet)).Kill()
-	insertUntilServed(t, fleet.Instances[0].CallerAddr(), 0)
+	insertUntilServed(t, fleet.Instances[0].ClientAddr(), 0)
 	var line operator.Timeline
 	eventually(t, "the whole failover is on the time line", func() bool {
 		request(t, fleet.Instances[0], http.MethodGet, "/v1/timeline?group=roster", nil, &line)
--- a/internal/e2e/sharing_test.go
+++ b/internal/e2e/sharing_test.go
@@ -42,7 +42,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var callers [2]*sharer
 		for i := range callers {
-			conn, err := dial(context.Background(), fleet.Instances[i].CallerAddr(), "", func(c *pgx.ConnConfig) {
+			conn, err := dial(context.Background(), fleet.Instances[i].ClientAddr(), "", func(c *pgx.ConnConfig) {
 				c.DefaultQueryExecMode = pgx.QueryExecModeSimpleProtocol
 			})
 			must.NoError(rt, err)
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -60,7 +60,7 @@
 	insecure := &tls.Config{InsecureSkipVerify: true}
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: insecure}}
 	for i, inst := range fleet.Instances {
-		conn := connect(t, inst.CallerAddr(), "", func(c *pgx.ConnConfig) { c.TLSConfig = insecure })
+		conn := connect(t, inst.ClientAddr(), "", func(c *pgx.ConnConfig) { c.TLSConfig = insecure })
 		exec(t, conn, "INSERT INTO shifts VALUES ($1, 'tls', 'open')", i)
 		must.Eq(t, 1, count(t, conn, i))
 		resp, err := client.Get("https://" + inst.OperatorAddr() + "/readyz")
@@ -76,7 +76,7 @@
 	fleet := startFleet(t, standin.Options{Instances: 2, QueueTimeout: 300 * time.Millisecond, Adjust: func(s *config.Settings) {
 		s.PeerTLS = selfSigned(t)
 	}})
-	conn := connect(t, fleet.Instances[entryOf(t, fleet)].CallerAddr(), "")
+	conn := connect(t, fleet.Instances[entryOf(t, fleet)].ClientAddr(), "")
 	_, err := conn.Exec(testContext(t), "INSERT INTO shifts VALUES (9, 'outside', 'open')")
 	must.Eq(t, "57P03", sqlState(err))
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -205,8 +205,8 @@
 	}()
 }
 
-// CallerAddr returns the address that clients connect to.
-func (i *Instance) CallerAddr() string { return i.clientAddr }
+// ClientAddr returns the address that clients connect to.
+func (i *Instance) ClientAddr() string { return i.clientAddr }
 
 // PeerAddr returns the address that other instances connect to.
 func (i *Instance) PeerAddr() string { return i.peerAddr }
