--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -9,13 +9,13 @@
 
 // Finding is one validation error.
 type Finding struct {
-	Place   string `json:"place"` // location, such as "file:line: [section] key" or a field path
-	Message string `json:"message"`
+	Location string `json:"place"` // location, such as "file:line: [section] key" or a field path
+	Message  string `json:"message"`
 }
 
 // String returns the finding on one line.
 func (f Finding) String() string {
-	return f.Place + ": " + f.Message
+	return f.Location + ": " + f.Message
 }
 
 // List is a list of findings. It implements error; use Err, since an empty list is no error.
@@ -23,7 +23,7 @@
 
 // Add appends a finding.
 func (l *List) Add(place, format string, args ...any) {
-	*l = append(*l, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
+	*l = append(*l, Finding{Location: place, Message: fmt.Sprintf(format, args...)})
 }
 
 // Err returns the list as an error, or nil when it is empty.
--- a/internal/instance/resources.go
+++ b/internal/instance/resources.go
@@ -99,7 +99,7 @@
 	}
 	n, err := strconv.ParseInt(version, 10, 64)
 	if err != nil || n < 1 {
-		return 0, findings.List{{Place: "metadata.resourceVersion", Message: fmt.Sprintf("%q is not a version", version)}}
+		return 0, findings.List{{Location: "metadata.resourceVersion", Message: fmt.Sprintf("%q is not a version", version)}}
 	}
 	return n, nil
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -253,7 +253,7 @@
 	}
 	document, err := resource.Parse(raw)
 	if err == nil && (document.Kind != kind || document.Metadata.Name != r.PathValue("name")) {
-		err = findings.List{{Place: "metadata.name", Message: "kind and name must be those of the path"}}
+		err = findings.List{{Location: "metadata.name", Message: "kind and name must be those of the path"}}
 	}
 	if err != nil {
 		writeBackendError(w, err)
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -150,7 +150,7 @@
 		return nil, decodeFinding(raw, err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, findings.List{{Place: "document", Message: "more follows after the end of the document"}}
+		return nil, findings.List{{Location: "document", Message: "more follows after the end of the document"}}
 	}
 	r.setDefaults()
 	return &r, r.Validate()
