--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -224,8 +224,8 @@
 	s.Regions[ref.key] = region // also an invalid one, so that it is not reported as missing as well
 }
 
-// checkRegions checks that the instance's data centre has a region, and that the region set
-// in [instance], if any, is the same.
+// checkRegions checks that the instance's data centre has a region, and that the region set in
+// [instance], if any, is the same.
 func (p *parser) checkRegions(s *Settings) {
 	known := slices.Collect(maps.Values(s.Regions))
 	own, ok := s.Regions[s.DataCentre]
@@ -241,8 +241,8 @@
 	s.Region = cmp.Or(s.Region, own)
 }
 
-// minStoreTimeout is the minimum of store_silence. It leaves enough time for a watch request and its round trip on a
-// healthy network.
+// minStoreTimeout is the minimum of store_silence. It leaves enough time for a watch request
+// and its round trip on a healthy network.
 const minStoreTimeout = time.Second
 
 // requirement is a mandatory key with its current value.
@@ -251,8 +251,8 @@
 	value string
 }
 
-// checkComplete checks mandatory keys and constraints between keys, and fills in defaults
-// that depend on other keys.
+// checkComplete checks mandatory keys and constraints between keys, and fills in defaults that
+// depend on other keys.
 func (p *parser) checkComplete(s *Settings) {
 	required := []requirement{
 		{keyRef{"instance", "name"}, s.Name},
--- a/internal/config/template_test.go
+++ b/internal/config/template_test.go
@@ -14,7 +14,8 @@
 	"github.com/stackspindle/stackspindle/internal/quota"
 )
 
-// templateValues holds values for the placeholders of the template, as in the platform's documentation.
+// templateValues holds values for the placeholders of the template, as in the platform's
+// documentation.
 var templateValues = map[string]string{
 	"node-name": "front-1", "zone": "tunis-a", "listen.front": "10.1.0.8:8784", "listen.ready": "10.1.0.8:8785",
 	"ip": "10.1.0.8", "port-range.0": "7440", "platform.address": "10.200.1.7:8783", "cloud-api.address": "10.200.0.160:8783",
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -17,8 +17,8 @@
 // maxLine bounds one line of a log, in bytes.
 const maxLine = 1 << 20
 
-// TimeBefore and After limit the time around a request from which lines about its group are
-// included. A failover takes at most a few seconds, and its causes precede it.
+// TimeBefore and TimeAfter limit the time around a request from which lines about its group
+// are included. A failover takes at most a few seconds, and its causes precede it.
 const (
 	TimeBefore = 6 * time.Second
 	TimeAfter  = time.Second
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -33,7 +33,7 @@
 	out.Reset()
 	must.NoError(t, Explain(lines, "x4").Write(&out))
 	must.StrContains(t, out.String(), "01:00:11.000 b relay: requests that did not succeed why=full")
-	must.StrNotContains(t, out.String(), "x3", must.Sprint("others are left out"))
+	must.StrNotContains(t, out.String(), "x3", must.Sprint("other requests of the line are not printed"))
 	out.Reset()
 	must.NoError(t, Explain(lines, "unknown").Write(&out))
 	must.StrContains(t, out.String(), "no line names the request")
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -56,7 +56,7 @@
 type ownerWatch struct {
 	ownerlessSince time.Duration            // since when no owner is known to be alive; 0: an owner is alive
 	nextClaim      time.Duration            // earliest time of the next claim
-	misplacedSince time.Duration            // since when this instance owns the group without being its first choice; 0: it is not so
+	misplacedSince time.Duration            // since when this instance owns the group without being its first choice; 0: not the case
 	idleSince      map[string]time.Duration // by instance: since when it reports that it does not serve the group
 }
 
@@ -120,9 +120,9 @@
 	}
 }
 
-// runOnControl runs an event on the control goroutine and waits until it is done. It returns false
-// if the instance stops first: the event may then not run at all, or still be running, so
-// the caller must not read what the event writes.
+// runOnControl runs an event on the control goroutine and waits until it is done. It returns
+// false if the instance stops first: the event may then not run at all, or still be running,
+// so the caller must not read what the event writes.
 func (i *Instance) runOnControl(ev event) bool {
 	done := make(chan struct{})
 	wrapped := func(c *control) {
@@ -281,7 +281,8 @@
 	return true
 }
 
-// announceNewTerms announces the groups that this instance serves in a new term to all known instances.
+// announceNewTerms announces the groups that this instance serves in a new term to all known
+// instances.
 func (c *control) announceNewTerms() {
 	var states []*peerpb.GroupState
 	for name, g := range c.groups {
@@ -369,8 +370,8 @@
 	}
 }
 
-// sendDueProbes sends the probes that are due: to the neighbours, and to the owners of the groups
-// for which this instance is a candidate and the candidates that rank before it.
+// sendDueProbes sends the probes that are due: to the neighbours, and to the owners of the
+// groups for which this instance is a candidate and the candidates that rank before it.
 func (c *control) sendDueProbes(now time.Duration) {
 	intervals := make(map[string]time.Duration)
 	for _, name := range c.members.Neighbours() {
--- a/internal/instance/resources.go
+++ b/internal/instance/resources.go
@@ -224,8 +224,8 @@
 }
 
 // activeRevisions returns the active revision of each live instance. It probes the instances
-// that have not confirmed the wanted revision according to seen, and updates seen. An
-// instance that does not answer keeps its last known revision, and so counts as lagging.
+// that have not confirmed the wanted revision according to seen, and updates seen. An instance
+// that does not answer keeps its last known revision, and so counts as lagging.
 func (i *Instance) activeRevisions(wanted int64, seen map[string]int64) map[string]int64 {
 	revisions := map[string]int64{i.settings.Name: i.Revision()}
 	var mu sync.Mutex
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -42,8 +42,8 @@
 	return slices.Contains(ranking[:min(watchersPerDataCentre, len(ranking))], i.settings.Name)
 }
 
-// syncConfiguration keeps the configuration up to date from the platform's key-value service. A
-// watcher loads and watches it, with exponential backoff between attempts. Any other
+// syncConfiguration keeps the configuration up to date from the platform's key-value service.
+// A watcher loads and watches it, with exponential backoff between attempts. Any other
 // instance loads it only until it has a first configuration.
 func (i *Instance) syncConfiguration(ctx context.Context) {
 	delay := backoff.NewExponentialBackOff()
@@ -129,9 +129,9 @@
 	return applyErr
 }
 
-// withRemovedInstances returns the content's entries plus a tombstone for each instance that is no
-// longer on the platform's list. The platform deletes the keys of such instances, whereas
-// deleted resources leave a tombstone in the service.
+// withRemovedInstances returns the content's entries plus a tombstone for each instance that
+// is no longer on the platform's list. The platform deletes the keys of such instances,
+// whereas deleted resources leave a tombstone in the service.
 func withRemovedInstances(current *rollout.Snapshot, content etcd.Content) []rollout.Entry {
 	listed := make(map[rollout.Key]bool)
 	entries := content.Entries
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -43,7 +43,7 @@
 	k := l.kinds[name]
 	if k == nil {
 		if len(l.kinds) >= limitKinds {
-			clear(l.kinds) // bounds the memory; there are few kinds unless the names have a fault
+			clear(l.kinds) // bounds the memory; only a fault produces more kinds than this
 		}
 		k = &kindState{windowStart: now}
 		l.kinds[name] = k
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -21,7 +21,7 @@
 		must.False(t, ok)
 	}
 	_, ok := l.Allow("b")
-	must.True(t, ok, must.Sprint("the first of a kind"))
+	must.True(t, ok, must.Sprint("the first line of a kind is always allowed"))
 	now = limitWindow
 	suppressed, ok := l.Allow("a")
 	must.True(t, ok)
@@ -59,7 +59,7 @@
 	must.Eq(t, 5, w.Dropped())
 	close(out.release)
 	w.Close()
-	must.Eq(t, bufferedLines+1+1, strings.Count(out.out.String(), "\n"), must.Sprint("all that fitted, and the report"))
+	must.Eq(t, bufferedLines+1+1, strings.Count(out.out.String(), "\n"), must.Sprint("all buffered lines, and the line with the number of dropped ones"))
 	must.StrContains(t, out.out.String(), `"dropped":5`)
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -109,9 +109,10 @@
 	return next
 }
 
-// MergeContent merges the complete content of the platform's key-value service as of a revision.
-// The service stores deletions as tombstones. If an active entry is missing in the content
-// or is older there, the service has lost data, and Load returns an OldDataError.
+// MergeContent merges the complete content of the platform's key-value service as of a
+// revision. The service stores deletions as tombstones. If an active entry is missing in the
+// content or is older there, the service has lost data, and MergeContent returns a
+// StaleDataError.
 func (s *Snapshot) MergeContent(revision int64, entries []Entry) (*Snapshot, error) {
 	if revision < s.revision {
 		return s, &StaleDataError{Have: s.revision, Got: revision}
@@ -128,8 +129,8 @@
 	return s.Merge(revision, entries), nil
 }
 
-// IsBehind reports whether another snapshot has, or may have, entries that s does not have: its
-// revision is higher, or it is equal but the digests differ.
+// IsBehind reports whether another snapshot has, or may have, entries that s does not have:
+// its revision is higher, or it is equal but the digests differ.
 func (s *Snapshot) IsBehind(otherRevision int64, otherDigest uint64) bool {
 	return otherRevision > s.revision || otherRevision == s.revision && otherDigest != s.digest
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -64,7 +64,7 @@
 			case 4:
 				loadBackup(t, instances[i], s)
 			case 5:
-				instances[i] = Empty() // replaced
+				instances[i] = Empty() // a new instance replaces this one
 				before = instances[i]
 			}
 			checkNoDecrease(t, before, instances[i])
@@ -83,7 +83,7 @@
 	revision, entries := s.content()
 	next, err := snapshot.MergeContent(revision, entries)
 	if err != nil {
-		t.Fatalf("the current content was refused: %v", err)
+		t.Fatalf("the current content was rejected: %v", err)
 	}
 	return next
 }
@@ -108,11 +108,11 @@
 
 func checkNoDecrease(t *rapid.T, before, after *Snapshot) {
 	if after.Revision() < before.Revision() {
-		t.Fatalf("went back from %d to %d", before.Revision(), after.Revision())
+		t.Fatalf("the revision decreased from %d to %d", before.Revision(), after.Revision())
 	}
 	for _, e := range before.Entries() {
 		if now := after.entries[e.Key]; now.Revision < e.Revision {
-			t.Fatalf("%s went back from %d to %d", e.Key, e.Revision, now.Revision)
+			t.Fatalf("the revision of %s decreased from %d to %d", e.Key, e.Revision, now.Revision)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	for key, want := range s.current {
 		got, ok := snapshot.Get(key)
 		if ok == want.Deleted || ok && got.Document != want.Document {
-			t.Fatalf("%s: %+v is in force, %+v was accepted", key, got, want)
+			t.Fatalf("%s: %+v is active, %+v was accepted", key, got, want)
 		}
 	}
 }
