--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return fmt.Errorf("instance: peer: %w", err)
 	}
-	callerListener, err := listen(i.settings.ClientListen)
+	clientListener, err := listen(i.settings.ClientListen)
 	if err != nil {
 		peerListener.Close()
 		return fmt.Errorf("instance: caller: %w", err)
@@ -173,16 +173,16 @@
 	operatorListener, err := listen(i.settings.OperatorListen)
 	if err != nil {
 		peerListener.Close()
-		callerListener.Close()
+		clientListener.Close()
 		return fmt.Errorf("instance: operator: %w", err)
 	}
 	i.operatorAddr = operatorListener.Addr().String()
-	i.peerAddr, i.clientAddr = peerListener.Addr().String(), callerListener.Addr().String()
+	i.peerAddr, i.clientAddr = peerListener.Addr().String(), clientListener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	i.ctx, i.cancel = ctx, cancel
 	i.control = newControl(i)
 	i.runPart("peer", func() error { return i.peerServer.Serve(peerListener) })
-	i.runPart("caller", func() error { return i.clientServer.Serve(callerListener) })
+	i.runPart("caller", func() error { return i.clientServer.Serve(clientListener) })
 	i.runPart("operator", func() error { return i.operatorServer.Serve(operatorListener) })
 	i.runPart("control", func() error { i.control.run(ctx); return nil })
 	i.runPart("platform", func() error { i.syncConfiguration(ctx); return nil })
