--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/client_test.go
@@ -15,7 +15,9 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-func TestCallerUsesEveryProtocol(t *testing.T) {
+// TestEveryQueryExecMode uses the simple and the extended protocol, with and
+// without prepared statements, through the owner and through ingress instances.
+func TestEveryQueryExecMode(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	modes := []pgx.QueryExecMode{
 		pgx.QueryExecModeCacheStatement,
@@ -30,7 +32,7 @@
 			for round := range 3 {
 				id := 1000*m + 100*i + round
 				exec(t, conn, "INSERT INTO shifts (id, volunteer, state) VALUES ($1, $2, 'open')", id, "amal")
-				must.Eq(t, 1, count(t, conn, id))
+				must.Eq(t, 1, countRows(t, conn, id))
 			}
 			var volunteer string
 			err := conn.QueryRow(testContext(t), "SELECT volunteer FROM shifts WHERE id = $1", 1000*m+100*i).Scan(&volunteer)
@@ -85,9 +87,10 @@
 	}
 }
 
-// What sharing cannot serve is refused before it reaches a member, and inside a
-// transaction it fails that transaction.
-func TestRefusedStatementsAreNotRun(t *testing.T) {
+// Statements that would leave state on a pooled connection, or that pooling cannot
+// support, must be rejected before they reach a member. Inside a transaction the
+// rejection must fail the transaction.
+func TestUnsupportedStatementsAreRejected(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
 	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
 	for _, sql := range []string{
@@ -104,35 +107,37 @@
 	_, err = tx.Exec(testContext(t), "LISTEN news")
 	must.Eq(t, "0A000", sqlState(err))
 	must.Error(t, tx.Commit(testContext(t)))
-	must.Eq(t, 0, count(t, conn, 7))
+	must.Eq(t, 0, countRows(t, conn, 7))
 }
 
-// Callers share few connections; each must get its own answers whole. A buffer
-// that an answer shared with the next batch on its connection broke this.
-func TestConcurrentAnswersStayApart(t *testing.T) {
+// Guards against mixed-up results: 16 clients share three connections per member.
+// It happens when an answer still refers to a read buffer that the next batch on
+// the same connection overwrites.
+func TestConcurrentClientsGetOwnResults(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 3})
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for c := range 16 {
 		inst := fleet.Instances[c%2]
 		conn := connect(t, inst.CallerAddr(), "")
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			for i := range 60 {
 				want := strings.Repeat(fmt.Sprintf("%02d.%03d ", c, i), 1+(c*i)%40)
 				var got string
 				if err := conn.QueryRow(context.Background(), "SELECT $1::text", want).Scan(&got); err != nil || got != want {
-					t.Errorf("caller %d: got %q, want %q, error %v", c, got, want, err)
+					t.Errorf("client %d: got %q, want %q, error %v", c, got, want, err)
 					return
 				}
 			}
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-// A big answer passes in chunks through two hops.
-func TestBigResultArrivesWhole(t *testing.T) {
+// A large result is sent in chunks, also through two instances (ingress and owner),
+// and must arrive complete and in order.
+func TestLargeResultIsComplete(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	for _, inst := range fleet.Instances {
 		conn := connect(t, inst.CallerAddr(), "")
@@ -152,8 +157,9 @@
 	}
 }
 
-// A member that dies in the middle of an answer must not make it look complete.
-func TestHalfAnswerIsAnError(t *testing.T) {
+// Guards against truncated results: when a member dies in the middle of an answer,
+// the client must get an error, not the end of the result.
+func TestTruncatedResultIsAnError(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	for i, inst := range fleet.Instances {
 		conn := connect(t, inst.CallerAddr(), "")
@@ -172,13 +178,14 @@
 		for i := range 3 {
 			must.NoError(t, fleet.Group.Member(i).Restart())
 		}
-		insertUntilServed(t, inst.CallerAddr(), 1000*i)
+		insertUntilAcknowledged(t, inst.CallerAddr(), 1000*i)
 	}
 }
 
-// A statement whose preparation was refused is not known; preparing it again
-// under its name works once the refusal's cause is gone.
-func TestRefusedPrepareIsForgotten(t *testing.T) {
+// Guards against a Parse that was rejected while the group was unavailable but
+// whose statement name stays taken: preparing it again would fail with 42P05
+// (duplicate prepared statement).
+func TestPrepareAfterRejectedPrepare(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1, QueueTimeout: 100 * time.Millisecond})
 	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
 	for i := range 3 {
@@ -198,8 +205,9 @@
 	})
 }
 
-// Settings follow their caller over shared connections and reach nobody else.
-func TestSettingsStayWithTheirCaller(t *testing.T) {
+// Guards against session settings that leak through a pooled connection to another
+// client, or get lost when the client is given another connection.
+func TestSessionSettingsAreIsolated(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 2})
 	a := connect(t, fleet.Instances[0].CallerAddr(), "")
 	b := connect(t, fleet.Instances[1].CallerAddr(), "")
@@ -221,8 +229,9 @@
 	must.Eq(t, "", show(a))
 }
 
-// A caller that vanishes in a transaction leaves nothing behind.
-func TestVanishedCallerIsRolledBack(t *testing.T) {
+// A client that disconnects inside a transaction must have it rolled back, so that
+// its row locks are released and the connection is usable again.
+func TestDisconnectRollsBackTransaction(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 2})
 	for i, inst := range fleet.Instances {
 		conn, err := dial(testContext(t), inst.CallerAddr(), "")
@@ -238,15 +247,15 @@
 	}
 }
 
-// A cancel request stops its own statement, also when the balancer brings it to
-// another instance, and never one of somebody else.
-func TestCancelReachesOnlyItsStatement(t *testing.T) {
+// A cancel request must cancel the statement of its client, also when the load
+// balancer routes it to another instance, and never a statement of another client.
+func TestCancelRequestCancelsOnlyItsStatement(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 4})
 	for _, inst := range fleet.Instances {
-		victim := connect(t, inst.CallerAddr(), "")
+		canceled := connect(t, inst.CallerAddr(), "")
 		other := connect(t, inst.CallerAddr(), "")
 		results := make(map[*pgx.Conn]chan error)
-		for _, conn := range []*pgx.Conn{victim, other} {
+		for _, conn := range []*pgx.Conn{canceled, other} {
 			done := make(chan error, 1)
 			results[conn] = done
 			go func() {
@@ -255,9 +264,9 @@
 			}()
 		}
 		eventually(t, "the statement is canceled", func() bool {
-			cancelThrough(t, fleet.Instances[1].CallerAddr(), victim)
+			cancelThrough(t, fleet.Instances[1].CallerAddr(), canceled)
 			select {
-			case err := <-results[victim]:
+			case err := <-results[canceled]:
 				must.Eq(t, "57014", sqlState(err))
 				return true
 			default:
@@ -268,10 +277,11 @@
 	}
 }
 
+// cancelThrough sends a cancel request for conn to the instance at addr.
 func cancelThrough(t *testing.T, addr string, conn *pgx.Conn) {
 	t.Helper()
 	cfg := conn.PgConn()
-	other, err := dialRaw(addr)
+	other, err := dialTCP(addr)
 	must.NoError(t, err)
 	defer other.Close()
 	must.NoError(t, sendCancel(other, cfg.PID(), cfg.SecretKey()))
@@ -292,5 +302,5 @@
 	_, err = dial(testContext(t), addr, "", func(c *pgx.ConnConfig) { c.User, c.Password = "nobody", "open sesame" })
 	must.Eq(t, "28P01", sqlState(err))
 	conn := connect(t, addr, "", func(c *pgx.ConnConfig) { c.Password = "open sesame" })
-	must.Eq(t, 0, count(t, conn, 1))
+	must.Eq(t, 0, countRows(t, conn, 1))
 }
--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -16,8 +16,8 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// entryOf returns an instance that is not the owner.
-func entryOf(t *testing.T, fleet *standin.Fleet) int {
+// nonOwnerIndex returns the index of a running instance that is not the owner.
+func nonOwnerIndex(t *testing.T, fleet *standin.Fleet) int {
 	t.Helper()
 	o := fleet.Owner()
 	for i, inst := range fleet.Instances {
@@ -29,9 +29,9 @@
 	return -1
 }
 
-// A session that has just written reads it back through any instance, whatever
-// the lag and however stale a read its service accepts.
-func TestSessionReadsItsWritesEverywhere(t *testing.T) {
+// Read your writes: a session must see its own writes through every instance, for
+// any replica lag and any staleness that its service accepts.
+func TestReadYourWritesThroughAnyInstance(t *testing.T) {
 	for _, lag := range []time.Duration{0, 20 * time.Millisecond, 10 * time.Second} {
 		for _, staleness := range []time.Duration{0, 30 * time.Second} {
 			fleet := startFleet(t, standin.Options{Instances: 3, Lag: lag, Staleness: staleness})
@@ -42,36 +42,36 @@
 			for id := range 9 {
 				exec(t, conns[id%3], "INSERT INTO shifts VALUES ($1, 'amal', 'open')", id)
 				for _, conn := range conns {
-					must.Eq(t, 1, count(t, conn, id))
+					must.Eq(t, 1, countRows(t, conn, id))
 				}
 			}
 		}
 	}
 }
 
-// The same across a change of owner, and across a failover.
-func TestSessionReadsItsWritesAfterFailures(t *testing.T) {
-	for name, disturb := range map[string]func(*standin.Fleet){
+// Read your writes, after the owner or the primary has failed.
+func TestReadYourWritesAfterFailover(t *testing.T) {
+	for name, injectFault := range map[string]func(*standin.Fleet){
 		"owner dead":   func(f *standin.Fleet) { f.Kill(f.Owner()) },
 		"primary dead": func(f *standin.Fleet) { f.Group.ByName(primaryOf(f)).Kill() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := startFleet(t, standin.Options{Instances: 3, Staleness: 30 * time.Second, Ack: resource.AckReplica})
-			entry := entryOf(t, fleet)
-			addr := fleet.Instances[entry].CallerAddr()
+			ingress := nonOwnerIndex(t, fleet)
+			addr := fleet.Instances[ingress].CallerAddr()
 			exec(t, connect(t, addr, "amal"), "INSERT INTO shifts VALUES (1, 'amal', 'open')")
-			disturb(fleet)
-			insertUntilServed(t, addr, 100)
+			injectFault(fleet)
+			insertUntilAcknowledged(t, addr, 100)
 			for _, inst := range fleet.Instances {
 				if inst != nil {
-					must.Eq(t, 1, count(t, connect(t, inst.CallerAddr(), "amal"), 1))
+					must.Eq(t, 1, countRows(t, connect(t, inst.CallerAddr(), "amal"), 1))
 				}
 			}
 		})
 	}
 }
 
-// primaryOf returns the primary that is served, waiting for one if need be.
+// primaryOf waits until the group has an owner and returns the primary it uses.
 func primaryOf(f *standin.Fleet) string {
 	for {
 		if i := f.Owner(); i >= 0 {
@@ -82,8 +82,9 @@
 	}
 }
 
-// A failed primary is replaced without anybody's help, also while the platform's
-// service is down. Refused as not run was not run; every acknowledged row is there.
+// A failed primary or owner must be replaced automatically, also while the
+// platform's store is down. A statement that was rejected as not run must not have
+// run, and no acknowledged row may be lost.
 func TestPrimaryFailuresUnderLoad(t *testing.T) {
 	faults := map[string]func(*standin.Fleet){
 		"dead": func(f *standin.Fleet) { f.Group.ByName(primaryOf(f)).Kill() },
@@ -102,17 +103,17 @@
 				t.Parallel()
 				fleet := startFleet(t, standin.Options{Instances: 4, Ack: resource.AckReplica})
 				fleet.Store.SetDown(storeDown)
-				entry := entryOf(t, fleet)
-				ledger := startWriters(fleet.Instances[entry].CallerAddr(), 4)
-				eventually(t, "writes are acknowledged", func() bool { return ledger.acked() > 50 })
+				ingress := nonOwnerIndex(t, fleet)
+				log := startWriters(fleet.Instances[ingress].CallerAddr(), 4)
+				eventually(t, "writes are acknowledged", func() bool { return log.acknowledged() > 50 })
 				fault(fleet)
-				before := ledger.acked()
-				last := insertUntilServed(t, fleet.Instances[entry].CallerAddr(), 1_000_000)
-				eventually(t, "writes go on", func() bool { return ledger.acked() > before+50 })
-				ledger.stop()
-				check := connect(t, fleet.Instances[entry].CallerAddr(), "check")
-				must.Eq(t, 1, count(t, check, last))
-				ledger.verify(t, check)
+				before := log.acknowledged()
+				last := insertUntilAcknowledged(t, fleet.Instances[ingress].CallerAddr(), 1_000_000)
+				eventually(t, "writes go on", func() bool { return log.acknowledged() > before+50 })
+				log.stop()
+				check := connect(t, fleet.Instances[ingress].CallerAddr(), "check")
+				must.Eq(t, 1, countRows(t, check, last))
+				log.verify(t, check)
 			})
 		}
 	}
@@ -129,35 +130,38 @@
 	}
 }
 
-// ledger keeps what writers were told about each of their rows.
-type ledger struct {
+// writeLog records the outcome that was reported to writers for each row.
+type writeLog struct {
 	mu       sync.Mutex
 	outcomes map[int]string // id to "acked", "not run" or "unknown"
-	last     error          // of a write that was not acknowledged
+	lastErr  error          // of the last write that was not acknowledged
 	ackCount atomic.Int64
 	stopped  atomic.Bool
-	wait     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
-func (l *ledger) acked() int64 { return l.ackCount.Load() }
+func (l *writeLog) acknowledged() int64 { return l.ackCount.Load() }
 
-// nextWriter gives each writer of the test binary rows of its own.
-var nextWriter atomic.Int64
+// writerCount numbers the writers of all tests, so that no two write the same ids.
+var writerCount atomic.Int64
 
-func startWriters(addr string, n int) *ledger {
-	l := &ledger{outcomes: make(map[int]string)}
+// startWriters starts n goroutines that insert rows through the instance at addr
+// until the log is stopped.
+func startWriters(addr string, n int) *writeLog {
+	l := &writeLog{outcomes: make(map[int]string)}
 	for range n {
-		l.wait.Add(1)
-		first := 100_000_000 + int(nextWriter.Add(1))*1_000_000
+		l.wg.Add(1)
+		base := 100_000_000 + int(writerCount.Add(1))*1_000_000
 		go func() {
-			defer l.wait.Done()
-			l.write(addr, first)
+			defer l.wg.Done()
+			l.write(addr, base)
 		}()
 	}
 	return l
 }
 
-func (l *ledger) write(addr string, id int) {
+// write inserts rows with ascending ids, from id+1 on, until the log is stopped.
+func (l *writeLog) write(addr string, id int) {
 	var conn *pgx.Conn
 	for !l.stopped.Load() {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -172,18 +176,20 @@
 		id++
 		_, err := conn.Exec(ctx, "INSERT INTO shifts VALUES ($1, 'w', 'open')", id)
 		cancel()
-		l.note(id, err)
+		l.record(id, err)
 	}
 	if conn != nil {
 		conn.Close(context.Background())
 	}
 }
 
-func (l *ledger) note(id int, err error) {
+// record classifies the outcome of one insert. Without an SQLSTATE (connection
+// lost) or with 08007 (outcome unknown) the row may or may not exist.
+func (l *writeLog) record(id int, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.last = fmt.Errorf("row %d: %w", id, err)
+		l.lastErr = fmt.Errorf("row %d: %w", id, err)
 	}
 	switch state := sqlState(err); {
 	case err == nil:
@@ -196,13 +202,14 @@
 	}
 }
 
-func (l *ledger) stop() {
+func (l *writeLog) stop() {
 	l.stopped.Store(true)
-	l.wait.Wait()
+	l.wg.Wait()
 }
 
-// verify compares the rows with what the writers were told.
-func (l *ledger) verify(t *testing.T, conn *pgx.Conn) {
+// verify fails the test if an acknowledged row is missing or if a row exists whose
+// insert was rejected as not run.
+func (l *writeLog) verify(t *testing.T, conn *pgx.Conn) {
 	t.Helper()
 	rows, err := conn.Query(testContext(t), "SELECT id FROM shifts")
 	must.NoError(t, err)
@@ -214,94 +221,98 @@
 	}
 	for id, outcome := range l.outcomes {
 		if outcome == "acked" && !present[id] {
-			t.Errorf("row %d was acknowledged and is lost", id)
+			t.Errorf("row %d was acknowledged but is missing", id)
 		}
 		if outcome == "not run" && present[id] {
-			t.Errorf("row %d was refused as not run and is there", id)
+			t.Errorf("row %d was rejected as not run but exists", id)
 		}
 	}
 }
 
-// freezer stops everything that an instance does, as a paused process.
-type freezer struct {
+// pauser blocks all goroutines of an instance's groups, like a paused process. Its
+// hook is the fleet's Options.Pause.
+type pauser struct {
 	instance atomic.Int64
-	step     atomic.Value // owner.Step at which to freeze, "" for none
+	step     atomic.Value // owner.Step at which to pause, "" for none
 	mu       sync.Mutex
-	frozen   chan struct{} // non-nil while frozen
-	reached  chan struct{}
+	paused   chan struct{} // non-nil while paused, closed on resume
+	reached  chan struct{} // receives a value when the step is reached
 }
 
-func newFreezer() *freezer {
-	f := &freezer{reached: make(chan struct{}, 1)}
-	f.instance.Store(-1)
-	f.step.Store(owner.Step(""))
-	return f
+func newPauser() *pauser {
+	p := &pauser{reached: make(chan struct{}, 1)}
+	p.instance.Store(-1)
+	p.step.Store(owner.Step(""))
+	return p
 }
 
-func (f *freezer) arm(instance int, step owner.Step) {
-	f.step.Store(step)
-	f.instance.Store(int64(instance))
+// arm makes the instance pause when it next reaches the step.
+func (p *pauser) arm(instance int, step owner.Step) {
+	p.step.Store(step)
+	p.instance.Store(int64(instance))
 }
 
-func (f *freezer) thaw() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.frozen != nil {
-		close(f.frozen)
-		f.frozen = nil
+func (p *pauser) resume() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.paused != nil {
+		close(p.paused)
+		p.paused = nil
 	}
 }
 
-// pause is the hook: the first armed step freezes the whole instance.
-func (f *freezer) pause(i int, s owner.Step) {
-	if int64(i) != f.instance.Load() {
+// hook blocks while the instance is paused. The first call at the armed step pauses
+// the whole instance.
+func (p *pauser) hook(i int, s owner.Step) {
+	if int64(i) != p.instance.Load() {
 		return
 	}
-	f.mu.Lock()
-	if s != owner.StepControl && s == f.step.Load() && f.frozen == nil {
-		f.frozen = make(chan struct{})
-		f.step.Store(owner.Step(""))
-		f.reached <- struct{}{}
+	p.mu.Lock()
+	if s != owner.StepControl && s == p.step.Load() && p.paused == nil {
+		p.paused = make(chan struct{})
+		p.step.Store(owner.Step(""))
+		p.reached <- struct{}{}
 	}
-	frozen := f.frozen
-	f.mu.Unlock()
-	if frozen != nil {
-		<-frozen
+	paused := p.paused
+	p.mu.Unlock()
+	if paused != nil {
+		<-paused
 	}
 }
 
-// An owner that is paused at any step of a write, replaced meanwhile and resumed
-// must not acknowledge: the caller gets "unknown", or "not run" truthfully.
+// Guards against a stale owner: one that is paused at some step of a write,
+// replaced meanwhile and then resumed must not acknowledge the write. The client
+// gets "outcome unknown" (08007), or "not run" (57P03) if the row does not exist.
 func TestOwnerPausedAtEveryStep(t *testing.T) {
 	for _, step := range []owner.Step{owner.StepSend, owner.StepAnswered, owner.StepReply} {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
-			freeze := newFreezer()
-			fleet := startFleet(t, standin.Options{Instances: 3, Pause: freeze.pause})
-			t.Cleanup(freeze.thaw)
+			ownerPauser := newPauser()
+			fleet := startFleet(t, standin.Options{Instances: 3, Pause: ownerPauser.hook})
+			t.Cleanup(ownerPauser.resume)
 			old := fleet.Owner()
 			conn := connect(t, fleet.Instances[old].CallerAddr(), "")
 			exec(t, conn, "SELECT 1")
-			freeze.arm(old, step)
+			ownerPauser.arm(old, step)
 			result := make(chan error, 1)
 			go func() {
 				_, err := conn.Exec(context.Background(), "INSERT INTO shifts VALUES (1, 'paused', 'open')")
 				result <- err
 			}()
-			<-freeze.reached
+			<-ownerPauser.reached
 			other := (old + 1) % 3
-			insertUntilServed(t, fleet.Instances[other].CallerAddr(), 100)
-			freeze.thaw()
+			insertUntilAcknowledged(t, fleet.Instances[other].CallerAddr(), 100)
+			ownerPauser.resume()
 			err := <-result
 			must.Error(t, err)
 			switch sqlState(err) {
 			case "08007":
 			case "57P03":
-				must.Eq(t, 0, count(t, connect(t, fleet.Instances[other].CallerAddr(), ""), 1))
+				must.Eq(t, 0, countRows(t, connect(t, fleet.Instances[other].CallerAddr(), ""), 1))
 			default:
 				must.Unreachable(t, must.Sprint(err))
 			}
-			eventually(t, "the old owner stands down", func() bool {
+			eventually(t, "the old owner stops serving", func() bool {
 				st, _ := fleet.Instances[old].Group("roster")
 				return !st.Serving
 			})
@@ -309,32 +320,33 @@
 	}
 }
 
-// Where a failover has lost acknowledged work, its session is told and never
-// reads an older state; it may go on once it says so.
-func TestLostWritesAreToldToTheirSession(t *testing.T) {
+// When a failover has lost acknowledged writes, their session must get an error
+// (SS001) instead of a read of the older state, until it accepts the loss. Replicas
+// lag by an hour here, so the write exists only on the primary that is killed.
+func TestLostWritesAreReportedToTheirSession(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	eventually(t, "the replicas hold the table", func() bool {
 		return fleet.Group.Member(1).Position().Index > 0 && fleet.Group.Member(2).Position().Index > 0
 	})
 	fleet.Group.SetLag(time.Hour)
-	entry := entryOf(t, fleet)
-	addr := fleet.Instances[entry].CallerAddr()
+	ingress := nonOwnerIndex(t, fleet)
+	addr := fleet.Instances[ingress].CallerAddr()
 	session := connect(t, addr, "amal")
 	exec(t, session, "INSERT INTO shifts VALUES (1, 'amal', 'open')")
 	fleet.Group.ByName(primaryOf(fleet)).Kill()
-	insertUntilServed(t, addr, 100)
+	insertUntilAcknowledged(t, addr, 100)
 	for _, inst := range fleet.Instances {
 		_, err := connect(t, inst.CallerAddr(), "amal").Exec(testContext(t), "SELECT * FROM shifts")
 		must.Eq(t, "SS001", sqlState(err))
 	}
-	must.Eq(t, 0, count(t, connect(t, addr, "other"), 1))
+	must.Eq(t, 0, countRows(t, connect(t, addr, "other"), 1))
 	exec(t, session, "SET stackspindle.accept_loss = on")
-	must.Eq(t, 0, count(t, session, 1))
+	must.Eq(t, 0, countRows(t, session, 1))
 }
 
-// A leaving member gets no new work; a leaving primary is replaced while its
-// open transaction ends by itself.
-func TestLeavingMembersAreEmptied(t *testing.T) {
+// A leaving member must get no new statements. A leaving primary must be drained
+// and replaced; a transaction that is open on it may still commit.
+func TestLeavingMembersAreDrained(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	primary := primaryOf(fleet)
 	addr := fleet.Instances[0].CallerAddr()
@@ -360,10 +372,10 @@
 	})
 	must.NoError(t, tx.Commit(testContext(t)))
 	eventually(t, "another primary serves", func() bool { return fleet.Owner() >= 0 && primaryOf(fleet) != primary })
-	insertUntilServed(t, addr, 100)
-	must.Eq(t, 1, count(t, connect(t, addr, "x"), 1))
+	insertUntilAcknowledged(t, addr, 100)
+	must.Eq(t, 1, countRows(t, connect(t, addr, "x"), 1))
 	for range 50 {
-		must.Eq(t, 1, count(t, connect(t, addr, "x"), 1))
+		must.Eq(t, 1, countRows(t, connect(t, addr, "x"), 1))
 	}
 	eventually(t, "only control connections are left", func() bool { return fleet.Group.ByName(primary).Connections() <= 2 })
 }
--- a/internal/e2e/helpers_test.go
+++ b/internal/e2e/helpers_test.go
@@ -1,5 +1,10 @@
-// Package e2e tests the whole path: PostgreSQL clients, instances that talk
-// over gRPC, and the stand-ins for the database group and the platform.
+// Package e2e has the end-to-end tests: PostgreSQL clients, instances that talk
+// to one another over gRPC, and in-process stand-ins for the members of the
+// database group and for the platform's configuration store.
+//
+// The owner of a group is the instance that holds the connections to its
+// members and runs its statements. The ingress instance is the one that a
+// client is connected to; it forwards statements to the owner.
 package e2e
 
 import (
@@ -19,26 +24,29 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// patience bounds waits that end long before when nothing is wrong.
-const patience = 30 * time.Second
+// waitTimeout limits every wait. It is far above what a wait takes when nothing
+// is wrong.
+const waitTimeout = 30 * time.Second
 
+// startFleet starts a fleet and waits until its group has an owner.
 func startFleet(t testing.TB, opts standin.Options) *standin.Fleet {
 	t.Helper()
 	fleet, err := standin.Start(opts)
 	must.NoError(t, err)
 	t.Cleanup(fleet.Close)
-	_, err = fleet.AwaitOwner(patience)
+	_, err = fleet.AwaitOwner(waitTimeout)
 	must.NoError(t, err)
 	return fleet
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// connect opens a caller's connection to an instance, in a named session.
+// connect opens a client connection to an instance. An empty session means none.
+// It is closed when the test ends.
 func connect(t testing.TB, addr, session string, adjust ...func(*pgx.ConnConfig)) *pgx.Conn {
 	t.Helper()
 	conn, err := dial(testContext(t), addr, session, adjust...)
@@ -47,6 +55,7 @@
 	return conn
 }
 
+// dial is connect for connections that may fail or that the test closes itself.
 func dial(ctx context.Context, addr, session string, adjust ...func(*pgx.ConnConfig)) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig("postgres://roster@" + addr + "/roster?sslmode=disable")
 	if err != nil {
@@ -76,31 +85,32 @@
 	must.NoError(t, err)
 }
 
-// count returns how many rows of shifts have the id.
-func count(t testing.TB, conn *pgx.Conn, id int) int {
+// countRows returns how many rows of shifts have the id.
+func countRows(t testing.TB, conn *pgx.Conn, id int) int {
 	t.Helper()
 	var n int
 	must.NoError(t, conn.QueryRow(testContext(t), "SELECT count(*) FROM shifts WHERE id = $1", id).Scan(&n))
 	return n
 }
 
-// eventually waits until a condition holds.
-func eventually(t testing.TB, what string, holds func() bool) {
+// eventually polls until the condition holds and fails the test after waitTimeout.
+func eventually(t testing.TB, description string, holds func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			must.Unreachable(t, must.Sprint("never happened: "+what))
+			must.Unreachable(t, must.Sprint("timed out waiting for: "+description))
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// insertUntilServed repeats an insert until one is acknowledged. Each try has an
-// id of its own, so that no unknown outcome is repeated. It returns that id.
-func insertUntilServed(t testing.TB, addr string, first int) int {
+// insertUntilAcknowledged retries an insert until one is acknowledged and returns
+// the id of that row. Each attempt inserts a new id, from base+1 on, because an
+// attempt with an unknown outcome may have inserted its row.
+func insertUntilAcknowledged(t testing.TB, addr string, base int) int {
 	t.Helper()
-	id := first
+	id := base
 	eventually(t, "a write is acknowledged", func() bool {
 		id++
 		conn, err := dial(testContext(t), addr, "")
@@ -116,11 +126,11 @@
 	return id
 }
 
-func dialRaw(addr string) (net.Conn, error) {
-	return net.DialTimeout("tcp", addr, patience)
+func dialTCP(addr string) (net.Conn, error) {
+	return net.DialTimeout("tcp", addr, waitTimeout)
 }
 
-// sendCancel sends a cancel request and waits until the other side closes.
+// sendCancel sends a cancel request and waits until the server closes the connection.
 func sendCancel(conn net.Conn, pid uint32, secret []byte) error {
 	raw, err := (&pgproto3.CancelRequest{ProcessID: pid, SecretKey: secret}).Encode(nil)
 	if err != nil {
--- a/internal/e2e/operator_test.go
+++ b/internal/e2e/operator_test.go
@@ -19,6 +19,8 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
+// request sends an HTTP request to the operator API of an instance, decodes the JSON
+// response into `into` unless it is nil, and returns the status code.
 func request(t testing.TB, inst *instance.Instance, method, path string, body any, into any) int {
 	t.Helper()
 	raw, err := json.Marshal(body)
@@ -28,15 +30,16 @@
 	resp, err := http.DefaultClient.Do(req)
 	must.NoError(t, err)
 	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	payload, err := io.ReadAll(resp.Body)
 	must.NoError(t, err)
 	if into != nil {
-		must.NoError(t, json.Unmarshal(text, into), must.Sprint(string(text)))
+		must.NoError(t, json.Unmarshal(payload, into), must.Sprint(string(payload)))
 	}
 	return resp.StatusCode
 }
 
-func service(name, version string, weight int) *resource.Resource {
+// serviceResource returns a service resource; version "" creates it.
+func serviceResource(name, version string, weight int) *resource.Resource {
 	return &resource.Resource{
 		Kind:     resource.KindService,
 		Metadata: resource.Metadata{Name: name, ResourceVersion: version},
@@ -44,7 +47,8 @@
 	}
 }
 
-// awaitInForce follows the watch until the resource is in force everywhere.
+// awaitInForce reads the watch until it ends, which must be when the resource is in
+// force on all instances, and returns the last progress.
 func awaitInForce(t testing.TB, inst *instance.Instance, path string) operator.Progress {
 	t.Helper()
 	req, err := http.NewRequestWithContext(testContext(t), http.MethodGet, "http://"+inst.OperatorAddr()+path+"/watch", nil)
@@ -66,15 +70,17 @@
 	return last
 }
 
-func TestAcceptedConfigurationIsInForceEverywhere(t *testing.T) {
+// A change is in force on all instances when the watch says so, and a deletion
+// reaches all of them.
+func TestConfigurationReachesAllInstances(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 5})
-	eventually(t, "all know each other", func() bool {
+	eventually(t, "all instances are members of the fleet", func() bool {
 		var p operator.Progress
 		request(t, fleet.Instances[0], http.MethodGet, "/v1/resources/service/roster", nil, &p.Resource)
 		return awaitInForce(t, fleet.Instances[4], "/v1/resources/service/roster").Instances == 5
 	})
 	var stored resource.Resource
-	must.Eq(t, http.StatusOK, request(t, fleet.Instances[2], http.MethodPut, "/v1/resources/service/desk", service("desk", "", 1), &stored))
+	must.Eq(t, http.StatusOK, request(t, fleet.Instances[2], http.MethodPut, "/v1/resources/service/desk", serviceResource("desk", "", 1), &stored))
 	p := awaitInForce(t, fleet.Instances[2], "/v1/resources/service/desk")
 	must.Eq(t, 5, p.Instances)
 	must.Eq(t, int64(1), p.Resource.Status.ObservedGeneration)
@@ -93,9 +99,10 @@
 	}
 }
 
-// Racing operators: exactly one change of a version is accepted, the others get
-// the current version and lose nothing silently.
-func TestRacingOperators(t *testing.T) {
+// Guards against lost updates: of several concurrent changes based on the same
+// resource version exactly one must be accepted. The others must get a conflict
+// with the current version.
+func TestConcurrentUpdatesConflict(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	version := ""
 	for round := range 5 {
@@ -108,7 +115,7 @@
 			go func() {
 				defer wait.Done()
 				var raw json.RawMessage
-				status := request(t, fleet.Instances[i%3], http.MethodPut, "/v1/resources/service/desk", service("desk", version, 1+i), &raw)
+				status := request(t, fleet.Instances[i%3], http.MethodPut, "/v1/resources/service/desk", serviceResource("desk", version, 1+i), &raw)
 				mu.Lock()
 				defer mu.Unlock()
 				if status == http.StatusOK {
@@ -130,23 +137,25 @@
 	}
 }
 
-// A write whose answer is lost is settled by reading back; one that cannot be
-// settled is answered as unknown, not as accepted.
-func TestLostAnswersOfTheService(t *testing.T) {
+// When the store's response to a write is lost, the instance must find out the
+// outcome by reading the resource back. If it cannot, it must report the outcome as
+// unknown, not as accepted.
+func TestLostStoreResponses(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	fleet.Store.LoseAnswers(2)
 	var stored resource.Resource
-	must.Eq(t, http.StatusOK, request(t, fleet.Instances[0], http.MethodPut, "/v1/resources/service/desk", service("desk", "", 1), &stored))
+	must.Eq(t, http.StatusOK, request(t, fleet.Instances[0], http.MethodPut, "/v1/resources/service/desk", serviceResource("desk", "", 1), &stored))
 	awaitInForce(t, fleet.Instances[1], "/v1/resources/service/desk")
 	fleet.Store.SetDown(true)
 	var problem operator.Problem
 	must.Eq(t, http.StatusGatewayTimeout, request(t, fleet.Instances[0], http.MethodPut, "/v1/resources/service/desk",
-		service("desk", stored.Metadata.ResourceVersion, 2), &problem))
+		serviceResource("desk", stored.Metadata.ResourceVersion, 2), &problem))
 	must.Eq(t, "Unknown", problem.Reason)
 }
 
-// All findings of a document are reported at once, with their places.
-func TestFindingsAreReportedTogether(t *testing.T) {
+// Validation must report all findings of a document at once, each with its place in
+// the document, instead of stopping at the first.
+func TestValidationReportsAllFindings(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
 	bad := &resource.Resource{
 		Kind:     resource.KindDatabase,
@@ -162,9 +171,9 @@
 	must.GreaterEq(t, 6, len(problem.Findings), must.Sprint(problem.Findings))
 }
 
-// An instance that starts while the service is down takes the newest snapshot
-// of its peers, and refuses callers until it has one.
-func TestStartWhileTheServiceIsDown(t *testing.T) {
+// An instance that starts while the store is down must load the newest snapshot of
+// its peers, and must refuse clients until it has one.
+func TestStartWhileStoreIsDown(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	seeds := fleet.Seeds()
 	fleet.Kill(2)
@@ -178,21 +187,21 @@
 	inst, err = fleet.StartInstance(2)
 	must.NoError(t, err)
 	eventually(t, "the configuration is in force", func() bool { return inst.Revision() == fleet.Instances[0].Revision() })
-	insertUntilServed(t, inst.CallerAddr(), 0)
+	insertUntilAcknowledged(t, inst.CallerAddr(), 0)
 }
 
-// A service that comes back with older data than was accepted is noticed, and
-// nothing goes back.
-func TestServiceComesBackWithOlderData(t *testing.T) {
+// When the store is restored from a backup that is older than accepted changes, the
+// instances must report it and keep the newer configuration.
+func TestStoreRestoredFromOlderBackup(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	restore := fleet.Store.Backup()
-	must.Eq(t, http.StatusOK, request(t, fleet.Instances[0], http.MethodPut, "/v1/resources/service/desk", service("desk", "", 1), nil))
+	must.Eq(t, http.StatusOK, request(t, fleet.Instances[0], http.MethodPut, "/v1/resources/service/desk", serviceResource("desk", "", 1), nil))
 	awaitInForce(t, fleet.Instances[0], "/v1/resources/service/desk")
 	revision := fleet.Instances[0].Revision()
 	fleet.Store.SetDown(true)
 	restore()
 	fleet.Store.SetDown(false)
-	eventually(t, "it is noticed", func() bool {
+	eventually(t, "a store-behind event", func() bool {
 		for _, inst := range fleet.Instances {
 			for _, e := range inst.Events(0) {
 				if e.Kind == "store-behind" {
@@ -208,9 +217,9 @@
 	}
 }
 
-// A rolling restart of every instance under load fails no request beyond the
-// clean closes: whatever a caller is refused with says that it was not run, and
-// what was acknowledged is there.
+// A rolling restart of all instances under load must leave no write with an unknown
+// outcome: instances close connections between statements, every error says that the
+// statement was not run, and no acknowledged row is lost.
 func TestRollingRestart(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	var addrs []string
@@ -218,72 +227,73 @@
 		addrs = append(addrs, inst.CallerAddr())
 	}
 	fleet.PinCallerAddresses(addrs)
-	var ledgers []*ledger
+	var logs []*writeLog
 	for i, addr := range addrs {
-		l := &ledger{outcomes: make(map[int]string)}
-		l.wait.Add(1)
-		go func() { defer l.wait.Done(); l.write(addr, (i+1)*100_000) }()
-		ledgers = append(ledgers, l)
+		l := &writeLog{outcomes: make(map[int]string)}
+		l.wg.Add(1)
+		go func() { defer l.wg.Done(); l.write(addr, (i+1)*100_000) }()
+		logs = append(logs, l)
 	}
 	for i := range fleet.Instances {
-		eventually(t, "load runs", func() bool { return ledgers[(i+1)%3].acked() > int64(20*(i+1)) })
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		eventually(t, "load runs", func() bool { return logs[(i+1)%3].acknowledged() > int64(20*(i+1)) })
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		fleet.Instances[i].Stop(ctx)
 		cancel()
 		_, err := fleet.StartInstance(i)
 		must.NoError(t, err)
-		insertUntilServed(t, addrs[i], 1_000_000*(i+1))
+		insertUntilAcknowledged(t, addrs[i], 1_000_000*(i+1))
 	}
 	check := connect(t, addrs[0], "")
-	for i, l := range ledgers {
+	for i, l := range logs {
 		l.stop()
 		l.verify(t, check)
 		for id, outcome := range l.outcomes {
 			if outcome == "unknown" {
-				t.Errorf("instance %d: row %d has an unknown outcome: %v", i, id, l.last)
+				t.Errorf("instance %d: row %d has an unknown outcome: %v", i, id, l.lastErr)
 			}
 		}
 	}
 }
 
-// A long transaction does not hold up the others while its owner is stopped as
-// planned, and ends by itself.
-func TestPlannedStopDoesNotWaitOutLongTransactions(t *testing.T) {
+// While a planned stop of the owner waits for a long transaction, the statements of
+// other clients must proceed, and the transaction must be able to commit.
+func TestPlannedStopWithLongTransaction(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	stopping := fleet.Owner()
-	entry := fleet.Instances[entryOf(t, fleet)].CallerAddr()
-	tx, err := connect(t, entry, "").Begin(testContext(t))
+	ingress := fleet.Instances[nonOwnerIndex(t, fleet)].CallerAddr()
+	tx, err := connect(t, ingress, "").Begin(testContext(t))
 	must.NoError(t, err)
 	_, err = tx.Exec(testContext(t), "INSERT INTO shifts VALUES (1, 'long', 'open')")
 	must.NoError(t, err)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		fleet.Instances[stopping].Stop(ctx)
 	}()
 	eventually(t, "the stop has begun", func() bool { return !fleet.Instances[stopping].Ready() })
-	load := startWriters(entry, 2)
-	eventually(t, "others go on meanwhile", func() bool { return load.acked() > 30 })
+	load := startWriters(ingress, 2)
+	eventually(t, "other writes proceed during the stop", func() bool { return load.acknowledged() > 30 })
 	must.NoError(t, tx.Commit(testContext(t)))
 	<-stopped
-	before := load.acked()
-	eventually(t, "others go on afterwards", func() bool { return load.acked() > before+30 })
+	before := load.acknowledged()
+	eventually(t, "other writes proceed after the stop", func() bool { return load.acknowledged() > before+30 })
 	load.stop()
-	check := connect(t, entry, "")
-	must.Eq(t, 1, count(t, check, 1))
+	check := connect(t, ingress, "")
+	must.Eq(t, 1, countRows(t, check, 1))
 	load.verify(t, check)
 	for id, outcome := range load.outcomes {
-		must.NotEq(t, "unknown", outcome, must.Sprint(id, load.last))
+		must.NotEq(t, "unknown", outcome, must.Sprint(id, load.lastErr))
 	}
 }
 
-// The time line of all instances is one order, in which causes come first.
-func TestTimelineOrdersAFailover(t *testing.T) {
+// The merged time line of all instances must be a total order that has causes before
+// their effects, as logical clocks give it.
+func TestTimelineOrdersFailoverEvents(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	fleet.Group.ByName(primaryOf(fleet)).Kill()
-	insertUntilServed(t, fleet.Instances[0].CallerAddr(), 0)
+	insertUntilAcknowledged(t, fleet.Instances[0].CallerAddr(), 0)
 	var line operator.Timeline
 	eventually(t, "the whole failover is on the time line", func() bool {
 		request(t, fleet.Instances[0], http.MethodGet, "/v1/timeline?group=roster", nil, &line)
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -18,14 +18,14 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// process is one instance as a process of its own.
+// process is an instance that runs in its own operating system process.
 type process struct {
-	name   string
-	caller string
-	cmd    *osexec.Cmd
+	name       string
+	clientAddr string
+	cmd        *osexec.Cmd
 }
 
-// freeAddr returns an address that was free a moment ago.
+// freeAddr returns a loopback address with a port that was free at the time.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,6 +34,7 @@
 	return l.Addr().String()
 }
 
+// buildBinary compiles stackspindle and returns the path of the executable.
 func buildBinary(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "stackspindle")
@@ -42,7 +43,8 @@
 	return path
 }
 
-// startProcesses runs n instances before the stand-ins of a fleet.
+// startProcesses starts n instances as processes. They use the members and the store
+// of the fleet, which runs in the test process.
 func startProcesses(t *testing.T, fleet *standin.Fleet, n int) []*process {
 	t.Helper()
 	binary := buildBinary(t)
@@ -53,10 +55,10 @@
 		seeds = append(seeds, fmt.Sprintf("%s=%s", standin.Name(i), peers[i]))
 	}
 	for i := range n {
-		p := &process{name: standin.Name(i), caller: freeAddr(t)}
+		p := &process{name: standin.Name(i), clientAddr: freeAddr(t)}
 		settings := strings.Join([]string{
 			"[instance]", "name = " + p.name, fmt.Sprintf("data_centre = dc%d", i+1),
-			"[caller]", "listen = " + p.caller, "authenticate = false",
+			"[caller]", "listen = " + p.clientAddr, "authenticate = false",
 			"[peer]", "listen = " + peers[i], "seeds = " + strings.Join(seeds, ", "),
 			"[operator]", "listen = " + freeAddr(t),
 			"[platform]", "endpoint = " + fleet.Store.URL(),
@@ -71,7 +73,7 @@
 	return processes
 }
 
-// ownerOf asks the members who owns the group.
+// ownerOf returns the process whose heartbeat the first member received last, or nil.
 func ownerOf(fleet *standin.Fleet, processes []*process) *process {
 	name := fleet.Group.Member(0).Owner()
 	for _, p := range processes {
@@ -82,53 +84,56 @@
 	return nil
 }
 
-// Instances as separate processes: the owner is frozen, thawed, another one
-// killed, and the last stopped as planned, all under load.
+// Runs instances as separate processes under load. The owner is stopped with
+// SIGSTOP, replaced and continued. Then the new owner is killed, or the old one if the
+// new one is the ingress instance. At last the ingress instance is shut down with
+// SIGTERM. No acknowledged row may be lost, and no row that was rejected as not run
+// may exist.
 func TestSeparateProcesses(t *testing.T) {
 	fleet, err := standin.Start(standin.Options{Ack: resource.AckReplica})
 	must.NoError(t, err)
 	t.Cleanup(fleet.Close)
 	processes := startProcesses(t, fleet, 4)
 	for i, p := range processes {
-		insertUntilServed(t, p.caller, 1000*(i+1))
+		insertUntilAcknowledged(t, p.clientAddr, 1000*(i+1))
 	}
-	first := ownerOf(fleet, processes)
-	must.NotNil(t, first)
-	entry := processes[0]
-	if entry == first {
-		entry = processes[1]
+	firstOwner := ownerOf(fleet, processes)
+	must.NotNil(t, firstOwner)
+	ingress := processes[0]
+	if ingress == firstOwner {
+		ingress = processes[1]
 	}
-	load := startWriters(entry.caller, 4)
-	frozen := startWriters(first.caller, 1)
-	eventually(t, "load runs", func() bool { return load.acked() > 50 && frozen.acked() > 10 })
+	load := startWriters(ingress.clientAddr, 4)
+	loadOnFirst := startWriters(firstOwner.clientAddr, 1)
+	eventually(t, "load runs", func() bool { return load.acknowledged() > 50 && loadOnFirst.acknowledged() > 10 })
 
-	must.NoError(t, first.cmd.Process.Signal(syscall.SIGSTOP))
-	insertUntilServed(t, entry.caller, 1_000_000)
-	must.NoError(t, first.cmd.Process.Signal(syscall.SIGCONT))
-	insertUntilServed(t, first.caller, 2_000_000)
+	must.NoError(t, firstOwner.cmd.Process.Signal(syscall.SIGSTOP))
+	insertUntilAcknowledged(t, ingress.clientAddr, 1_000_000)
+	must.NoError(t, firstOwner.cmd.Process.Signal(syscall.SIGCONT))
+	insertUntilAcknowledged(t, firstOwner.clientAddr, 2_000_000)
 
-	second := ownerOf(fleet, processes)
-	if second == entry {
-		second = first
+	secondOwner := ownerOf(fleet, processes)
+	if secondOwner == ingress {
+		secondOwner = firstOwner
 	}
-	must.NoError(t, second.cmd.Process.Kill())
-	insertUntilServed(t, entry.caller, 3_000_000)
-	before := load.acked()
-	eventually(t, "load goes on", func() bool { return load.acked() > before+50 })
+	must.NoError(t, secondOwner.cmd.Process.Kill())
+	insertUntilAcknowledged(t, ingress.clientAddr, 3_000_000)
+	before := load.acknowledged()
+	eventually(t, "load goes on", func() bool { return load.acknowledged() > before+50 })
 	load.stop()
-	frozen.stop()
-	check := connect(t, entry.caller, "check")
+	loadOnFirst.stop()
+	check := connect(t, ingress.clientAddr, "check")
 	load.verify(t, check)
-	frozen.verify(t, check)
+	loadOnFirst.verify(t, check)
 	must.NoError(t, check.Close(context.Background()))
 
-	must.NoError(t, entry.cmd.Process.Signal(syscall.SIGTERM))
+	must.NoError(t, ingress.cmd.Process.Signal(syscall.SIGTERM))
 	ended := make(chan error, 1)
-	go func() { ended <- entry.cmd.Wait() }()
+	go func() { ended <- ingress.cmd.Wait() }()
 	select {
 	case err := <-ended:
-		must.NoError(t, err, must.Sprint("a planned stop ends with success"))
-	case <-time.After(patience):
-		must.Unreachable(t, must.Sprint("the planned stop does not end"))
+		must.NoError(t, err, must.Sprint("a planned stop must exit with status 0"))
+	case <-time.After(waitTimeout):
+		must.Unreachable(t, must.Sprint("the planned stop did not end in time"))
 	}
 }
--- a/internal/e2e/key_test.go
+++ b/internal/e2e/request_key_test.go
@@ -14,8 +14,9 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// keyed runs one insert under a request key and returns its row.
-func keyed(ctx context.Context, conn *pgx.Conn, key string, id int) (string, error) {
+// insertWithRequestKey runs an insert with a request key (idempotency key) and
+// returns the volunteer of the row that it reports.
+func insertWithRequestKey(ctx context.Context, conn *pgx.Conn, key string, id int) (string, error) {
 	if _, err := conn.Exec(ctx, "SET stackspindle.request_key = '"+key+"'"); err != nil {
 		return "", err
 	}
@@ -24,51 +25,54 @@
 	return volunteer, err
 }
 
-// A repeat gets the first result, over another instance and concurrently.
+// Requests with the same key must run once and all get the result of the first,
+// also when they run concurrently and through different instances.
 func TestRequestKeyRunsOnce(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	for round := range 5 {
-		var wait sync.WaitGroup
+		var wg sync.WaitGroup
 		key := fmt.Sprintf("booking-%d", round)
 		for i := range 6 {
 			conn := connect(t, fleet.Instances[i%3].CallerAddr(), "")
-			wait.Add(1)
+			wg.Add(1)
 			go func() {
-				defer wait.Done()
-				volunteer, err := keyed(context.Background(), conn, key, round)
+				defer wg.Done()
+				volunteer, err := insertWithRequestKey(context.Background(), conn, key, round)
 				if err != nil || volunteer != "first" {
-					t.Errorf("repeat %d of %s: %q, %v", i, key, volunteer, err)
+					t.Errorf("request %d with key %s: got %q, error %v", i, key, volunteer, err)
 				}
 			}()
 		}
-		wait.Wait()
-		must.Eq(t, 1, count(t, connect(t, fleet.Instances[0].CallerAddr(), ""), round))
+		wg.Wait()
+		must.Eq(t, 1, countRows(t, connect(t, fleet.Instances[0].CallerAddr(), ""), round))
 	}
 }
 
-func TestRequestKeyOfAnotherRequestIsRefused(t *testing.T) {
+// A key that was used must not return the stored result for a different request.
+func TestRequestKeyReuseForAnotherRequestIsRejected(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
 	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
-	_, err := keyed(testContext(t), conn, "k", 1)
+	_, err := insertWithRequestKey(testContext(t), conn, "k", 1)
 	must.NoError(t, err)
-	_, err = keyed(testContext(t), conn, "k", 2)
+	_, err = insertWithRequestKey(testContext(t), conn, "k", 2)
 	must.Eq(t, "SS002", sqlState(err))
-	must.Eq(t, 0, count(t, conn, 2))
+	must.Eq(t, 0, countRows(t, conn, 2))
 }
 
-// A failed request leaves its key free.
-func TestRequestKeyOfFailedRequestIsFree(t *testing.T) {
+// A request that failed must not consume its key: a retry runs.
+func TestRequestKeyIsReusableAfterFailure(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
 	conn := connect(t, fleet.Instances[0].CallerAddr(), "")
 	exec(t, conn, "INSERT INTO shifts VALUES (1, 'there', 'open')")
-	_, err := keyed(testContext(t), conn, "k", 1)
+	_, err := insertWithRequestKey(testContext(t), conn, "k", 1)
 	must.Eq(t, "23505", sqlState(err))
 	exec(t, conn, "DELETE FROM shifts WHERE id = 1")
-	_, err = keyed(testContext(t), conn, "k", 1)
+	_, err = insertWithRequestKey(testContext(t), conn, "k", 1)
 	must.NoError(t, err)
 }
 
-// A whole transaction may carry a key; its repeat runs nothing.
+// A request key may cover a whole transaction. A retry of the transaction must get
+// the first results without running its statements.
 func TestRequestKeyOfTransaction(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
 	exec(t, connect(t, fleet.Instances[0].CallerAddr(), ""), "INSERT INTO shifts VALUES (1, 'a', '0')")
@@ -89,24 +93,25 @@
 	}
 }
 
-// Keyed writes through faults: none is lost, none runs twice. The counter of
-// each row shows how often its increment ran.
-func TestKeyedWritesThroughFaults(t *testing.T) {
+// Guards against lost and duplicate writes when clients retry with the same request
+// key: the primary loses answers and then dies. Each counter shows how many of its
+// increments ran.
+func TestRequestKeyWritesDuringFaults(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 4, Ack: resource.AckReplica, SetUp: []string{"CREATE TABLE counters (id int PRIMARY KEY, n int)"}})
 	const writers, perWriter = 4, 15
-	entry := entryOf(t, fleet)
-	addr := fleet.Instances[entry].CallerAddr()
+	ingress := nonOwnerIndex(t, fleet)
+	addr := fleet.Instances[ingress].CallerAddr()
 	setup := connect(t, addr, "")
 	for w := range writers {
 		exec(t, setup, "INSERT INTO counters VALUES ($1, 0)", w)
 	}
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range writers {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			for i := range perWriter {
-				incrementUntilDone(t, addr, w, fmt.Sprintf("w%d-%d", w, i))
+				incrementUntilAcknowledged(t, addr, w, fmt.Sprintf("w%d-%d", w, i))
 			}
 		}()
 	}
@@ -115,7 +120,7 @@
 		time.Sleep(100 * time.Millisecond)
 		fleet.Group.ByName(primaryOf(fleet)).Kill()
 	}()
-	wait.Wait()
+	wg.Wait()
 	for w := range writers {
 		var n int
 		must.NoError(t, connect(t, addr, "").QueryRow(testContext(t), "SELECT n FROM counters WHERE id = $1", w).Scan(&n))
@@ -123,9 +128,10 @@
 	}
 }
 
-// incrementUntilDone repeats one keyed increment until it is acknowledged.
-func incrementUntilDone(t *testing.T, addr string, id int, key string) {
-	deadline := time.Now().Add(patience)
+// incrementUntilAcknowledged retries one increment with the same request key until it
+// is acknowledged.
+func incrementUntilAcknowledged(t *testing.T, addr string, id int, key string) {
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		conn, err := dial(ctx, addr, "")
@@ -144,5 +150,5 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Errorf("%s was never acknowledged", key)
+	t.Errorf("increment with key %s was not acknowledged in time", key)
 }
--- a/internal/e2e/sharing_test.go
+++ b/internal/e2e/shared_connection_test.go
@@ -22,35 +22,36 @@
 	}
 }
 
-// sharer is one of two callers with what it must see.
-type sharer struct {
-	conn    *pgx.Conn
-	inTx    bool
-	failed  bool
-	setting string
-	saved   string       // setting at BEGIN
-	mine    map[int]bool // rows written in the open transaction
+// modelClient is a client connection with a model of the state that it must see.
+type modelClient struct {
+	conn           *pgx.Conn
+	inTx           bool
+	failed         bool // the open transaction has failed
+	setting        string
+	settingAtBegin string       // restored by a rollback
+	uncommitted    map[int]bool // ids inserted in the open transaction
 }
 
-// Two callers, interleaved at random over one shared connection, never see or
-// affect one another's transaction or settings. A statement that finds the
-// connection taken is refused as not run, and then has no effect.
-func TestInterleavedCallersStayApart(t *testing.T) {
+// Guards against state that leaks between clients which share one connection. Two
+// clients run random interleaved statements; neither may see or affect the other's
+// transaction or settings. A statement that finds the connection in use is rejected
+// as not run and must have no effect.
+func TestInterleavedClientsAreIsolated(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 1, QueueTimeout: 30 * time.Millisecond})
 	committed := map[int]bool{}
 	next := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		var callers [2]*sharer
-		for i := range callers {
+		var clients [2]*modelClient
+		for i := range clients {
 			conn, err := dial(context.Background(), fleet.Instances[i].CallerAddr(), "", func(c *pgx.ConnConfig) {
 				c.DefaultQueryExecMode = pgx.QueryExecModeSimpleProtocol
 			})
 			must.NoError(rt, err)
 			defer conn.Close(context.Background())
-			callers[i] = &sharer{conn: conn, mine: map[int]bool{}}
+			clients[i] = &modelClient{conn: conn, uncommitted: map[int]bool{}}
 		}
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
-			c := callers[rapid.IntRange(0, 1).Draw(rt, "caller")]
+			c := clients[rapid.IntRange(0, 1).Draw(rt, "client")]
 			switch rapid.IntRange(0, 6).Draw(rt, "op") {
 			case 0:
 				c.begin()
@@ -73,7 +74,7 @@
 	})
 }
 
-func (c *sharer) run(sql string) error {
+func (c *modelClient) run(sql string) error {
 	_, err := c.conn.Exec(context.Background(), sql)
 	if err != nil && c.inTx {
 		c.failed = true
@@ -81,13 +82,13 @@
 	return err
 }
 
-func (c *sharer) begin() {
+func (c *modelClient) begin() {
 	if !c.inTx && c.run("BEGIN") == nil {
-		c.inTx, c.failed, c.saved = true, false, c.setting
+		c.inTx, c.failed, c.settingAtBegin = true, false, c.setting
 	}
 }
 
-func (c *sharer) end(t *rapid.T, sql string, committed map[int]bool) {
+func (c *modelClient) end(t *rapid.T, sql string, committed map[int]bool) {
 	if !c.inTx {
 		return
 	}
@@ -95,33 +96,33 @@
 	must.NoError(t, err)
 	if tag.String() == "COMMIT" {
 		must.False(t, c.failed)
-		for id := range c.mine {
+		for id := range c.uncommitted {
 			committed[id] = true
 		}
 	} else {
-		c.setting = c.saved
+		c.setting = c.settingAtBegin
 	}
-	c.inTx, c.failed, c.mine = false, false, map[int]bool{}
+	c.inTx, c.failed, c.uncommitted = false, false, map[int]bool{}
 }
 
-func (c *sharer) insert(id int, committed map[int]bool) {
+func (c *modelClient) insert(id int, committed map[int]bool) {
 	if c.run(fmt.Sprintf("INSERT INTO shifts VALUES (%d, 'x', 'open')", id)) != nil {
 		return
 	}
 	if c.inTx {
-		c.mine[id] = true
+		c.uncommitted[id] = true
 		return
 	}
 	committed[id] = true
 }
 
-func (c *sharer) set(value string) {
+func (c *modelClient) set(value string) {
 	if c.run("SET search_path TO '"+value+"'") == nil {
 		c.setting = value
 	}
 }
 
-func (c *sharer) checkSetting(t *rapid.T) {
+func (c *modelClient) checkSetting(t *rapid.T) {
 	var got string
 	if err := c.conn.QueryRow(context.Background(), "SHOW search_path").Scan(&got); err != nil {
 		c.failed = c.failed || c.inTx
@@ -130,7 +131,7 @@
 	must.Eq(t, c.setting, got)
 }
 
-func (c *sharer) checkRows(t *rapid.T, highest int, committed map[int]bool) {
+func (c *modelClient) checkRows(t *rapid.T, highest int, committed map[int]bool) {
 	rows, err := c.conn.Query(context.Background(), "SELECT id FROM shifts")
 	must.NoError(t, err)
 	ids, err := pgx.CollectRows(rows, pgx.RowTo[int])
@@ -143,6 +144,6 @@
 		seen[id] = true
 	}
 	for id := 1; id <= highest; id++ {
-		must.Eq(t, committed[id] || c.mine[id], seen[id], must.Sprintf("row %d", id))
+		must.Eq(t, committed[id] || c.uncommitted[id], seen[id], must.Sprintf("row %d", id))
 	}
 }
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -22,7 +22,7 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// selfSigned writes a key pair that is its own authority.
+// selfSigned writes a self-signed certificate, which is its own authority, and its key.
 func selfSigned(t *testing.T) config.KeyPair {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -48,9 +48,9 @@
 	return pair
 }
 
-// With key pairs set, callers, other instances and operators are spoken to over
-// TLS.
-func TestTLSOnAllSides(t *testing.T) {
+// With key pairs configured, connections of clients, other instances and operators
+// use TLS.
+func TestTLSOnAllListeners(t *testing.T) {
 	pair := selfSigned(t)
 	fleet := startFleet(t, standin.Options{Instances: 3, Adjust: func(s *config.Settings) {
 		s.PeerTLS = pair
@@ -62,7 +62,7 @@
 	for i, inst := range fleet.Instances {
 		conn := connect(t, inst.CallerAddr(), "", func(c *pgx.ConnConfig) { c.TLSConfig = insecure })
 		exec(t, conn, "INSERT INTO shifts VALUES ($1, 'tls', 'open')", i)
-		must.Eq(t, 1, count(t, conn, i))
+		must.Eq(t, 1, countRows(t, conn, i))
 		resp, err := client.Get("https://" + inst.OperatorAddr() + "/readyz")
 		must.NoError(t, err)
 		resp.Body.Close()
@@ -70,13 +70,13 @@
 	}
 }
 
-// Instances that do not share an authority do not talk: an entry cannot reach an
-// owner of the other one.
-func TestInstancesOfAnotherAuthorityAreNotLetIn(t *testing.T) {
+// Instances whose certificates come from different authorities must reject one
+// another: an ingress instance cannot forward a statement to the owner.
+func TestPeersOfAnotherAuthorityAreRejected(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, QueueTimeout: 300 * time.Millisecond, Adjust: func(s *config.Settings) {
 		s.PeerTLS = selfSigned(t)
 	}})
-	conn := connect(t, fleet.Instances[entryOf(t, fleet)].CallerAddr(), "")
+	conn := connect(t, fleet.Instances[nonOwnerIndex(t, fleet)].CallerAddr(), "")
 	_, err := conn.Exec(testContext(t), "INSERT INTO shifts VALUES (9, 'outside', 'open')")
 	must.Eq(t, "57P03", sqlState(err))
 }
