--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -1,4 +1,9 @@
-// Package bench measures the whole path. Nothing here asserts a time.
+// Package bench has the end-to-end benchmarks: clients, instances and in-process
+// stand-ins for the members of the database group and for the platform's store. The
+// benchmarks report times and do not assert any.
+//
+// The owner of a group is the instance that runs its statements; the ingress
+// instance is the one that a client is connected to.
 package bench
 
 import (
@@ -19,18 +24,21 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-const patience = 30 * time.Second
+// waitTimeout limits every wait.
+const waitTimeout = 30 * time.Second
 
+// startFleet starts a fleet and waits until its group has an owner.
 func startFleet(b testing.TB, opts standin.Options) *standin.Fleet {
 	b.Helper()
 	fleet, err := standin.Start(opts)
 	must.NoError(b, err)
 	b.Cleanup(fleet.Close)
-	_, err = fleet.AwaitOwner(patience)
+	_, err = fleet.AwaitOwner(waitTimeout)
 	must.NoError(b, err)
 	return fleet
 }
 
+// dial opens a client connection that is closed when the benchmark ends.
 func dial(b testing.TB, addr string) *pgx.Conn {
 	b.Helper()
 	conn, err := connect(addr, "roster", "")
@@ -39,6 +47,7 @@
 	return conn
 }
 
+// connect opens a client connection as a service. An empty session means none.
 func connect(addr, service, session string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig("postgres://" + service + "@" + addr + "/roster?sslmode=disable")
 	if err != nil {
@@ -47,34 +56,35 @@
 	if session != "" {
 		cfg.RuntimeParams["options"] = "-c stackspindle.session=" + session
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// recorder collects latencies of many goroutines.
-type recorder struct {
+// latencyRecorder is a histogram of latencies in µs. It is safe for concurrent use.
+type latencyRecorder struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-func newRecorder() *recorder {
-	return &recorder{hist: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func newLatencyRecorder() *latencyRecorder {
+	return &latencyRecorder{hist: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-func (r *recorder) add(d time.Duration) {
+func (r *latencyRecorder) record(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.hist.RecordValue(max(d.Microseconds(), 1)) // longer than a minute is out of range
+	_ = r.hist.RecordValue(max(d.Microseconds(), 1)) // values over a minute are out of range and ignored
 }
 
-func (r *recorder) report(b *testing.B) {
+func (r *latencyRecorder) report(b *testing.B) {
 	b.ReportMetric(float64(r.hist.ValueAtQuantile(50)), "p50-µs")
 	b.ReportMetric(float64(r.hist.ValueAtQuantile(99)), "p99-µs")
 }
 
-// BenchmarkPath compares the direct path with one hop (the caller reaches the
-// owner) and two (the caller reaches another instance), in one run.
+// BenchmarkPath compares, in one run, reads directly at a member, through one hop
+// (the client is connected to the owner) and through two hops (the client is
+// connected to an ingress instance that forwards to the owner).
 func BenchmarkPath(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 2, Connections: 64})
 	setup := dial(b, fleet.Instances[0].CallerAddr())
@@ -88,45 +98,46 @@
 		{"one-hop", fleet.Instances[owner].CallerAddr()},
 		{"two-hops", fleet.Instances[1-owner].CallerAddr()},
 	}
-	for _, callers := range []int{1, 16, 256} {
+	for _, clients := range []int{1, 16, 256} {
 		for _, p := range paths {
-			b.Run(fmt.Sprintf("callers=%d/%s", callers, p.name), func(b *testing.B) {
-				runReads(b, p.addr, callers)
+			b.Run(fmt.Sprintf("callers=%d/%s", clients, p.name), func(b *testing.B) {
+				runReads(b, p.addr, clients)
 			})
 		}
 	}
 }
 
-func runReads(b *testing.B, addr string, callers int) {
-	conns := make([]*pgx.Conn, callers)
+// runReads spreads b.N reads over the connections of the clients.
+func runReads(b *testing.B, addr string, clients int) {
+	conns := make([]*pgx.Conn, clients)
 	for i := range conns {
 		conns[i] = dial(b, addr)
 		var state string
 		must.NoError(b, conns[i].QueryRow(context.Background(), "SELECT state FROM shifts WHERE id = $1", 1).Scan(&state))
 	}
-	rec := newRecorder()
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	rec := newLatencyRecorder()
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	b.ResetTimer()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, conn := range conns {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			for left.Add(-1) >= 0 {
+			defer wg.Done()
+			for remaining.Add(-1) >= 0 {
 				started := time.Now()
 				var state string
 				if err := conn.QueryRow(context.Background(), "SELECT state FROM shifts WHERE id = $1", 1).Scan(&state); err != nil {
 					b.Error(err)
 					return
 				}
-				rec.add(time.Since(started))
+				rec.record(time.Since(started))
 			}
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	b.StopTimer()
 	runtime.ReadMemStats(&after)
 	rec.report(b)
@@ -134,8 +145,8 @@
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/stmt")
 }
 
-// BenchmarkIdleCallers measures the memory of connections that do nothing, after
-// each has run one statement. Sizes give the slope.
+// BenchmarkIdleCallers measures the memory of idle client connections, each of which
+// has run one statement. Several numbers of connections show how it grows.
 func BenchmarkIdleCallers(b *testing.B) {
 	for _, n := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("callers=%d", n), func(b *testing.B) {
@@ -145,10 +156,10 @@
 				before := memoryInUse()
 				conns := make([]net.Conn, n)
 				for i := range conns {
-					conns[i] = idleCaller(b, addr)
+					conns[i] = connectIdleClient(b, addr)
 				}
-				perCaller := float64(memoryInUse()-before) / float64(n)
-				b.ReportMetric(perCaller, "B/caller")
+				perClient := float64(memoryInUse()-before) / float64(n)
+				b.ReportMetric(perClient, "B/caller")
 				for _, c := range conns {
 					c.Close()
 				}
@@ -157,7 +168,7 @@
 	}
 }
 
-// memoryInUse returns heap and stacks after a collection, in bytes.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() int64 {
 	time.Sleep(100 * time.Millisecond)
 	runtime.GC()
--- a/internal/bench/configuration_test.go
+++ b/internal/bench/configuration_test.go
@@ -21,9 +21,9 @@
 	configChanges   = 40
 )
 
-// BenchmarkConfiguration measures the time from an accepted change until it is
-// in force on all of nine instances, with the platform's service healthy, slow
-// (500 ms a call), and down from the moment of acceptance.
+// BenchmarkConfiguration measures the time from the acceptance of a change until it
+// is in force on all nine instances. The platform's store is healthy, slow (500 ms
+// per call), or down from the moment of acceptance on.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, state := range []string{"healthy", "slow", "down-after-acceptance"} {
 		b.Run(state, func(b *testing.B) {
@@ -36,11 +36,11 @@
 
 func measureConfiguration(b *testing.B, state string) {
 	fleet := startFleet(b, standin.Options{Instances: configInstances})
-	time.Sleep(2 * time.Second) // until all know one another
+	time.Sleep(2 * time.Second) // until the instances have discovered one another
 	if state == "slow" {
 		fleet.Store.SetSlow(500 * time.Millisecond)
 	}
-	rec := newRecorder()
+	rec := newLatencyRecorder()
 	calls := fleet.Store.Calls()
 	started := time.Now()
 	for i := range configChanges {
@@ -50,13 +50,13 @@
 		if state == "down-after-acceptance" {
 			fleet.Store.SetDown(true)
 		}
-		for !inForce(fleet, revision) {
-			if time.Since(accepted) > patience {
-				b.Fatal("not in force everywhere")
+		for !inForceEverywhere(fleet, revision) {
+			if time.Since(accepted) > waitTimeout {
+				b.Fatal("the change is not in force on all instances in time")
 			}
 			time.Sleep(time.Millisecond)
 		}
-		rec.add(time.Since(accepted))
+		rec.record(time.Since(accepted))
 		fleet.Store.SetDown(false)
 	}
 	b.ReportMetric(float64(rec.hist.ValueAtQuantile(50))/1000, "p50-ms")
@@ -66,7 +66,8 @@
 	fleet.Close()
 }
 
-func inForce(fleet *standin.Fleet, revision int64) bool {
+// inForceEverywhere reports whether all instances have reached the revision.
+func inForceEverywhere(fleet *standin.Fleet, revision int64) bool {
 	for _, inst := range fleet.Instances {
 		if inst.Revision() < revision {
 			return false
@@ -88,15 +89,15 @@
 		must.NoError(b, err)
 		resp, err := http.DefaultClient.Do(req)
 		must.NoError(b, err)
-		text, err := io.ReadAll(resp.Body)
+		payload, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		must.NoError(b, err)
 		if resp.StatusCode == http.StatusGatewayTimeout {
-			continue // the service was down a moment ago; the same document settles it
+			continue // the store was down just before; sending the same document again is idempotent
 		}
-		must.Eq(b, http.StatusOK, resp.StatusCode, must.Sprint(string(text)))
+		must.Eq(b, http.StatusOK, resp.StatusCode, must.Sprint(string(payload)))
 		var stored resource.Resource
-		must.NoError(b, json.Unmarshal(text, &stored))
+		must.NoError(b, json.Unmarshal(payload, &stored))
 		var revision int64
 		_, err = fmt.Sscan(stored.Metadata.ResourceVersion, &revision)
 		must.NoError(b, err)
--- a/internal/bench/faults_test.go
+++ b/internal/bench/faults_test.go
@@ -18,8 +18,10 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// BenchmarkFaultedWrites runs keyed increments through a storm of faults and
-// counts what was lost, what ran twice, and what its session read too old.
+// BenchmarkFaultedWrites runs increments with request keys while faults are injected.
+// It reports how many increments were lost, how many ran twice, how many reads
+// returned an older value than their session had written, and how often a client gave
+// up.
 func BenchmarkFaultedWrites(b *testing.B) {
 	for b.Loop() {
 		measureFaultedWrites(b)
@@ -27,10 +29,10 @@
 }
 
 const (
-	faultWriters  = 20
-	faultWrites   = 60 // of each writer
-	faultInterval = 700 * time.Millisecond
-	faultPace     = 600 * time.Millisecond // mean time between two writes of a writer
+	faultWriters      = 20
+	writesPerWriter   = 60
+	faultInterval     = 700 * time.Millisecond
+	meanWriteInterval = 600 * time.Millisecond // between two writes of a writer
 )
 
 func measureFaultedWrites(b *testing.B) {
@@ -47,49 +49,50 @@
 	}
 	fleet.PinCallerAddresses(addrs)
 	done := make(chan struct{})
-	faults := make(chan int)
-	go storm(fleet, done, faults)
+	faultCount := make(chan int)
+	go injectFaults(fleet, done, faultCount)
 	var repeats, stale, gaveUp atomic.Int64
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range faultWriters {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			for i := range faultWrites {
-				time.Sleep(time.Duration(rand.Int64N(int64(2 * faultPace))))
-				tries, old, ok := increment(addrs, w, i)
-				repeats.Add(int64(tries - 1))
+			defer wg.Done()
+			for i := range writesPerWriter {
+				time.Sleep(time.Duration(rand.Int64N(int64(2 * meanWriteInterval))))
+				attempts, readStale, ok := incrementAndRead(addrs, w, i)
+				repeats.Add(int64(attempts - 1))
 				if !ok {
 					gaveUp.Add(1)
 				}
-				if old {
+				if readStale {
 					stale.Add(1)
 				}
 			}
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	close(done)
-	injected := <-faults
-	lost, twice := 0, 0
+	injected := <-faultCount
+	lost, duplicated := 0, 0
 	for w := range faultWriters {
 		n, err := readCounter(addrs, w)
 		must.NoError(b, err)
-		lost += max(0, faultWrites-n)
-		twice += max(0, n-faultWrites)
+		lost += max(0, writesPerWriter-n)
+		duplicated += max(0, n-writesPerWriter)
 	}
-	b.ReportMetric(faultWriters*faultWrites, "writes")
+	b.ReportMetric(faultWriters*writesPerWriter, "writes")
 	b.ReportMetric(float64(injected), "faults")
 	b.ReportMetric(float64(repeats.Load()), "repeats")
 	b.ReportMetric(float64(lost), "lost")
-	b.ReportMetric(float64(twice), "twice")
+	b.ReportMetric(float64(duplicated), "twice")
 	b.ReportMetric(float64(stale.Load()), "stale")
 	b.ReportMetric(float64(gaveUp.Load()), "gave-up")
 	fleet.Close()
 }
 
-// storm applies one fault after another and repairs it before the next.
-func storm(fleet *standin.Fleet, done chan struct{}, count chan int) {
+// injectFaults applies random faults one after another, repairing each before the
+// next, until done is closed. Then it sends the number of faults.
+func injectFaults(fleet *standin.Fleet, done chan struct{}, count chan int) {
 	n := 0
 	for {
 		select {
@@ -104,7 +107,7 @@
 		case 0:
 			primary.Kill()
 			time.Sleep(faultInterval)
-			_ = primary.Restart() // the port was its own a moment ago
+			_ = primary.Restart() // fails only if another process has taken the port meanwhile
 		case 1:
 			primary.Pause()
 			time.Sleep(2 * faultInterval)
@@ -116,7 +119,7 @@
 			if owner >= 0 {
 				fleet.Kill(owner)
 				time.Sleep(faultInterval)
-				_, _ = fleet.StartInstance(owner) // a failure shows as an instance less
+				_, _ = fleet.StartInstance(owner) // if it fails, the benchmark goes on with one instance less
 			}
 		case 4:
 			fleet.Store.SetDown(true)
@@ -130,34 +133,37 @@
 	}
 }
 
-// increment repeats one keyed increment over changing instances until it is
-// acknowledged, then reads the counter in the same session elsewhere.
-func increment(addrs []string, writer, i int) (tries int, stale, ok bool) {
+// incrementAndRead retries one increment with the same request key through random
+// instances until it is acknowledged. Then it reads the counter in the same session
+// through another random instance; stale reports that the value is older than the
+// increment. Not ok means that it gave up.
+func incrementAndRead(addrs []string, writer, i int) (attempts int, stale, ok bool) {
 	key, session := fmt.Sprintf("w%d-%d", writer, i), fmt.Sprintf("writer-%d", writer)
-	deadline := time.Now().Add(2 * patience)
+	deadline := time.Now().Add(2 * waitTimeout)
 	for time.Now().Before(deadline) {
-		tries++
-		if keyedIncrement(addrs[rand.IntN(len(addrs))], session, key, writer) != nil {
+		attempts++
+		if incrementWithRequestKey(addrs[rand.IntN(len(addrs))], session, key, writer) != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		conn, err := connect(addrs[rand.IntN(len(addrs))], "roster", session)
 		if err != nil {
-			return tries, false, true
+			return attempts, false, true
 		}
 		defer conn.Close(context.Background())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		var n int
 		if err := conn.QueryRow(ctx, "SELECT n FROM counters WHERE id = $1", writer).Scan(&n); err == nil && n < i+1 {
-			return tries, true, true
+			return attempts, true, true
 		}
-		return tries, false, true
+		return attempts, false, true
 	}
-	return tries, false, false
+	return attempts, false, false
 }
 
-func keyedIncrement(addr, session, key string, writer int) error {
+// incrementWithRequestKey makes one attempt to increment the counter of a writer.
+func incrementWithRequestKey(addr, session, key string, writer int) error {
 	conn, err := connect(addr, "roster", session)
 	if err != nil {
 		return err
@@ -172,26 +178,28 @@
 	return err
 }
 
+// readCounter reads the counter of a writer in its session, with retries through
+// random instances.
 func readCounter(addrs []string, writer int) (int, error) {
-	var last error
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	var lastErr error
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		conn, err := connect(addrs[rand.IntN(len(addrs))], "roster", fmt.Sprintf("writer-%d", writer))
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		var n int
-		last = conn.QueryRow(context.Background(), "SELECT n FROM counters WHERE id = $1", writer).Scan(&n)
+		lastErr = conn.QueryRow(context.Background(), "SELECT n FROM counters WHERE id = $1", writer).Scan(&n)
 		conn.Close(context.Background())
-		if last == nil {
+		if lastErr == nil {
 			return n, nil
 		}
 	}
-	return 0, last
+	return 0, lastErr
 }
 
-// BenchmarkAcknowledgement compares the two acknowledgements at a lag of 10 ms
-// and a round trip of 3 ms.
+// BenchmarkAcknowledgement compares the write latency of the two acknowledgement
+// modes at a replica lag of 10 ms and a round trip of 3 ms to the members.
 func BenchmarkAcknowledgement(b *testing.B) {
 	for _, ack := range []resource.Acknowledgement{resource.AckPrimary, resource.AckReplica} {
 		b.Run(string(ack), func(b *testing.B) {
@@ -205,26 +213,26 @@
 				conns[i] = dial(b, fleet.Instances[0].CallerAddr())
 			}
 			var id atomic.Int64
-			rec := newRecorder()
+			rec := newLatencyRecorder()
 			b.ResetTimer()
-			var wait sync.WaitGroup
+			var wg sync.WaitGroup
 			for _, conn := range conns {
-				wait.Add(1)
+				wg.Add(1)
 				go func() {
-					defer wait.Done()
+					defer wg.Done()
 					for n := id.Add(1); n <= int64(b.N); n = id.Add(1) {
 						started := time.Now()
 						_, err := conn.Exec(context.Background(), "INSERT INTO shifts VALUES ($1, 'a', 'open')", n)
-						var refused *pgconn.PgError
-						if err != nil && !errors.As(err, &refused) {
+						var pgErr *pgconn.PgError
+						if err != nil && !errors.As(err, &pgErr) {
 							b.Error(err)
 							return
 						}
-						rec.add(time.Since(started))
+						rec.record(time.Since(started))
 					}
 				}()
 			}
-			wait.Wait()
+			wg.Wait()
 			rec.report(b)
 		})
 	}
--- a/internal/bench/decisions_test.go
+++ b/internal/bench/replica_failover_overload_test.go
@@ -21,8 +21,8 @@
 	"github.com/stackspindle/stackspindle/internal/standin"
 )
 
-// metric reads one metric of all instances.
-func metric(fleet *standin.Fleet, name string) float64 {
+// sumMetric returns the sum of one metric over all running instances.
+func sumMetric(fleet *standin.Fleet, name string) float64 {
 	var total float64
 	for _, inst := range fleet.Instances {
 		if inst == nil {
@@ -46,7 +46,7 @@
 	primaryReads = `stackspindle_statements_total{class="read",role="primary"}`
 )
 
-// ackLog keeps when each value of the shared counter was acknowledged.
+// ackLog records when each value of the shared counter was acknowledged.
 type ackLog struct {
 	mu    sync.Mutex
 	times []time.Time // times[i] is when value i+1 was acknowledged
@@ -61,8 +61,8 @@
 	a.times[value-1] = at
 }
 
-// requiredAt returns the highest value acknowledged up to a time.
-func (a *ackLog) requiredAt(at time.Time) int {
+// acknowledgedBy returns the highest value that was acknowledged at or before a time.
+func (a *ackLog) acknowledgedBy(at time.Time) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := len(a.times) - 1; i >= 0; i-- {
@@ -73,9 +73,11 @@
 	return 0
 }
 
-// BenchmarkReplicaShare measures the share of reads that replicas serve, by the
-// service's staleness and the lag, with 10% writes. Stale reads are counted; the
-// bound is the share that perfect knowledge could reach without waiting.
+// BenchmarkReplicaShare measures the share of reads that replicas serve, for several
+// limits of staleness and replica lags, with 10% writes. "stale" counts reads that
+// returned an older value than the session and the staleness limit allow. "%bound" is
+// the share that replicas could serve without waiting if the lag of each were known
+// exactly.
 func BenchmarkReplicaShare(b *testing.B) {
 	lags := []struct {
 		name  string
@@ -89,7 +91,7 @@
 		for _, l := range lags {
 			b.Run(fmt.Sprintf("staleness=%s/lag=%s", staleness, l.name), func(b *testing.B) {
 				for b.Loop() {
-					measureShare(b, staleness, l.lag, l.stuck)
+					measureReplicaShare(b, staleness, l.lag, l.stuck)
 				}
 			})
 		}
@@ -97,12 +99,12 @@
 }
 
 const (
-	shareCallers = 300
-	shareThink   = 300 * time.Millisecond
-	shareTime    = 4 * time.Second
+	shareClients       = 300
+	shareMeanThinkTime = 300 * time.Millisecond // between two statements of a client
+	shareDuration      = 4 * time.Second
 )
 
-func measureShare(b *testing.B, staleness, lag time.Duration, stuck bool) {
+func measureReplicaShare(b *testing.B, staleness, lag time.Duration, stuck bool) {
 	fleet := startFleet(b, standin.Options{Instances: 3, Staleness: staleness, Connections: 16,
 		SetUp: []string{"CREATE TABLE counter (id int PRIMARY KEY, n int)", "INSERT INTO counter VALUES (1, 0)"}})
 	for i := range 3 {
@@ -113,53 +115,55 @@
 	fleet.Group.Member(2).SetStuck(stuck)
 	time.Sleep(min(lag, time.Second))
 	acks := &ackLog{}
-	var stale, fresh, reads atomic.Int64
-	rec := newRecorder()
-	before := [2]float64{metric(fleet, replicaReads), metric(fleet, primaryReads)}
-	deadline := time.Now().Add(shareTime)
-	var wait sync.WaitGroup
-	for c := range shareCallers {
+	var stale, servable, reads atomic.Int64
+	rec := newLatencyRecorder()
+	before := [2]float64{sumMetric(fleet, replicaReads), sumMetric(fleet, primaryReads)}
+	deadline := time.Now().Add(shareDuration)
+	var wg sync.WaitGroup
+	for c := range shareClients {
 		conn := dial(b, fleet.Instances[c%3].CallerAddr())
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			own := 0 // the session's last write
+			defer wg.Done()
+			lastWrite := 0 // value that the session wrote last
 			for time.Now().Before(deadline) {
-				time.Sleep(time.Duration(rand.Int64N(int64(2 * shareThink))))
+				time.Sleep(time.Duration(rand.Int64N(int64(2 * shareMeanThinkTime))))
 				if rand.IntN(10) == 0 {
-					own = bump(b, conn, acks)
+					lastWrite = incrementCounter(b, conn, acks)
 					continue
 				}
 				started := time.Now()
-				required := acks.requiredAt(started.Add(-staleness))
-				if needed := max(required, own); needed <= acks.requiredAt(started.Add(-lag)) {
-					fresh.Add(1)
+				required := acks.acknowledgedBy(started.Add(-staleness))
+				if needed := max(required, lastWrite); needed <= acks.acknowledgedBy(started.Add(-lag)) {
+					servable.Add(1)
 				}
 				var n int
 				if err := conn.QueryRow(context.Background(), "SELECT n FROM counter WHERE id = 1").Scan(&n); err != nil {
 					b.Error(err)
 					return
 				}
-				rec.add(time.Since(started))
+				rec.record(time.Since(started))
 				reads.Add(1)
-				if n < max(required, own) {
+				if n < max(required, lastWrite) {
 					stale.Add(1)
 				}
 			}
 		}()
 	}
-	wait.Wait()
-	byReplica := metric(fleet, replicaReads) - before[0]
-	byPrimary := metric(fleet, primaryReads) - before[1]
+	wg.Wait()
+	byReplica := sumMetric(fleet, replicaReads) - before[0]
+	byPrimary := sumMetric(fleet, primaryReads) - before[1]
 	b.ReportMetric(100*byReplica/(byReplica+byPrimary), "%replica")
-	b.ReportMetric(100*float64(fresh.Load())/float64(reads.Load()), "%bound")
+	b.ReportMetric(100*float64(servable.Load())/float64(reads.Load()), "%bound")
 	b.ReportMetric(float64(stale.Load()), "stale")
-	b.ReportMetric(float64(reads.Load())/shareTime.Seconds(), "reads/s")
+	b.ReportMetric(float64(reads.Load())/shareDuration.Seconds(), "reads/s")
 	rec.report(b)
 	fleet.Close()
 }
 
-func bump(b *testing.B, conn *pgx.Conn, acks *ackLog) int {
+// incrementCounter increments the shared counter, returns its new value and records
+// the acknowledgement.
+func incrementCounter(b *testing.B, conn *pgx.Conn, acks *ackLog) int {
 	var n int
 	if err := conn.QueryRow(context.Background(), "UPDATE counter SET n = n + 1 WHERE id = 1 RETURNING n").Scan(&n); err != nil {
 		b.Error(err)
@@ -169,15 +173,15 @@
 	return n
 }
 
-// BenchmarkFailoverGap measures the time from the last acknowledged write before
-// a fault to the first after it. The environment variable FAILOVERS sets how many
-// are measured for each case (50 by default).
+// BenchmarkFailoverGap measures the time from the last acknowledged write before a
+// fault to the first acknowledged write after it. The environment variable FAILOVERS
+// sets the number of failovers per case (default 50).
 func BenchmarkFailoverGap(b *testing.B) {
 	n := 50
 	if given, err := strconv.Atoi(os.Getenv("FAILOVERS")); err == nil {
 		n = given
 	}
-	distances := map[string]time.Duration{"tunis": 3 * time.Millisecond, "perth": 2 * time.Millisecond}
+	roundTrips := map[string]time.Duration{"tunis": 3 * time.Millisecond, "perth": 2 * time.Millisecond}
 	faults := []struct {
 		name  string
 		apply func(*standin.Fleet)
@@ -187,12 +191,12 @@
 		{"owner-dead", func(f *standin.Fleet) { f.Kill(f.Owner()) }},
 		{"both-dead", func(f *standin.Fleet) { f.Group.ByName(primaryOf(f)).Kill(); f.Kill(f.Owner()) }},
 	}
-	for _, place := range []string{"tunis", "perth"} {
+	for _, site := range []string{"tunis", "perth"} {
 		for _, fault := range faults {
-			for _, down := range []bool{false, true} {
-				b.Run(fmt.Sprintf("%s/%s/store-down=%t", place, fault.name, down), func(b *testing.B) {
+			for _, storeDown := range []bool{false, true} {
+				b.Run(fmt.Sprintf("%s/%s/store-down=%t", site, fault.name, storeDown), func(b *testing.B) {
 					for b.Loop() {
-						measureGaps(b, n, distances[place], down, fault.apply)
+						measureGaps(b, n, roundTrips[site], storeDown, fault.apply)
 					}
 				})
 			}
@@ -200,6 +204,7 @@
 	}
 }
 
+// primaryOf waits until the group has an owner and returns the primary it uses.
 func primaryOf(f *standin.Fleet) string {
 	for {
 		if i := f.Owner(); i >= 0 {
@@ -210,69 +215,72 @@
 	}
 }
 
-// parallelGaps is how many failovers are measured at the same time.
-const parallelGaps = 5
+// concurrentFailovers is how many failovers are measured at the same time.
+const concurrentFailovers = 5
 
-func measureGaps(b *testing.B, n int, distance time.Duration, down bool, fault func(*standin.Fleet)) {
-	rec := newRecorder()
-	var wait sync.WaitGroup
-	slots := make(chan struct{}, parallelGaps)
+// measureGaps measures n failovers, each in a fleet of its own whose members answer
+// with a delay of roundTrip.
+func measureGaps(b *testing.B, n int, roundTrip time.Duration, storeDown bool, fault func(*standin.Fleet)) {
+	rec := newLatencyRecorder()
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, concurrentFailovers)
 	for range n {
-		wait.Add(1)
+		wg.Add(1)
 		slots <- struct{}{}
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			defer func() { <-slots }()
-			rec.add(oneGap(b, distance, down, fault))
+			rec.record(measureGap(b, roundTrip, storeDown, fault))
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	b.ReportMetric(float64(rec.hist.ValueAtQuantile(50))/1000, "p50-ms")
 	b.ReportMetric(float64(rec.hist.ValueAtQuantile(99))/1000, "p99-ms")
 	b.ReportMetric(float64(rec.hist.Max())/1000, "max-ms")
 	b.ReportMetric(float64(rec.hist.TotalCount()), "failovers")
 }
 
-func oneGap(b *testing.B, distance time.Duration, down bool, fault func(*standin.Fleet)) time.Duration {
+func measureGap(b *testing.B, roundTrip time.Duration, storeDown bool, fault func(*standin.Fleet)) time.Duration {
 	fleet, err := standin.Start(standin.Options{Instances: 4})
 	must.NoError(b, err)
 	defer fleet.Close()
-	_, err = fleet.AwaitOwner(patience)
+	_, err = fleet.AwaitOwner(waitTimeout)
 	must.NoError(b, err)
 	for i := range 3 {
-		fleet.Group.Member(i).DelayAnswers(distance)
+		fleet.Group.Member(i).DelayAnswers(roundTrip)
 	}
-	fleet.Store.SetDown(down)
+	fleet.Store.SetDown(storeDown)
 	owner := fleet.Owner()
-	entry := (owner + 1) % 4
-	w := startGapWriters(fleet.Instances[entry].CallerAddr())
+	ingress := (owner + 1) % 4
+	w := startGapWriters(fleet.Instances[ingress].CallerAddr())
 	defer w.stop()
 	time.Sleep(400*time.Millisecond + time.Duration(rand.Int64N(int64(300*time.Millisecond))))
 	fault(fleet)
 	return w.gap()
 }
 
-// gapWriters write all the time and note when they were acknowledged.
+// gapWriters insert rows without pause and track the longest time between two
+// acknowledgements.
 type gapWriters struct {
-	last    atomic.Int64 // ns of the last acknowledgement
-	longest atomic.Int64 // ns
-	stopped atomic.Bool
-	wait    sync.WaitGroup
-	next    atomic.Int64
+	lastAck    atomic.Int64 // Unix time of the last acknowledgement in ns
+	longestGap atomic.Int64 // ns
+	stopped    atomic.Bool
+	wg         sync.WaitGroup
+	lastID     atomic.Int64
 }
 
 func startGapWriters(addr string) *gapWriters {
 	w := &gapWriters{}
-	w.last.Store(time.Now().UnixNano())
+	w.lastAck.Store(time.Now().UnixNano())
 	for range 4 {
-		w.wait.Add(1)
+		w.wg.Add(1)
 		go w.run(addr)
 	}
 	return w
 }
 
 func (w *gapWriters) run(addr string) {
-	defer w.wait.Done()
+	defer w.wg.Done()
 	var conn *pgx.Conn
 	for !w.stopped.Load() {
 		if conn == nil || conn.IsClosed() {
@@ -283,7 +291,7 @@
 			}
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		_, err := conn.Exec(ctx, "INSERT INTO shifts VALUES ($1, 'g', 'open')", w.next.Add(1))
+		_, err := conn.Exec(ctx, "INSERT INTO shifts VALUES ($1, 'g', 'open')", w.lastID.Add(1))
 		cancel()
 		if err == nil {
 			w.acknowledged()
@@ -296,38 +304,40 @@
 
 func (w *gapWriters) acknowledged() {
 	now := time.Now().UnixNano()
-	gap := now - w.last.Swap(now)
-	for old := w.longest.Load(); gap > old && !w.longest.CompareAndSwap(old, gap); old = w.longest.Load() {
+	gap := now - w.lastAck.Swap(now)
+	for old := w.longestGap.Load(); gap > old && !w.longestGap.CompareAndSwap(old, gap); old = w.longestGap.Load() {
 		continue
 	}
 }
 
-// gap waits until writes have gone on for a while and returns the longest pause.
+// gap is called right after a fault. It waits until a gap of at least 20 ms has ended,
+// at most waitTimeout, and then 200 ms more, and returns the longest gap.
 func (w *gapWriters) gap() time.Duration {
 	faulted := time.Now().UnixNano()
-	w.longest.Store(0)
-	for w.last.Load() < faulted+int64(20*time.Millisecond) || w.longest.Load() < int64(20*time.Millisecond) {
+	w.longestGap.Store(0)
+	for w.lastAck.Load() < faulted+int64(20*time.Millisecond) || w.longestGap.Load() < int64(20*time.Millisecond) {
 		time.Sleep(time.Millisecond)
-		if time.Now().UnixNano()-faulted > int64(patience) {
+		if time.Now().UnixNano()-faulted > int64(waitTimeout) {
 			break
 		}
 	}
 	time.Sleep(200 * time.Millisecond)
-	return time.Duration(w.longest.Load())
+	return time.Duration(w.longestGap.Load())
 }
 
 func (w *gapWriters) stop() {
 	w.stopped.Store(true)
-	w.wait.Wait()
+	w.wg.Wait()
 }
 
-// BenchmarkOverload offers up to five times what the group can serve. One greedy
-// service brings most of it, two modest ones a quarter of the capacity each.
+// BenchmarkOverload offers from half to five times the load that the group can serve.
+// Two modest services offer at most a quarter of the capacity each, one greedy
+// service the rest. It reports how much of its load each modest service gets served.
 func BenchmarkOverload(b *testing.B) {
-	for _, times := range []float64{0.5, 1, 2, 5} {
-		b.Run(fmt.Sprintf("offered=%.1fx", times), func(b *testing.B) {
+	for _, loadFactor := range []float64{0.5, 1, 2, 5} {
+		b.Run(fmt.Sprintf("offered=%.1fx", loadFactor), func(b *testing.B) {
 			for b.Loop() {
-				measureOverload(b, times)
+				measureOverload(b, loadFactor)
 			}
 		})
 	}
@@ -335,69 +345,71 @@
 
 const (
 	overloadConnections = 4                     // to each of two replicas
-	overloadService     = 10 * time.Millisecond // time of one statement
-	overloadTime        = 4 * time.Second
-	callerPace          = 100 * time.Millisecond
+	overloadServiceTime = 10 * time.Millisecond // of one statement
+	overloadDuration    = 4 * time.Second
+	statementInterval   = 100 * time.Millisecond // of each client
 )
 
-func measureOverload(b *testing.B, times float64) {
+func measureOverload(b *testing.B, loadFactor float64) {
 	modest := func(name string) resource.Resource {
 		return resource.Resource{Kind: resource.KindService, Metadata: resource.Metadata{Name: name, Generation: 1},
 			Service: &resource.ServiceSpec{Databases: []string{"roster"}, QueueTimeout: resource.Duration(80 * time.Millisecond), Weight: 1}}
 	}
 	fleet := startFleet(b, standin.Options{Instances: 2, Connections: overloadConnections, QueueTimeout: 80 * time.Millisecond,
 		Services: []resource.Resource{modest("modest-a"), modest("modest-b")}})
-	capacity := 2 * overloadConnections * float64(time.Second/overloadService)
-	quarter := min(times/3, 0.25) * capacity
-	offered := map[string]float64{"modest-a": quarter, "modest-b": quarter, "roster": times*capacity - 2*quarter}
-	good := map[string]*atomic.Int64{}
-	rec := newRecorder()
-	var wait sync.WaitGroup
+	capacity := 2 * overloadConnections * float64(time.Second/overloadServiceTime)
+	modestRate := min(loadFactor/3, 0.25) * capacity
+	offered := map[string]float64{"modest-a": modestRate, "modest-b": modestRate, "roster": loadFactor*capacity - 2*modestRate}
+	served := map[string]*atomic.Int64{}
+	rec := newLatencyRecorder()
+	var wg sync.WaitGroup
 	start := make(chan struct{})
 	for service, rate := range offered {
-		good[service] = &atomic.Int64{}
-		callers := int(rate * callerPace.Seconds())
-		for i := range callers {
+		served[service] = &atomic.Int64{}
+		clients := int(rate * statementInterval.Seconds())
+		for i := range clients {
 			conn, err := connect(fleet.Instances[i%2].CallerAddr(), service, "")
 			must.NoError(b, err)
-			wait.Add(1)
+			wg.Add(1)
 			go func() {
-				defer wait.Done()
+				defer wg.Done()
 				<-start
-				offer(b, conn, good[service], rec)
+				offerLoad(b, conn, served[service], rec)
 			}()
 		}
 	}
 	close(start)
-	wait.Wait()
+	wg.Wait()
 	total := 0.0
-	for _, n := range good {
+	for _, n := range served {
 		total += float64(n.Load())
 	}
-	seconds := overloadTime.Seconds()
+	seconds := overloadDuration.Seconds()
 	b.ReportMetric(100*total/seconds/capacity, "%goodput")
-	b.ReportMetric(100*float64(good["modest-a"].Load())/seconds/quarter, "%modest-a")
-	b.ReportMetric(100*float64(good["modest-b"].Load())/seconds/quarter, "%modest-b")
+	b.ReportMetric(100*float64(served["modest-a"].Load())/seconds/modestRate, "%modest-a")
+	b.ReportMetric(100*float64(served["modest-b"].Load())/seconds/modestRate, "%modest-b")
 	rec.report(b)
 	fleet.Close()
 }
 
-// offer runs one statement a pace, whether or not the last one was served.
-func offer(b *testing.B, conn *pgx.Conn, good *atomic.Int64, rec *recorder) {
+// offerLoad runs one statement per statementInterval, whether the previous one was
+// served or rejected. A latency counts from the time at which the statement was due,
+// so that a slow answer does not hide the delay of the statements after it.
+func offerLoad(b *testing.B, conn *pgx.Conn, served *atomic.Int64, rec *latencyRecorder) {
 	defer conn.Close(context.Background())
-	deadline := time.Now().Add(overloadTime)
-	next := time.Now().Add(time.Duration(rand.Int64N(int64(callerPace))))
+	deadline := time.Now().Add(overloadDuration)
+	next := time.Now().Add(time.Duration(rand.Int64N(int64(statementInterval))))
 	for next.Before(deadline) {
 		time.Sleep(time.Until(next))
 		started := next
-		next = next.Add(callerPace)
+		next = next.Add(statementInterval)
 		_, err := conn.Exec(context.Background(), "SELECT pg_sleep(0.010)")
-		var refused *pgconn.PgError
+		var pgErr *pgconn.PgError
 		switch {
 		case err == nil:
-			good.Add(1)
-			rec.add(time.Since(started))
-		case errors.As(err, &refused) && refused.Code == "53300":
+			served.Add(1)
+			rec.record(time.Since(started))
+		case errors.As(err, &pgErr) && pgErr.Code == "53300":
 		default:
 			b.Error(err)
 			return
--- a/internal/bench/slopes_test.go
+++ b/internal/bench/slopes_test.go
@@ -25,8 +25,8 @@
 	"github.com/stackspindle/stackspindle/internal/timeline"
 )
 
-// cpu returns the processor time that this process has used.
-func cpu() time.Duration {
+// processorTime returns the processor time, user and system, of this process so far.
+func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err) // the arguments are constants
@@ -34,10 +34,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// fit is a least-squares line through points.
-type fit struct{ n, sx, sy, sxx, sxy, syy float64 }
+// linearFit is the least-squares line through points.
+type linearFit struct{ n, sx, sy, sxx, sxy, syy float64 }
 
-func (f *fit) add(x, y float64) {
+func (f *linearFit) add(x, y float64) {
 	f.n++
 	f.sx += x
 	f.sy += y
@@ -46,39 +46,42 @@
 	f.syy += y * y
 }
 
-func (f *fit) slope() float64 {
+func (f *linearFit) slope() float64 {
 	return (f.n*f.sxy - f.sx*f.sy) / (f.n*f.sxx - f.sx*f.sx)
 }
 
-// r2 tells how much of the variation the line explains.
-func (f *fit) r2() float64 {
+// r2 returns the coefficient of determination: the share of the variance that the
+// line explains.
+func (f *linearFit) r2() float64 {
 	cov := f.n*f.sxy - f.sx*f.sy
 	return cov * cov / ((f.n*f.sxx - f.sx*f.sx) * (f.n*f.syy - f.sy*f.sy))
 }
 
-// row prints one slope as docs/CAPACITY.md has it.
-func row(b *testing.B, what, unit string, sizes []int, measure func(n int) float64) {
-	var f fit
+// printRow measures all sizes and prints the slope as a row of the table of
+// docs/CAPACITY.md.
+func printRow(b *testing.B, quantity, unit string, sizes []int, measure func(n int) float64) {
+	var f linearFit
 	var points []string
 	for _, n := range sizes {
 		y := measure(n)
 		f.add(float64(n), y)
 		points = append(points, fmt.Sprintf("%d: %.4g", n, y))
 	}
-	fmt.Printf("| %s | %.4g %s | %.3f | %s |\n", what, f.slope(), unit, f.r2(), strings.Join(points, ", "))
+	fmt.Printf("| %s | %.4g %s | %.3f | %s |\n", quantity, f.slope(), unit, f.r2(), strings.Join(points, ", "))
 	b.ReportMetric(f.slope(), "slope")
 }
 
-// BenchmarkSlopes prints the table of slopes of docs/CAPACITY.md (make slopes).
+// BenchmarkSlopes prints the table of slopes of docs/CAPACITY.md: how the use of a
+// resource grows with a size. `make slopes` runs it.
 func BenchmarkSlopes(b *testing.B) {
 	fmt.Println("\n| what | slope | R² | points |\n|---|---|---|---|")
 	for _, s := range []struct {
 		name string
 		run  func(b *testing.B)
 	}{
-		{"callers", slopeIdleCallers}, {"statements", slopeStatements}, {"groups", slopeGroups},
-		{"heartbeat-bytes", slopeHeartbeatBytes}, {"steps", slopeSteps}, {"floors", slopeFloors},
-		{"fleet", slopeFleet}, {"ranking", slopeRanking}, {"configuration", slopeConfiguration}, {"events", slopeEvents},
+		{"callers", slopeIdleClients}, {"statements", slopeStatements}, {"groups", slopeGroups},
+		{"heartbeat-bytes", slopeHeartbeatBytes}, {"steps", slopeFailoverSteps}, {"floors", slopeFloors},
+		{"fleet", slopeFleet}, {"ranking", slopePlacement}, {"configuration", slopeConfiguration}, {"events", slopeEvents},
 	} {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
@@ -88,86 +91,87 @@
 	}
 }
 
-func slopeIdleCallers(b *testing.B) {
+func slopeIdleClients(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 1, Adjust: func(s *config.Settings) { s.Caller.MaxCallers = 10_000 }})
 	addr := fleet.Instances[0].CallerAddr()
-	idleCaller(b, addr).Close()
+	connectIdleClient(b, addr).Close()
 	base := memoryInUse()
 	open := 0
-	row(b, "memory of idle callers", "B a caller", []int{500, 1000, 2000, 4000}, func(n int) float64 {
+	printRow(b, "memory of idle callers", "B a caller", []int{500, 1000, 2000, 4000}, func(n int) float64 {
 		for ; open < n; open++ {
-			conn := idleCaller(b, addr)
+			conn := connectIdleClient(b, addr)
 			b.Cleanup(func() { conn.Close() })
 		}
 		return float64(memoryInUse() - base)
 	})
 }
 
-// slopeStatements takes the processor time of client and stand-in off by
-// measuring the direct path in the same run.
+// slopeStatements subtracts the processor time of clients and stand-ins, which run in
+// the same process: it measures the direct path in the same run.
 func slopeStatements(b *testing.B) {
 	fleet := startFleet(b, standin.Options{Instances: 2, Connections: 64})
 	conn := dial(b, fleet.Instances[0].CallerAddr())
 	_, err := conn.Exec(context.Background(), "INSERT INTO shifts VALUES (1, 'amal', 'open')")
 	must.NoError(b, err)
-	o := fleet.Owner()
+	ownerIndex := fleet.Owner()
 	cost := func(addr string, n int) float64 {
-		before := cpu()
+		before := processorTime()
 		runStatements(b, addr, n)
-		return float64((cpu() - before).Microseconds())
+		return float64((processorTime() - before).Microseconds())
 	}
 	sizes := []int{10_000, 20_000, 40_000}
 	direct := fleet.Group.Member(1).Addr()
-	row(b, "processor time of reads, one hop less direct", "µs a statement", sizes, func(n int) float64 {
-		return cost(fleet.Instances[o].CallerAddr(), n) - cost(direct, n)
+	printRow(b, "processor time of reads, one hop less direct", "µs a statement", sizes, func(n int) float64 {
+		return cost(fleet.Instances[ownerIndex].CallerAddr(), n) - cost(direct, n)
 	})
-	row(b, "processor time of reads, two hops less direct", "µs a statement", sizes, func(n int) float64 {
-		return cost(fleet.Instances[1-o].CallerAddr(), n) - cost(direct, n)
+	printRow(b, "processor time of reads, two hops less direct", "µs a statement", sizes, func(n int) float64 {
+		return cost(fleet.Instances[1-ownerIndex].CallerAddr(), n) - cost(direct, n)
 	})
 }
 
 func runStatements(b *testing.B, addr string, n int) {
-	const callers = 32
-	done := make(chan error, callers)
-	for range callers {
+	const clients = 32
+	done := make(chan error, clients)
+	for range clients {
 		conn := dial(b, addr)
 		go func() {
 			var state string
 			var err error
-			for i := 0; i < n/callers && err == nil; i++ {
+			for i := 0; i < n/clients && err == nil; i++ {
 				err = conn.QueryRow(context.Background(), "SELECT state FROM shifts WHERE id = 1").Scan(&state)
 			}
 			conn.Close(context.Background())
 			done <- err
 		}()
 	}
-	for range callers {
+	for range clients {
 		must.NoError(b, <-done)
 	}
 }
 
-// settle is how long an idle state is watched.
-const settle = 2 * time.Second
+// idleWindow is how long an idle system is measured.
+const idleWindow = 2 * time.Second
 
-// slopeGroups counts the stand-in's side of each heartbeat in, so it is an upper
-// bound of what an owner spends.
+// slopeGroups gives an upper bound of the processor time of an owner: it includes that
+// of the stand-ins, which answer the heartbeats in the same process.
 func slopeGroups(b *testing.B) {
 	groups, err := pggroup.Start("g", 0)
 	must.NoError(b, err)
 	b.Cleanup(groups.Close)
 	started := time.Now()
 	var running []*owner.Group
-	row(b, "processor time of idle groups, three members each", "µs/s a group", []int{1, 4, 8, 16}, func(n int) float64 {
+	printRow(b, "processor time of idle groups, three members each", "µs/s a group", []int{1, 4, 8, 16}, func(n int) float64 {
 		for len(running) < n {
 			running = append(running, startGroup(b, started, len(running)))
 		}
-		time.Sleep(settle / 2)
-		before := cpu()
-		time.Sleep(settle)
-		return float64((cpu() - before).Microseconds()) / settle.Seconds()
+		time.Sleep(idleWindow / 2)
+		before := processorTime()
+		time.Sleep(idleWindow)
+		return float64((processorTime() - before).Microseconds()) / idleWindow.Seconds()
 	})
 }
 
+// startGroup starts a group with stand-in members and waits until it serves.
 func startGroup(b *testing.B, started time.Time, i int) *owner.Group {
 	members, err := pggroup.Start(fmt.Sprintf("g%d", i), 0)
 	must.NoError(b, err)
@@ -194,7 +198,7 @@
 }
 
 func slopeHeartbeatBytes(b *testing.B) {
-	row(b, "bytes of idle groups to and from the members", "B/s a group", []int{1, 2, 4}, func(n int) float64 {
+	printRow(b, "bytes of idle groups to and from the members", "B/s a group", []int{1, 2, 4}, func(n int) float64 {
 		var fleets []*standin.Fleet
 		for range n {
 			fleets = append(fleets, startFleet(b, standin.Options{Instances: 1}))
@@ -207,10 +211,10 @@
 			}
 			return total
 		}
-		time.Sleep(settle / 2)
+		time.Sleep(idleWindow / 2)
 		before := traffic()
-		time.Sleep(settle)
-		rate := float64(traffic()-before) / settle.Seconds()
+		time.Sleep(idleWindow)
+		rate := float64(traffic()-before) / idleWindow.Seconds()
 		for _, f := range fleets {
 			f.Close()
 		}
@@ -218,9 +222,9 @@
 	})
 }
 
-func slopeSteps(b *testing.B) {
+func slopeFailoverSteps(b *testing.B) {
 	members := []string{"a", "b", "c"}
-	row(b, "processor time of failover decisions", "ns a step", []int{100_000, 200_000, 400_000}, func(n int) float64 {
+	printRow(b, "processor time of failover decisions", "ns a step", []int{100_000, 200_000, 400_000}, func(n int) float64 {
 		s := failover.New(failover.DefaultConfig(), "me", members)
 		before := time.Now()
 		for i := range n {
@@ -231,7 +235,7 @@
 }
 
 func slopeFloors(b *testing.B) {
-	row(b, "memory of session floors", "B a floor", []int{10_000, 20_000, 40_000, 80_000}, func(n int) float64 {
+	printRow(b, "memory of session floors", "B a floor", []int{10_000, 20_000, 40_000, 80_000}, func(n int) float64 {
 		before := memoryInUse()
 		f := session.New(n + 1)
 		for i := range n {
@@ -243,37 +247,37 @@
 	})
 }
 
-// slopeFleet runs fleets of several sizes, idle, in one process.
+// slopeFleet measures idle fleets of several sizes, each in this process.
 func slopeFleet(b *testing.B) {
-	type idle struct{ cpu, messages, bytes, calls float64 }
-	measured := map[int]idle{}
+	type idleUse struct{ processorTime, messages, bytes, calls float64 }
+	measured := map[int]idleUse{}
 	sizes := []int{3, 9, 30}
 	for _, n := range sizes {
 		fleet := startFleet(b, standin.Options{Instances: n})
-		time.Sleep(settle)
-		read := func() idle {
-			return idle{
-				cpu:      float64(cpu().Microseconds()),
-				messages: metric(fleet, "stackspindle_control_messages_total"),
-				bytes:    metric(fleet, `stackspindle_control_bytes_total{direction="sent"}`) + metric(fleet, `stackspindle_control_bytes_total{direction="received"}`),
-				calls:    float64(fleet.Store.Calls()),
+		time.Sleep(idleWindow)
+		read := func() idleUse {
+			return idleUse{
+				processorTime: float64(processorTime().Microseconds()),
+				messages:      sumMetric(fleet, "stackspindle_control_messages_total"),
+				bytes:         sumMetric(fleet, `stackspindle_control_bytes_total{direction="sent"}`) + sumMetric(fleet, `stackspindle_control_bytes_total{direction="received"}`),
+				calls:         float64(fleet.Store.Calls()),
 			}
 		}
 		before := read()
-		time.Sleep(2 * settle)
+		time.Sleep(2 * idleWindow)
 		after := read()
-		s := (2 * settle).Seconds()
-		measured[n] = idle{(after.cpu - before.cpu) / s, (after.messages - before.messages) / s, (after.bytes - before.bytes) / s, (after.calls - before.calls) / s}
+		s := (2 * idleWindow).Seconds()
+		measured[n] = idleUse{(after.processorTime - before.processorTime) / s, (after.messages - before.messages) / s, (after.bytes - before.bytes) / s, (after.calls - before.calls) / s}
 		fleet.Close()
 	}
-	row(b, "processor time of an idle fleet, one group", "µs/s an instance", sizes, func(n int) float64 { return measured[n].cpu })
-	row(b, "control messages of an idle fleet, sent and received", "/s an instance", sizes, func(n int) float64 { return measured[n].messages })
-	row(b, "control bytes of an idle fleet, sent and received", "B/s an instance", sizes, func(n int) float64 { return measured[n].bytes })
-	row(b, "calls on the platform's service, idle", "/s an instance", sizes, func(n int) float64 { return measured[n].calls })
+	printRow(b, "processor time of an idle fleet, one group", "µs/s an instance", sizes, func(n int) float64 { return measured[n].processorTime })
+	printRow(b, "control messages of an idle fleet, sent and received", "/s an instance", sizes, func(n int) float64 { return measured[n].messages })
+	printRow(b, "control bytes of an idle fleet, sent and received", "B/s an instance", sizes, func(n int) float64 { return measured[n].bytes })
+	printRow(b, "calls on the platform's service, idle", "/s an instance", sizes, func(n int) float64 { return measured[n].calls })
 }
 
-func slopeRanking(b *testing.B) {
-	row(b, "processor time of placing 610 groups", "µs an instance", []int{50, 150, 550}, func(n int) float64 {
+func slopePlacement(b *testing.B) {
+	printRow(b, "processor time of placing 610 groups", "µs an instance", []int{50, 150, 550}, func(n int) float64 {
 		instances := make([]ownership.Instance, n)
 		for i := range instances {
 			instances[i] = ownership.Instance{Name: fmt.Sprintf("i%d", i), DataCentre: fmt.Sprintf("dc%d", i%6)}
@@ -288,7 +292,8 @@
 	})
 }
 
-func resources(n int) []rollout.Entry {
+// serviceEntries returns n services as entries of the store.
+func serviceEntries(n int) []rollout.Entry {
 	entries := make([]rollout.Entry, n)
 	for i := range entries {
 		raw, err := json.Marshal(resource.Resource{
@@ -297,7 +302,7 @@
 			Service:  &resource.ServiceSpec{Databases: []string{"roster"}, Weight: 1},
 		})
 		if err != nil {
-			panic(err) // resources always marshal
+			panic(err) // a resource can always be marshalled
 		}
 		entries[i] = rollout.Entry{Key: rollout.Key{Kind: "Service", Name: fmt.Sprintf("service-%d", i)}, Document: string(raw), Revision: int64(i + 1)}
 	}
@@ -306,15 +311,15 @@
 
 func slopeConfiguration(b *testing.B) {
 	sizes := []int{500, 1000, 2000, 4000}
-	row(b, "memory of resources in force", "B a resource", sizes, func(n int) float64 {
+	printRow(b, "memory of resources in force", "B a resource", sizes, func(n int) float64 {
 		before := memoryInUse()
-		s := rollout.Empty().Merge(0, resources(n))
+		s := rollout.Empty().Merge(0, serviceEntries(n))
 		used := float64(memoryInUse() - before)
 		runtime.KeepAlive(s)
 		return used
 	})
-	row(b, "processor time of one change in a snapshot", "ns a resource", sizes, func(n int) float64 {
-		entries := resources(n + 20)
+	printRow(b, "processor time of one change in a snapshot", "ns a resource", sizes, func(n int) float64 {
+		entries := serviceEntries(n + 20)
 		s := rollout.Empty().Merge(0, entries[:n])
 		before := time.Now()
 		for _, e := range entries[n:] {
@@ -325,7 +330,7 @@
 }
 
 func slopeEvents(b *testing.B) {
-	row(b, "memory of events on the time line", "B an event", []int{1000, 2000, 4000}, func(n int) float64 {
+	printRow(b, "memory of events on the time line", "B an event", []int{1000, 2000, 4000}, func(n int) float64 {
 		before := memoryInUse()
 		ring := timeline.NewRing("instance-1", timeline.NewClock(time.Now), n)
 		for i := range n {
