--- a/internal/standin/soak/caller.go
+++ b/internal/standin/soak/caller.go
@@ -14,28 +14,30 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Settings of the callers.
+// Limits of the clients.
 const (
 	connectTime = time.Second
-	answerTime  = 5 * time.Second // several times the routes'; then nobody waits any more
-	maxInTx     = 4               // statements of a transaction
-	// cutAfter is after what time a request that got no answer was cut. One that
-	// crosses with the end of its session in good order is not.
+	answerTime  = 5 * time.Second // several times the statement timeout of the routes, after which no instance still works on the statement
+	maxInTx     = 4               // statements per transaction
+	// cutAfter distinguishes a request that was cut off from one that was sent while
+	// the instance was closing the session in an orderly way: only a request that ran
+	// this long without an answer counts as cut.
 	cutAfter = 200 * time.Millisecond
 )
 
-// caller is a client: it keeps a session as long as it can.
+// client simulates a client of the fleet. It keeps one session open for as long as
+// possible and checks every answer.
 type caller struct {
 	run   *run
 	name  string
 	rnd   *rand.Rand
-	fixed *instance // whom it always calls; nil: anyone
+	fixed *instance // the instance to connect to; nil: a random one
 	next  int
 
 	conn  net.Conn
 	r     *bufio.Reader
 	group *databaseGroup
-	kind  string // of the route
+	kind  string // consistency of the route: strict, bounded or own
 	floor group.Position
 }
 
@@ -43,7 +45,7 @@
 	return &caller{run: r, name: fmt.Sprintf("c%d.%d", n, time.Now().UnixNano()), rnd: r.random(1000 + uint64(n))}
 }
 
-// work runs operations until the context ends.
+// work runs random operations until the context is cancelled.
 func (c *caller) work(ctx context.Context) {
 	defer c.hangUp()
 	for ctx.Err() == nil {
@@ -67,7 +69,8 @@
 	}
 }
 
-// connect begins a session at any instance.
+// connect opens a session with a random group, consistency and instance. Half of the
+// sessions set the value "owner", which the members check.
 func (c *caller) connect() {
 	c.group = c.run.groups[c.rnd.IntN(len(c.run.groups))]
 	c.kind = []string{"strict", "bounded", "own"}[c.rnd.IntN(3)]
@@ -77,10 +80,11 @@
 	}
 }
 
+// dial opens a session at an instance. On failure it leaves the client unconnected.
 func (c *caller) dial(i *instance) {
 	conn, err := net.DialTimeout("tcp", i.callers, connectTime)
 	if err != nil {
-		return // it is down
+		return // the instance is down
 	}
 	c.conn, c.r, c.floor = conn, bufio.NewReader(conn), group.Position{}
 	if _, err := fmt.Fprintf(conn, "STARTUP %s-%s\r\n", c.kind, c.group.name); err != nil {
@@ -94,20 +98,21 @@
 
 func (c *caller) hangUp() {
 	if c.conn != nil {
-		_ = c.conn.Close() // nothing is under way on it
+		_ = c.conn.Close() // no request is in flight
 		c.conn = nil
 	}
 }
 
-// id returns the ID of a new statement. It begins with the caller's name.
+// id returns a new statement ID. It begins with the client's name, so that members
+// can tell whose statement it is.
 func (c *caller) id() string {
 	c.next++
 	return c.name + "-" + strconv.Itoa(c.next)
 }
 
-// answer is what a caller got.
+// answer is the parsed answer to one request.
 type answer struct {
-	lost    bool // the connection ended, or nothing came
+	lost    bool // the connection broke or the answer timed out
 	code    string
 	receipt string
 	row     string
@@ -116,9 +121,12 @@
 
 func (a answer) ok() bool { return !a.lost && a.code == "" }
 
-// notRun are the codes that promise that nothing is kept.
+// notRun has the error codes that promise that the statement or transaction had no
+// effect.
 var notRun = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "MISROUTED": true, "TOOMANY": true}
 
+// query sends one statement and reads its answer. It checks the receipt, and with
+// planned work only, that the request was not cut off.
 func (c *caller) query(id, text string) answer {
 	sent := time.Now()
 	if _, err := fmt.Fprintf(c.conn, "QUERY %s %s\r\n", id, text); err != nil {
@@ -139,7 +147,7 @@
 	return a
 }
 
-// read reads one answer.
+// read reads one answer, up to its READY line.
 func (c *caller) read() answer {
 	var a answer
 	if err := c.conn.SetReadDeadline(time.Now().Add(answerTime)); err != nil {
@@ -169,7 +177,7 @@
 	}
 }
 
-// write writes once to a group, for those that wait until that succeeds.
+// write tries one write to a group, for callers that repeat it until it succeeds.
 func (c *caller) write(_ context.Context, g *databaseGroup) bool {
 	c.group, c.kind = g, "strict"
 	if c.conn == nil {
@@ -178,6 +186,7 @@
 	return c.conn != nil && c.writeOnce()
 }
 
+// writeOnce runs a single write outside of a transaction.
 func (c *caller) writeOnce() bool {
 	id := c.id()
 	a := c.query(id, "WRITE thing "+id)
@@ -185,7 +194,8 @@
 	return a.ok()
 }
 
-// settle checks and records what became of writes that were answered together.
+// settle records the outcome of writes that were acknowledged or rejected together,
+// and checks that acknowledged ones are committed by a current primary.
 func (c *caller) settle(a answer, ids ...string) {
 	switch {
 	case a.ok():
@@ -210,13 +220,16 @@
 	}
 }
 
+// readOnce runs a single read outside of a transaction and checks its staleness.
 func (c *caller) readOnce() {
 	required := c.required()
 	a := c.query(c.id(), "READ thing")
 	c.checkRead(a, required)
 }
 
-// required returns the end of what a read that begins now must see.
+// required returns the log position that a read that starts now must at least see:
+// with strict consistency all acknowledged writes, otherwise those acknowledged before
+// the staleness bound, and with own also the session's own writes.
 func (c *caller) required() group.Position {
 	switch c.kind {
 	case "strict":
@@ -227,8 +240,9 @@
 	return c.group.ledger.acknowledgedBy(time.Now().Add(-staleness))
 }
 
-// checkRead compares the log that a read ran on with what it had to hold. A log of
-// a later term holds what its promotion has kept.
+// checkRead compares the log position that a read ran at with the required one. A log
+// of a later term passes whatever its length, since the promotion that began the term
+// decided which writes it has.
 func (c *caller) checkRead(a answer, required group.Position) {
 	if !a.ok() {
 		c.run.count("reads not served")
@@ -247,7 +261,8 @@
 	}
 }
 
-// transaction runs some statements together.
+// transaction runs a transaction of random reads and writes and commits it, or rolls
+// it back in one of five cases.
 func (c *caller) transaction() {
 	required := c.required()
 	if a := c.query(c.id(), "BEGIN"); !a.ok() {
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -13,26 +13,27 @@
 	"github.com/stackspindle/stackspindle/internal/standin/memstore"
 )
 
-// Settings of the faults.
+// Bounds of the injected faults.
 const (
-	streams   = 3 // faults at the same time, each stream one after another
+	streams   = 3 // concurrent streams; each injects one fault after another
 	minFault  = 100 * time.Millisecond
 	maxFault  = 4 * time.Second
-	maxPause  = time.Second // between two faults of a stream
+	maxPause  = time.Second // between two faults of one stream
 	linkDelay = 150 * time.Millisecond
-	storeWait = 300 * time.Millisecond // of a slow store
-	lostCalls = 5                      // answers of the store or a member that are lost
+	storeWait = 300 * time.Millisecond // added latency of a slow store
+	lostCalls = 5                      // answers that the store or a member loses in one fault
 )
 
-// fault is one thing that goes wrong for a while.
+// fault is one kind of fault that the soak injects.
 type fault struct {
 	name    string
 	planned bool
-	// run does it and undoes it after the time given.
+	// run injects the fault and undoes it after the given duration.
 	run func(r *run, rnd *rand.Rand, last time.Duration)
 }
 
-// inject runs streams of faults until their time is over and all have ended.
+// inject runs the streams of faults for Options.Faults and waits until all faults
+// have ended.
 func (r *run) inject(ctx context.Context) {
 	var faults []fault
 	for _, f := range allFaults {
@@ -48,7 +49,7 @@
 			defer wg.Done()
 			rnd := r.random(uint64(stream))
 			for time.Now().Before(until) && ctx.Err() == nil {
-				time.Sleep(rand.N(maxPause)) // when does not come from the seed anyway
+				time.Sleep(rand.N(maxPause)) // timing is not reproducible, so it does not use the seed
 				last := minFault + rand.N(maxFault-minFault)
 				f := faults[rnd.IntN(len(faults))]
 				r.note(f.name)
@@ -59,13 +60,15 @@
 	wg.Wait()
 }
 
+// recordFault adds a fault to the report, with the time since the start.
 func (r *run) note(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Faults = append(r.report.Faults, fmt.Sprintf("%s %s", time.Since(r.started).Round(time.Millisecond), name))
 }
 
-// anInstance runs f for an instance whose process no other fault concerns.
+// anInstance returns a fault that calls f for a random instance. It does nothing if
+// another fault already affects that process.
 func anInstance(f func(i *instance, last time.Duration)) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, rnd *rand.Rand, last time.Duration) {
 		i := r.instances[rnd.IntN(len(r.instances))]
@@ -77,7 +80,7 @@
 	}
 }
 
-// proxied sets a fault of a proxy for a while.
+// proxied returns a fault that sets f on a proxy and clears it afterwards.
 func proxied(pick func(r *run, rnd *rand.Rand) *faultproxy.Proxy, f faultproxy.Fault) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, rnd *rand.Rand, last time.Duration) {
 		p := pick(r, rnd)
@@ -87,20 +90,24 @@
 	}
 }
 
+// toStore returns the proxy between a random instance and the store.
 func toStore(r *run, rnd *rand.Rand) *faultproxy.Proxy {
 	return r.instances[rnd.IntN(len(r.instances))].store
 }
 
+// toInstance returns the proxy between a random instance and its peers.
 func toInstance(r *run, rnd *rand.Rand) *faultproxy.Proxy {
 	return r.instances[rnd.IntN(len(r.instances))].peers
 }
 
+// toMember returns the proxy before a random member.
 func toMember(r *run, rnd *rand.Rand) *faultproxy.Proxy {
 	g := r.groups[rnd.IntN(len(r.groups))]
 	return g.proxies[g.ids[rnd.IntN(len(g.ids))]]
 }
 
-// aMember runs f for a member, the primary every second time.
+// aMember returns a fault that calls f for a member: in half of the cases the primary,
+// otherwise a random member.
 func aMember(f func(g *databaseGroup, id string, last time.Duration)) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, rnd *rand.Rand, last time.Duration) {
 		g := r.groups[rnd.IntN(len(r.groups))]
@@ -112,7 +119,8 @@
 	}
 }
 
-// reach changes how a member can be reached, for a while.
+// reach returns a fault that changes the reachability of a member and restores it
+// afterwards.
 func reach(how membergroup.Reach) func(*run, *rand.Rand, time.Duration) {
 	return aMember(func(g *databaseGroup, id string, last time.Duration) {
 		g.members.SetReach(id, how)
@@ -126,7 +134,8 @@
 	})
 }
 
-// storeFault changes what goes wrong with all calls of the store, for a while.
+// storeFault returns a fault that applies f to all calls to the store and clears it
+// afterwards.
 func storeFault(f memstore.Faults) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, _ *rand.Rand, last time.Duration) {
 		r.platform.Set(f)
@@ -141,15 +150,18 @@
 	late   = faultproxy.Fault{Delay: linkDelay}
 )
 
+// resets returns a fault that resets the open connections of a proxy.
 func resets(pick func(*run, *rand.Rand) *faultproxy.Proxy) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, rnd *rand.Rand, _ time.Duration) { pick(r, rnd).Reset() }
 }
 
+// silences returns a fault that stops all traffic on the open connections of a proxy
+// without closing them.
 func silences(pick func(*run, *rand.Rand) *faultproxy.Proxy) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, rnd *rand.Rand, _ time.Duration) { pick(r, rnd).SilenceOpen() }
 }
 
-// allFaults are the faults that may come, at any moment and together.
+// allFaults has all faults. They may occur at any time and overlap.
 var allFaults = []fault{
 	{"an instance is killed", false, anInstance(func(i *instance, last time.Duration) { i.kill(); time.Sleep(last); i.restart() })},
 	{"an instance stands still", false, anInstance(func(i *instance, last time.Duration) {
--- a/internal/standin/soak/ledger.go
+++ b/internal/standin/soak/ledger.go
@@ -8,20 +8,22 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// ledger is what the callers of a group were told. It is safe for concurrent use.
+// outcomes records which writes of a group were acknowledged to clients and which were
+// rejected. It is safe for concurrent use.
 type ledger struct {
 	mu           sync.Mutex // guards all below
 	acknowledged map[string]bool
-	refused      map[string]bool // it was promised that nothing of them is kept
-	ends         []end           // in the order of time, each further than the one before
+	refused      map[string]bool // rejected with a code that promises that the write had no effect
+	ends         []end           // in order of time, with ascending positions
 }
 
-// end is how far the acknowledged writes reached at a time.
+// end is the highest log position of all writes acknowledged up to a time.
 type end struct {
 	at       time.Time
 	position group.Position
 }
 
+// acknowledge records that a write at a log position was acknowledged now.
 func (l *ledger) acknowledge(id string, p group.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,6 +36,7 @@
 	}
 }
 
+// refuse records that writes were rejected without effect.
 func (l *ledger) refuse(ids ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +48,8 @@
 	}
 }
 
-// acknowledgedBy returns how far the writes reached that were acknowledged by a time.
+// acknowledgedBy returns the highest log position of the writes acknowledged up to a
+// time, or the zero position.
 func (l *ledger) acknowledgedBy(at time.Time) group.Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +60,9 @@
 	return l.ends[n-1].position
 }
 
-// checkCommits compares what callers were told with what the members have kept.
+// checkCommits compares the outcomes reported to clients with the commits at the
+// members. It reports acknowledged writes that are missing although no promotion has
+// dropped them, rejected writes that were committed, and writes committed twice.
 func (r *run) checkCommits(g *databaseGroup) {
 	commits := g.members.Commits()
 	kept := make(map[string]bool)
--- a/internal/standin/soak/process.go
+++ b/internal/standin/soak/process.go
@@ -17,41 +17,43 @@
 	"github.com/stackspindle/stackspindle/internal/standin/faultproxy"
 )
 
-// grace is after what time the platform would kill a process that was asked to stop.
+// shutdownGrace is the time between the platform's SIGTERM and its SIGKILL. It is
+// written into the settings of each instance.
 const grace = 3 * time.Second
 
-// stopBound is after what time one that has not ended by itself is a finding: several
-// times the grace, since the machine may be busy.
+// stopTimeout is how long a process may take to exit after SIGTERM before the soak
+// reports a finding. It is several times the grace period because the machine may be
+// busy.
 const stopBound = 5 * grace
 
-// instance is one process with the proxies around it.
+// instance is one stackspindle process and the fault proxies around it.
 type instance struct {
 	name     string
 	run      *run
 	settings string
-	callers  string            // address for callers
-	store    *faultproxy.Proxy // its way to the store
-	peers    *faultproxy.Proxy // the others' way to it
+	callers  string            // address that clients connect to
+	store    *faultproxy.Proxy // between this instance and the store
+	peers    *faultproxy.Proxy // between the other instances and this one
 
-	busy sync.Mutex // held while a fault of the process lasts
+	busy sync.Mutex // held while a fault affects the process
 
 	mu   sync.Mutex // guards cmd, done
 	cmd  *exec.Cmd
-	done chan struct{} // closed once the process has ended
+	done chan struct{} // closed when the process has exited
 }
 
-// Ports of the processes lie below those that the system gives to outgoing
-// connections (from 32768), which would take them while a process is down.
+// The processes listen on ports below the system's ephemeral range (from 32768).
+// Otherwise an outgoing connection could take a port while its process is down.
 const (
 	firstPort = 15000
 	ports     = 17000
 	portTries = 1000
 )
 
-// handedOut are the ports that runs of this process use.
+// usedAddrs has the addresses that freeAddr has returned to runs in this process.
 var handedOut sync.Map
 
-// freeAddr returns an address on loopback that nobody uses.
+// freeAddr returns an unused loopback address.
 func freeAddr() (string, error) {
 	for range portTries {
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(firstPort+rand.N(ports)))
@@ -65,6 +67,8 @@
 	return "", errors.New("no free port was found")
 }
 
+// newInstance creates the proxies and writes the settings file of instance n. It does
+// not start the process.
 func (r *run) newInstance(n int) (*instance, error) {
 	i := &instance{name: fmt.Sprintf("instance-%d", n), run: r}
 	var addrs [4]string
@@ -93,7 +97,7 @@
 	return i, os.WriteFile(i.settings, []byte(settings), 0o600)
 }
 
-// start starts the process.
+// start runs the program and appends its output to the instance's log.
 func (i *instance) start() error {
 	log, err := i.run.logFile(i.name)
 	if err != nil {
@@ -107,7 +111,7 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // how it ended does not matter to those that wait
+		_ = cmd.Wait() // only the exit matters, not the exit status
 		close(done)
 	}()
 	i.mu.Lock()
@@ -116,6 +120,8 @@
 	return nil
 }
 
+// process returns the current process and a channel that is closed when it exits,
+// or nil before the first start.
 func (i *instance) process() (*os.Process, <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -128,24 +134,25 @@
 // signal sends the process a signal.
 func (i *instance) signal(s syscall.Signal) {
 	if p, _ := i.process(); p != nil {
-		_ = p.Signal(s) // it may have ended
+		_ = p.Signal(s) // fails if the process has exited
 	}
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits until the process has exited.
 func (i *instance) kill() {
 	p, done := i.process()
 	if p == nil {
 		return
 	}
-	_ = p.Kill() // it may have ended
+	_ = p.Kill() // fails if the process has exited
 	<-done
 }
 
-// stop asks the process to end, and kills it after its grace, which is a finding.
+// stop sends SIGTERM. A process that does not exit within stopTimeout is a finding and
+// is killed.
 func (i *instance) stop() {
 	p, done := i.process()
-	_ = p.Signal(syscall.SIGTERM) // it may have ended
+	_ = p.Signal(syscall.SIGTERM) // fails if the process has exited
 	select {
 	case <-done:
 	case <-time.After(stopBound):
@@ -154,7 +161,7 @@
 	}
 }
 
-// restart starts the process anew.
+// restart starts the process again after it has exited.
 func (i *instance) restart() {
 	if err := i.start(); err != nil {
 		i.run.finding("%s could not be started again: %v", i.name, err)
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -1,8 +1,10 @@
-// Package soak runs instances as separate processes before stand-ins of the users'
-// platform, injects faults from outside them for a while, and checks what callers
-// and members see against the project's promises. All choices come from a seed.
-// What the processes make of their time does not, so that a seed that failed may
-// have to be run several times.
+// Package soak runs stackspindle instances as separate processes against stand-ins of
+// the platform's store and database members, injects faults from outside of the
+// processes, and checks the answers that clients and members get against the
+// project's guarantees. A guarantee that does not hold is reported as a finding.
+//
+// The seed determines which faults and operations are chosen. It does not determine
+// their timing, so a seed that failed may have to run several times to fail again.
 package soak
 
 import (
@@ -22,41 +24,41 @@
 	"github.com/stackspindle/stackspindle/internal/standin/platformstore"
 )
 
-// Options say what is run.
+// Options configure a run.
 type Options struct {
-	Binary    string // the program
-	Dir       string // for settings and logs of the processes
+	Binary    string // path of the stackspindle program
+	Dir       string // where the settings and logs of the processes are written
 	Seed      uint64
-	Faults    time.Duration // for how long faults are injected
+	Faults    time.Duration // how long faults are injected
 	Instances int
 	Callers   int
-	// Planned leaves only planned work among the faults: stops, reloads, changes of
-	// configuration, members that drain. Then no request may be cut either.
+	// Planned restricts the faults to planned work: stops, reloads, configuration
+	// changes and draining members. No request may be cut off then.
 	Planned bool
 }
 
-// Settings of the surroundings.
+// Properties of the database groups, their routes and the clients.
 const (
 	membersPerGroup = 3
-	memberWork      = 5 * time.Millisecond  // of a statement
-	memberLag       = 40 * time.Millisecond // of replicas
-	plenty          = 40                    // connections of a member: each instance has some
-	scarce          = 10                    // two instances have some, for all others
-	staleness       = 2 * time.Second       // that bounded routes allow
-	statementTime   = time.Second           // of the routes
-	recovery        = 40 * time.Second      // until all must serve once faults are over; grants last 15 to 31 s
+	memberWork      = 5 * time.Millisecond  // duration of a statement at a member
+	memberLag       = 40 * time.Millisecond // replica lag
+	plenty          = 40                    // connection limit of a member: enough for every instance to have some
+	scarce          = 10                    // connection limit of a member: only two instances have connections and serve the others
+	staleness       = 2 * time.Second       // staleness bound of the routes that are not strict
+	statementTime   = time.Second           // statement timeout and target latency of the routes
+	recovery        = 40 * time.Second      // how long after the faults all instances must serve again; grants last 15 to 31 s
 	callerPause     = 10 * time.Millisecond
 )
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
-	Faults   []string // with the time since the start, in order
-	Findings []string // promises that were broken
+	Faults   []string // in order, each with the time since the start of the run
+	Findings []string // guarantees that did not hold
 	Counts   map[string]int
 }
 
-// run is one run of the soak.
+// run is the state of one run.
 type run struct {
 	opts      Options
 	started   time.Time
@@ -67,21 +69,25 @@
 
 	mu     sync.Mutex // guards report, version
 	report Report
-	// version of the configuration in force
+	// version of the configuration last written to the store
 	version int64
 }
 
-// databaseGroup is a group with the servers of its members.
+// databaseGroup is a database group whose members are served over TCP, each behind a
+// fault proxy.
 type databaseGroup struct {
 	name    string
-	limit   int // connections a member
+	limit   int // connection limit of each member
 	members *membergroup.Group
 	ids     []string
-	proxies map[string]*faultproxy.Proxy // by member
+	proxies map[string]*faultproxy.Proxy // by member ID
 	ledger  *ledger
 }
 
-// Run runs the soak once. An error says that it could not be run.
+// Run starts the stand-ins and instances, runs clients while it injects faults, and
+// checks that all instances serve again and that no commit was lost or repeated.
+// Guarantees that did not hold are in the report; an error means that the run could
+// not be set up or was cancelled.
 func Run(ctx context.Context, opts Options) (Report, error) {
 	r := &run{opts: opts, started: time.Now(), store: memstore.New(), report: Report{Seed: opts.Seed, Counts: make(map[string]int)}}
 	defer r.close()
@@ -114,7 +120,7 @@
 	return r.report, ctx.Err()
 }
 
-// prepare starts the stand-ins and the instances.
+// prepare starts the stand-ins, writes the configuration and starts the instances.
 func (r *run) prepare() error {
 	var err error
 	if r.platform, err = platformstore.New(r.store, r.promote); err != nil {
@@ -140,6 +146,7 @@
 	return nil
 }
 
+// prepareGroup starts the members of a group and writes their entries to the store.
 func (r *run) prepareGroup(g *databaseGroup) error {
 	g.proxies, g.ledger = make(map[string]*faultproxy.Proxy), &ledger{}
 	for n := range membersPerGroup {
@@ -160,6 +167,7 @@
 	return nil
 }
 
+// promote handles the platform's promotion call.
 func (r *run) promote(name, id, instance string, token uint64) error {
 	for _, g := range r.groups {
 		if g.name == name {
@@ -169,7 +177,7 @@
 	return fmt.Errorf("no group %q", name)
 }
 
-// putMember writes a member's entry as the platform has it.
+// putMember writes a member's store entry in the platform's format.
 func (r *run) putMember(g *databaseGroup, id, state string) {
 	role := "replica"
 	if g.members.Entry(id).Primary {
@@ -181,10 +189,11 @@
 	})
 }
 
-// kinds are the routes' kinds of consistency, by what a database's name begins with.
+// kinds has the consistency of the routes by the prefix of their database name.
 var kinds = map[string]string{"strict": "primary", "bounded": "bounded_staleness", "own": "read_your_writes"}
 
-// putConfig writes the next version of the configuration.
+// putConfig writes the configuration with the next version number. Its contents stay
+// the same.
 func (r *run) putConfig() {
 	r.mu.Lock()
 	r.version++
@@ -207,12 +216,12 @@
 func (r *run) put(key string, document any) {
 	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(fmt.Sprintf("soak: %T cannot be encoded: %v", document, err)) // the documents stand above
+		panic(fmt.Sprintf("soak: encode %T: %v", document, err)) // all documents are built in this file
 	}
 	r.store.Put(key, raw)
 }
 
-// finding records a broken promise.
+// finding reports a guarantee that did not hold, with the time since the start.
 func (r *run) finding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -226,7 +235,8 @@
 	r.report.Counts[what]++
 }
 
-// awaitService waits until a write through every instance succeeds in every group.
+// awaitService waits until one write to every group has succeeded through every
+// instance. It returns false after the recovery time or when the context is cancelled.
 func (r *run) awaitService(ctx context.Context) bool {
 	until := time.Now().Add(recovery)
 	for n, i := range r.instances {
@@ -261,10 +271,11 @@
 	}
 }
 
-// random returns a source of choices for one part of the run.
+// random returns the random number generator for one part of the run, derived from
+// the seed.
 func (r *run) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(r.opts.Seed, part)) }
 
-// logFile opens the log of a process, which goes on over its restarts.
+// logFile opens the log of an instance for appending. All its processes share it.
 func (r *run) logFile(name string) (*os.File, error) {
 	return os.OpenFile(filepath.Join(r.opts.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
--- a/internal/standin/soak/soak_test.go
+++ b/internal/standin/soak/soak_test.go
@@ -12,18 +12,20 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Seeds that failed once, with the cause. The times of a run are not repeated, so
-// each only makes its cause likely; the causes have tests of their own.
+// failedSeeds has seeds that failed once, with the cause. The timing of a run is not
+// reproducible, so a seed only makes its cause likely; each cause has its own test.
 var failedSeeds = map[uint64]string{
 	106: "an old primary that came back, leading an earlier term, was taken for the primary (TestSelect)",
-	107: "a carrier kept connections for transactions of a silent instance (TestCarrierGivesUpTransactionsOfSilentInstances)",
+	107: "a carrier kept connections for transactions of a silent instance (TestCarrierAbortsTransactionsOfUnresponsiveInstances)",
 	122: "the same as 107: no service through a carrier after the last fault",
 	146: "the same as 106, after the primary drained",
 }
 
-// faultsInTests is for how long faults are injected here; by hand it is 15 s and more.
+// faultsInTests is how long each test run injects faults. Manual runs use 15 s or
+// more.
 const faultsInTests = 6 * time.Second
 
+// Runs the real program with each seed that has failed before.
 func TestSeedsThatFailedOnce(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "stackspindle")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/stackspindle/stackspindle/cmd/stackspindle").CombinedOutput()
@@ -43,14 +45,14 @@
 
 func position(term, index uint64) group.Position { return group.Position{Term: term, Index: index} }
 
-// newTestCaller returns a caller whose answers a test makes up.
+// newTestClient returns an unconnected client; tests pass answers to its checks.
 func newTestCaller(kind string) *caller {
 	r := &run{started: time.Now(), report: Report{Counts: make(map[string]int)}}
 	return &caller{run: r, kind: kind, group: &databaseGroup{ledger: &ledger{}}}
 }
 
-// The check of reads finds logs that are too short or of an earlier term, and lets
-// those of a later term pass, which hold what their promotion has kept.
+// A read is a finding if its log is too short or of an earlier term. A log of a later
+// term passes, since the promotion that began the term decided which writes it has.
 func TestReadsThatAreTooOldAreFound(t *testing.T) {
 	for row, found := range map[string]bool{"2.9": false, "2.10": false, "2.8": true, "1.99": true, "3.1": false, "x": true} {
 		c := newTestCaller("strict")
