--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -1,7 +1,8 @@
-// Package membergroup is a stand-in for database groups as the users' platform
-// runs them: members with logs and terms, of which a promotion makes one the
-// primary while the old one goes on until it is told. It implements the ports
-// member.Dialer and lead.Promoter in memory.
+// Package membergroup is an in-memory stand-in for a database group of the platform.
+// Its members have a replicated log and a term. A promotion makes one of them the
+// primary; the previous primary keeps accepting writes until it can reach the new one.
+// The group implements member.Dialer and lead.Promoter for tests and the soak test,
+// injects faults, and records what became of every committed write.
 package membergroup
 
 import (
@@ -20,14 +21,14 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Reach is how a member can be reached.
+// Reachability says whether a member can be reached.
 type Reach int
 
-// The ways.
+// The values of Reachability.
 const (
 	Open   Reach = iota
-	Dead         // connections are refused, and those that were open have ended
-	Silent       // nothing is heard
+	Dead         // new connections are refused and open ones are closed
+	Silent       // neither dials nor requests are answered
 )
 
 // Write is a committed write.
@@ -38,50 +39,50 @@
 	Text     string
 }
 
-// Run is a statement that reached a member on a connection of an account.
+// Run is a statement that ran at a member, with the client account of its connection.
 type Run struct {
 	ID      string // of the statement
 	Member  string
 	Account string
 }
 
-// keptRuns bounds the runs that are kept.
+// maxRuns bounds the runs that a group records.
 const keptRuns = 1 << 16
 
-// noteRun remembers a run. The caller holds mu.
+// recordRun records a run, up to maxRuns of them. The caller holds mu.
 func (g *Group) noteRun(r Run) {
 	if len(g.runs) < keptRuns {
 		g.runs = append(g.runs, r)
 	}
 }
 
-// Runs returns the statements that reached the members, in order; the first 65,536.
+// Runs returns the first 65,536 statements that ran at the members, in order.
 func (g *Group) Runs() []Run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.runs)
 }
 
-// memberState is one member.
+// memberState is the state of one member. It is guarded by the group's mu.
 type memberState struct {
 	id      string
 	primary bool
 	term    uint64
-	log     []Write        // received
-	applied group.Position // end of what reads see; of a primary its whole log
+	log     []Write        // received writes
+	applied group.Position // log position that reads at a replica see; a primary's reads see its whole log
 	reach   Reach
-	lagging bool // receives nothing
-	lose    int  // answers to lose after the work was done
-	fail    int  // statements to fail
+	lagging bool // replication to it is stopped
+	lose    int  // number of next statements that run but are not answered
+	fail    int  // number of next statements that fail
 	ran     []string
 	conns   map[*conn]struct{}
-	held    *held // statements that reach it; nil: none
+	held    *held // blocks its statements; nil: they run
 }
 
-// held is how long the statements of a member take.
+// block makes the statements of a member wait before they run.
 type held struct {
-	reached chan struct{} // has an item for each that has come
-	ended   chan struct{} // closed when they may run
+	reached chan struct{} // receives an item for each statement that waits
+	ended   chan struct{} // closed when the statements may run
 }
 
 // Group is one group. It is safe for concurrent use.
@@ -93,27 +94,27 @@
 	order      []string
 	nextTerm   uint64
 	promotions []Promotion
-	lag        time.Duration     // of the replicas, until they apply what they received
-	commits    map[string]Commit // all that ever took effect, by the statement's ID
-	runs       []Run             // bounded by keptRuns
+	lag        time.Duration     // delay until replicas apply received writes
+	commits    map[string]Commit // every write ever committed, by statement ID
+	runs       []Run             // at most maxRuns
 }
 
-// Commit is what became of a committed write.
+// Commit is the fate of a committed write.
 type Commit struct {
 	Write
-	Times int  // it was committed so often
-	Stale bool // it was committed by a member after another one had been promoted
-	Cut   bool // a promotion has dropped it
+	Times int  // how often it was committed
+	Stale bool // it was committed by a primary that had already been replaced
+	Cut   bool // it is missing from the log of a later promoted member, or was committed by a replaced primary
 }
 
-// Promotion is a call that was made to promote a member.
+// Promotion is a received promotion call.
 type Promotion struct {
 	Member       string
 	Instance     string
 	FencingToken uint64
 }
 
-// New returns a group whose first member leads.
+// New returns a group whose first member is the primary, in term 1.
 func New(name string, ids ...string) *Group {
 	g := &Group{name: name, members: make(map[string]*memberState), order: ids, nextTerm: 2, commits: make(map[string]Commit)}
 	for i, id := range ids {
@@ -122,14 +123,16 @@
 	return g
 }
 
-// Entry returns a member's entry as it would describe itself.
+// Entry returns a member's entry in the topology, with its current role.
 func (g *Group) Entry(id string) topology.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return topology.Member{ID: id, Group: g.name, Address: id, Primary: g.members[id].primary, Slots: 3}
 }
 
-// SetReach changes how a member can be reached.
+// SetReachability changes whether a member can be reached. A replaced primary that
+// becomes reachable again turns into a replica: at once after being down, and after
+// stepDownDelay otherwise.
 func (g *Group) SetReach(id string, r Reach) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -143,7 +146,7 @@
 		}
 		clear(m.conns)
 	case r == Open && before == Dead:
-		g.yield(m) // it starts, and finds out who leads
+		g.yield(m) // a restarted member learns who is primary before it serves
 	case r == Open && before == Silent:
 		time.AfterFunc(yieldAfter, func() {
 			g.mu.Lock()
@@ -153,8 +156,8 @@
 	}
 }
 
-// Hold has the statements that reach a member from now on run only once release is
-// called. reached has an item for each that has come.
+// BlockStatements makes the statements that reach a member from now on wait until
+// release is called. reached receives an item for each waiting statement.
 func (g *Group) Hold(id string) (reached <-chan struct{}, release func()) {
 	h := &held{reached: make(chan struct{}, keptRuns), ended: make(chan struct{})}
 	g.mu.Lock()
@@ -168,8 +171,8 @@
 	}
 }
 
-// SilenceOpen lets nothing be heard any more on a member's open connections. New ones
-// work.
+// FreezeOpenConns makes a member stop answering on the connections that are open now.
+// They stay open; new connections work.
 func (g *Group) SilenceOpen(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,10 +181,12 @@
 	}
 }
 
-// yieldAfter is for how long an old primary carries on once it can reach the new one.
+// stepDownDelay is how long a replaced primary keeps acting as primary after it can
+// reach the new one again.
 const yieldAfter = time.Second
 
-// yield makes a member a replica if another was promoted. The caller holds mu.
+// stepDownIfReplaced makes a primary a replica if another member has been promoted.
+// The caller holds mu.
 func (g *Group) yield(m *memberState) {
 	if m.reach == Open && m.primary && g.leader() != m {
 		m.primary = false
@@ -189,15 +194,14 @@
 	g.replicate()
 }
 
-// Commits returns what became of every write that was committed, by the ID of its
-// statement.
+// Commits returns all writes that were ever committed, by statement ID.
 func (g *Group) Commits() map[string]Commit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return maps.Clone(g.commits)
 }
 
-// Committed returns what became of one write.
+// Committed returns the commit of one statement, and whether there is one.
 func (g *Group) Committed(id string) (Commit, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,14 +209,14 @@
 	return c, ok
 }
 
-// SetLag has replicas apply what they received that much later.
+// SetLag sets the delay between receiving and applying writes at replicas.
 func (g *Group) SetLag(lag time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lag = lag
 }
 
-// SetLagging stops a replica from receiving, or lets it catch up.
+// SetLagging stops replication to a replica, or resumes it and lets it catch up.
 func (g *Group) SetLagging(id string, lagging bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -220,21 +224,21 @@
 	g.replicate()
 }
 
-// LoseAnswers has a member do the work of its next n statements in silence.
+// LoseAnswers makes a member run its next n statements without answering them.
 func (g *Group) LoseAnswers(id string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[id].lose = n
 }
 
-// FailStatements has a member fail its next n statements.
+// FailStatements makes the next n statements at a member fail without effect.
 func (g *Group) FailStatements(id string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[id].fail = n
 }
 
-// Primary returns the member that leads in the newest term.
+// Primary returns the primary with the highest term.
 func (g *Group) Primary() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -248,20 +252,23 @@
 	return append([]Write(nil), g.leader().log...)
 }
 
-// Ran returns the texts that a member ran, configuration included.
+// Ran returns the texts of the statements that a member ran, each followed by the
+// number of session values and the values.
 func (g *Group) Ran(id string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]string(nil), g.members[id].ran...)
 }
 
-// Promotions returns the calls that were made.
+// Promotions returns the promotion calls received so far.
 func (g *Group) Promotions() []Promotion {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Promotion(nil), g.promotions...)
 }
 
+// leader returns the primary with the highest term, or the first member if there is
+// no primary. The caller holds mu.
 func (g *Group) leader() *memberState {
 	var leader *memberState
 	for _, id := range g.order {
@@ -275,7 +282,8 @@
 	return leader
 }
 
-// replicate brings the replicas up to date. The caller holds mu.
+// replicate copies the primary's log to the reachable replicas, unless the primary
+// itself cannot be reached. The caller holds mu.
 func (g *Group) replicate() {
 	leader := g.leader()
 	if leader.reach != Open || !leader.primary {
@@ -290,8 +298,8 @@
 	}
 }
 
-// apply has a replica's reads see what it has received, once the lag is over. The
-// caller holds mu.
+// apply makes received writes visible to reads at a replica once the lag has passed.
+// The caller holds mu.
 func (g *Group) apply(m *memberState) {
 	end := group.Position{Term: m.term, Index: uint64(len(m.log))}
 	if g.lag == 0 {
@@ -307,7 +315,8 @@
 	})
 }
 
-// Promote implements lead.Promoter.
+// Promote implements lead.Promoter. It succeeds without effect if the member is a
+// primary already.
 func (g *Group) Promote(_ context.Context, _, id, instance string, token uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -323,7 +332,8 @@
 	m.primary, m.term = true, g.nextTerm
 	g.nextTerm++
 	for _, other := range g.members {
-		// The old primary stops once it reaches the new one.
+		// A reachable old primary steps down; an unreachable one keeps its role until
+		// it is reachable again.
 		if other != m && other.primary && other.reach == Open {
 			other.primary = false
 		}
@@ -332,7 +342,8 @@
 	return nil
 }
 
-// cutAllBut notes what a promotion of a member with a log drops. The caller holds mu.
+// dropAllBut marks the commits that are missing from the log of a promoted member as
+// dropped. The caller holds mu.
 func (g *Group) cutAllBut(log []Write) {
 	kept := make(map[string]bool, len(log))
 	for _, w := range log {
@@ -369,18 +380,18 @@
 type conn struct {
 	group   *Group
 	member  *memberState
-	account string // that it was opened for
+	account string // the client account that it was opened for
 	closed  bool
-	silent  bool // nothing is heard on it any more, while new ones work
+	silent  bool // requests on it get no answer; new connections work
 	state   statement.State
 	writes  []Write // of the open transaction
-	reads   bool    // the transaction only reads
+	reads   bool    // the transaction is read-only
 	values  map[string]string
 	names   map[string]member.Prepared
 }
 
-// enter locks the group for a call. An error means that the connection broke, and
-// the group is not locked.
+// enter locks the group for a request. If the connection is broken or gets no answers
+// it returns an error and leaves the group unlocked.
 func (c *conn) enter(deadline time.Time) error {
 	c.group.mu.Lock()
 	if c.closed || c.member.reach == Dead {
@@ -394,7 +405,8 @@
 	return nil
 }
 
-// silence waits for the deadline, as a read from a silent far end does.
+// timeOut waits until the deadline, like a read from an unresponsive member, and
+// returns the resulting error.
 func silence(deadline time.Time) error {
 	time.Sleep(time.Until(deadline))
 	return fmt.Errorf("%w: %w", member.ErrBroken, context.DeadlineExceeded)
@@ -424,6 +436,7 @@
 	return answer, nil
 }
 
+// run executes a statement and returns its answer. The caller holds the group's mu.
 func (c *conn) run(req member.Request) statement.Answer {
 	st, m := req.Statement, c.member
 	if m.fail > 0 {
@@ -491,6 +504,8 @@
 	return strings.Join(parts, ",")
 }
 
+// commit appends writes to the member's log. A write that a replaced primary commits is
+// marked as stale and dropped. The caller holds the group's mu.
 func (c *conn) commit(writes []Write) {
 	for _, w := range writes {
 		w.Position = group.Position{Term: c.member.term, Index: uint64(len(c.member.log) + 1)}
@@ -501,7 +516,7 @@
 	c.group.replicate()
 }
 
-// end returns the end of the log that reads of the member see.
+// end returns the log position that reads at the member see.
 func (c *conn) end() group.Position {
 	if c.member.primary {
 		return c.received()
@@ -509,11 +524,13 @@
 	return c.member.applied
 }
 
-// received returns the end of the member's log.
+// received returns the log position of the last write that the member received.
 func (c *conn) received() group.Position {
 	return group.Position{Term: c.member.term, Index: uint64(len(c.member.log))}
 }
 
+// answer returns an answer with the connection's state and position, and with an error
+// unless code is 0.
 func (c *conn) answer(code statement.Code, detail string) statement.Answer {
 	a := statement.Answer{State: c.state, Position: c.end()}
 	if code != 0 {
@@ -572,7 +589,7 @@
 	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.received()}, nil
 }
 
-// Silent implements member.Conn.
+// IsIdle implements member.Conn.
 func (c *conn) Silent() bool {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
--- a/internal/standin/membergroup/membergroup_test.go
+++ b/internal/standin/membergroup/membergroup_test.go
@@ -12,7 +12,8 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// What is committed by a replaced primary, and what a promotion drops, is told.
+// Commits by a replaced primary are reported as stale, and commits that a promotion
+// loses as dropped.
 func TestStaleAndCutCommits(t *testing.T) {
 	g := New("g", "a", "b")
 	conn, err := g.Dial(t.Context(), topology.Member{ID: "a"}, account.Anonymous)
@@ -27,7 +28,7 @@
 	g.SetReach("b", Silent)
 	must.NoError(t, g.Promote(t.Context(), "g", "b", "leader", 1))
 	g.mu.Lock()
-	g.members["a"].primary = true // it has not heard of its successor
+	g.members["a"].primary = true // it does not know yet that it was replaced
 	g.mu.Unlock()
 	write("stale")
 	commits := g.Commits()
