--- a/internal/standin/memberserver/memberserver.go
+++ b/internal/standin/memberserver/memberserver.go
@@ -1,6 +1,7 @@
-// Package memberserver serves a member of a group in memory over the platform's
-// line protocol, for tests with real processes. What it checks of the statements
-// that reach it, it tells as findings.
+// Package memberserver serves one member of an in-memory database group over the
+// platform's line protocol, for tests that run real processes. It checks that no
+// statement runs in another client's transaction or with another client's session
+// values, and reports violations as findings.
 package memberserver
 
 import (
@@ -19,8 +20,8 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// answerTime bounds the work of a statement here; a member that is silent leaves
-// its callers without an answer for that long.
+// answerTimeout limits dialling the member and each statement. An unresponsive member leaves its
+// connections without an answer for that long and then closes them.
 const answerTime = 3 * time.Second
 
 // Server serves one member.
@@ -32,7 +33,8 @@
 	finding  func(format string, args ...any)
 }
 
-// New starts a server for a member. Each statement takes the time of its work.
+// New starts a server for a member on a free loopback port. Each statement takes the
+// duration work. finding is called for each violation.
 func New(id string, dialer member.Dialer, work time.Duration, finding func(format string, args ...any)) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,10 +45,10 @@
 	return s, nil
 }
 
-// Addr returns the address of the member.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server.
+// Close stops accepting connections. Open ones continue.
 func (s *Server) Close() { _ = s.listener.Close() }
 
 func (s *Server) accept() {
@@ -59,15 +61,17 @@
 	}
 }
 
-// session is one connection. owner is whose transaction is open on it.
+// session is one connection to the member.
 type session struct {
 	server *Server
 	conn   member.Conn
 	state  statement.State
-	owner  string
-	values map[string]string
+	owner  string            // client whose transaction is open; empty: none
+	values map[string]string // session values set by the connection's user
 }
 
+// serve runs the session of one connection. It closes the connection instead of
+// answering if the member is down or loses the answer.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
@@ -77,12 +81,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
 	defer cancel()
-	_, account, _ := strings.Cut(strings.TrimRight(line, "\r\n"), " ") // STARTUP
-	_, account, _ = strings.Cut(account, " ")                          // the group
-	account, _, _ = strings.Cut(account, " ")                          // the member's id follows
+	_, account, _ := strings.Cut(strings.TrimRight(line, "\r\n"), " ") // skip STARTUP
+	_, account, _ = strings.Cut(account, " ")                          // skip the group
+	account, _, _ = strings.Cut(account, " ")                          // drop the member ID that follows
 	inner, err := s.dialer.Dial(ctx, topology.Member{ID: s.id}, account)
 	if err != nil {
-		return // it is down
+		return // the member is down
 	}
 	defer inner.Close()
 	c := &session{server: s, conn: inner, state: statement.Idle, values: make(map[string]string)}
@@ -108,6 +112,7 @@
 	}
 }
 
+// spell encodes an answer in the line protocol.
 func spell(a statement.Answer) []byte {
 	var out strings.Builder
 	for _, row := range a.Rows {
@@ -122,12 +127,13 @@
 	return []byte(out.String())
 }
 
-// words are the protocol's words for what a member here refuses.
+// words has the protocol's error codes for the errors that this member returns.
 var words = map[statement.Code]string{
 	statement.Lagging: "LAGGING", statement.ReadOnly: "READONLY", statement.Unprepared: "NOSTMT", statement.Malformed: "MALFORMED",
 }
 
-// run runs one text.
+// run handles one request: a session command, or a statement that takes the duration
+// Server.work. An error means that the answer is lost.
 func (c *session) run(id, text string) (statement.Answer, error) {
 	deadline := time.Now().Add(answerTime)
 	word, rest, _ := strings.Cut(text, " ")
@@ -160,15 +166,18 @@
 
 var errMalformed = &statement.Error{Code: statement.Malformed}
 
+// malformed reports a request that cannot be parsed and returns an error answer.
 func (c *session) malformed(text string) statement.Answer {
 	c.server.finding("member %s was sent %q, which is no statement", c.server.id, text)
 	return statement.Answer{State: c.state, Err: errMalformed}
 }
 
+// done returns the answer to a session command.
 func (c *session) done(err error) (statement.Answer, error) {
 	return statement.Answer{State: c.state, Receipt: statement.NoReceipt}, err
 }
 
+// status returns the answer to STATUS and STEPDOWN.
 func (c *session) status(st member.Status, err error) (statement.Answer, error) {
 	role := "replica"
 	if st.Primary {
@@ -178,8 +187,8 @@
 	return statement.Answer{Rows: []string{row}, State: c.state, Receipt: statement.NoReceipt, Position: st.Received}, err
 }
 
-// statement runs a caller's statement. A read's row is the end of the log that it
-// ran on, so that whoever asked can tell how old it was.
+// statement runs a client's statement. A read returns the log position that it ran at,
+// so that the client can check its staleness.
 func (c *session) statement(id, text string, deadline time.Time) (statement.Answer, error) {
 	req := member.Request{Deadline: deadline}
 	if rest, ok := strings.CutPrefix(text, "AFTER "); ok {
@@ -215,9 +224,9 @@
 	return answer, nil
 }
 
-// checkOwner finds statements of one caller in another's transaction, or with
-// another's values. A statement's ID begins with its caller's name and a dash; a
-// caller sets the value "owner" to its name, or no value.
+// checkOwner reports a statement that runs in another client's transaction or with
+// another client's session values. A statement ID begins with the client's name and a
+// dash. A client sets the value "owner" to its name, or sets no value at all.
 func (c *session) checkOwner(st statement.Statement) {
 	if st.ID == statement.NoReceipt {
 		return
@@ -234,7 +243,7 @@
 	}
 }
 
-// parse reads the text of a caller's statement.
+// parse parses the text of a client's statement.
 func parse(id, text string) (statement.Statement, bool) {
 	st := statement.Statement{ID: id, Text: text}
 	word, rest, _ := strings.Cut(text, " ")
