--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -1,6 +1,6 @@
-// Package platformstore is a stand-in that serves the platform's store and its call
-// for promotions over HTTP, as the platform's page describes them, from the store in
-// memory. Leases run out.
+// Package platformstore serves the platform's store API and its promotion call over
+// HTTP, backed by package memstore. It follows the platform's documentation, and leases
+// expire after their TTL. The soak test runs real instances against it.
 package platformstore
 
 import (
@@ -21,25 +21,26 @@
 // Promote makes a member the primary of its group.
 type Promote func(group, member, instance string, fencingToken uint64) error
 
-// Server serves one store.
+// Server serves one store and the promotion call.
 type Server struct {
 	store    *memstore.Store
 	client   *memstore.Client
 	promote  Promote
 	http     *http.Server
 	listener net.Listener
-	slow     atomic.Int64 // nanoseconds before each answer
+	slow     atomic.Int64 // delay of each answer, in nanoseconds
 
 	mu     sync.Mutex // guards leases
 	leases map[kv.LeaseID]*lease
 }
 
+// lease is an active lease. Its timer ends it unless it is renewed.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// New starts a server on loopback.
+// New starts a server on a free loopback port.
 func New(store *memstore.Store, promote Promote) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,20 +57,20 @@
 	mux.HandleFunc("DELETE /api/kv-lease-end/{id}", s.revoke)
 	mux.HandleFunc("POST /promote", s.servePromote)
 	s.http = &http.Server{Handler: s.delayed(mux), ReadHeaderTimeout: time.Minute}
-	go func() { _ = s.http.Serve(l) }() // ends with Close
+	go func() { _ = s.http.Serve(l) }() // returns after Close
 	return s, nil
 }
 
-// Addr returns the address of the store, and of the call for promotions.
+// Addr returns the address of both the store API and the promotion call.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Set changes what goes wrong with calls.
+// Set changes the faults that are injected into store calls.
 func (s *Server) Set(f memstore.Faults) { s.client.Set(f) }
 
-// SetSlow has each answer wait.
+// SetSlow delays each answer by d.
 func (s *Server) SetSlow(d time.Duration) { s.slow.Store(int64(d)) }
 
-// EndLeases ends all leases, as a store does that was away for long.
+// EndLeases ends all leases, as after a long outage of the store.
 func (s *Server) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,9 +81,10 @@
 	}
 }
 
-// Close ends the server.
+// Close stops the server and closes its connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
+// delayed delays each request by the duration of SetSlow.
 func (s *Server) delayed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(time.Duration(s.slow.Load()))
@@ -90,7 +92,7 @@
 	})
 }
 
-// item is an item, or an event, as the platform spells it.
+// item is an item or an event in the platform's JSON format.
 type item struct {
 	Key     string `json:"tls-key"`
 	Value   []byte `json:"value"`
@@ -99,6 +101,7 @@
 	Removed bool   `json:"compacted,omitempty"`
 }
 
+// spell converts an item to the platform's JSON format.
 func spell(i kv.Item, removed bool) item {
 	return item{Key: i.Key, Value: i.Value, Changed: i.Revision, Lease: int64(i.Lease), Removed: removed}
 }
@@ -193,6 +196,7 @@
 	reply(w, http.StatusOK, map[string]any{"lease-id": granted.ID, "ttl-ms": body.TTL})
 }
 
+// end ends a lease that has expired.
 func (s *Server) end(id kv.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,8 +204,9 @@
 	s.store.EndLease(id)
 }
 
+// leaseOf returns the lease ID in the request's path, or 0 if it is not a number.
 func leaseOf(r *http.Request) kv.LeaseID {
-	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 is no lease
+	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 is never a valid lease
 	return kv.LeaseID(id)
 }
 
@@ -227,6 +232,7 @@
 	reply(w, http.StatusOK, map[string]any{})
 }
 
+// servePromote serves the promotion call.
 func (s *Server) servePromote(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Group  string `json:"service"`
@@ -244,8 +250,8 @@
 	reply(w, http.StatusOK, map[string]any{})
 }
 
-// fail answers with the status that an error stands for. A lost answer breaks the
-// connection.
+// fail answers with the HTTP status for an error. For a lost answer it breaks the
+// connection without a response.
 func fail(w http.ResponseWriter, err error) {
 	var conflict *kv.ConflictError
 	switch {
@@ -269,5 +275,5 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller has gone: nobody is to be told
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
