--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -1,6 +1,6 @@
-// Package memstore is a stand-in for the platform's store, in memory, with the
-// faults that the platform's page names: calls that are refused, calls whose
-// answer is lost, history that is forgotten, and leases that end.
+// Package memstore is an in-memory stand-in for the platform's store. It injects the
+// faults that the platform documents: rejected calls, writes whose answer is lost,
+// compacted history and ended leases.
 package memstore
 
 import (
@@ -14,20 +14,21 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// ErrLost is what a call gets whose answer is lost.
+// ErrAnswerLost is returned by a call that took effect but whose answer is lost.
 var ErrLost = errors.New("memstore: the answer was lost")
 
-// Store holds the items. Leases do not run out by themselves: EndLease ends one.
+// Store is the state that all clients share. Leases do not expire by themselves;
+// EndLease ends one.
 type Store struct {
 	mu        sync.Mutex // guards all below
 	revision  int64
-	compacted int64 // events up to this revision are forgotten
+	compacted int64 // events up to this revision are gone
 	items     map[string]kv.Item
 	events    []kv.Event
 	leases    map[kv.LeaseID]bool
 	nextLease kv.LeaseID
-	watching  int // watches that wait
-	changed   chan struct{}
+	watching  int           // number of pending watch calls
+	changed   chan struct{} // closed and replaced at each change
 }
 
 // New returns an empty store.
@@ -35,7 +36,7 @@
 	return &Store{items: make(map[string]kv.Item), leases: make(map[kv.LeaseID]bool), changed: make(chan struct{})}
 }
 
-// Put writes a key from outside, as operators and members do.
+// Put writes a key directly, as operators and members do. No fault applies.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +45,7 @@
 	s.wake()
 }
 
-// Delete removes a key from outside.
+// Delete removes a key directly. No fault applies.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +54,7 @@
 	s.wake()
 }
 
-// Watching returns how many watches wait for a change.
+// Watching returns the number of pending watch calls.
 func (s *Store) Watching() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +67,8 @@
 	s.watching += n
 }
 
-// Forget drops the history.
+// Compact drops the event history. Watches from earlier revisions fail with
+// kv.ErrCompacted.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,13 +77,14 @@
 	s.wake()
 }
 
-// EndLease ends a lease with its keys, as when it was not renewed.
+// EndLease ends a lease and removes its keys, as when it expires.
 func (s *Store) EndLease(id kv.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLease(id)
 }
 
+// endLease is EndLease for callers that hold mu.
 func (s *Store) endLease(id kv.LeaseID) {
 	if !s.leases[id] {
 		return
@@ -96,13 +99,15 @@
 	s.wake()
 }
 
-// put, remove and wake are called with mu held, after the revision was raised.
+// put writes an item at the current revision. The caller of put, remove and wake holds
+// mu and has incremented the revision.
 func (s *Store) put(p kv.Put) {
 	item := kv.Item{Key: p.Key, Value: slices.Clone(p.Value), Revision: s.revision, Lease: p.Lease}
 	s.items[p.Key] = item
 	s.events = append(s.events, kv.Event{Item: item})
 }
 
+// remove deletes an item, if it exists, at the current revision.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -111,18 +116,20 @@
 	s.events = append(s.events, kv.Event{Item: kv.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
+// wake notifies pending watches of a change.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Faults are what goes wrong between one client and the store.
+// Faults are the faults injected into the calls of one client.
 type Faults struct {
-	Refuse     bool // every call is refused and does nothing
-	LoseWrites int  // so many writes take effect and their answer is lost
+	Refuse     bool // every call fails without effect
+	LoseWrites int  // number of next commits that take effect but whose answer is lost
 }
 
-// Client is one instance's way to the store. It implements kv.Store.
+// Client is one instance's client of the store, with its own faults. It implements
+// kv.Store.
 type Client struct {
 	store *Store
 
@@ -130,10 +137,10 @@
 	faults Faults
 }
 
-// Client returns a way to the store with faults of its own.
+// Client returns a new client without faults.
 func (s *Store) Client() *Client { return &Client{store: s} }
 
-// Set changes what goes wrong.
+// Set replaces the injected faults.
 func (c *Client) Set(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +156,7 @@
 	return nil
 }
 
-// loses reports whether the answer of this write is to be lost.
+// loses reports whether the answer to this commit is lost, and counts it.
 func (c *Client) loses() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,6 +208,8 @@
 	}
 }
 
+// since returns the events under a prefix after a revision, the current revision, and
+// a channel that is closed at the next change.
 func (s *Store) since(prefix string, after int64) ([]kv.Event, int64, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,6 +250,7 @@
 	return revision, err
 }
 
+// commit applies a transaction if all its preconditions hold and its leases exist.
 func (s *Store) commit(txn kv.Txn) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
