--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy is a TCP proxy on loopback that harms what passes through it:
-// connections that are delayed, reset, cut one way or both, or silenced.
+// Package faultproxy is a TCP proxy on loopback that injects network faults: delays,
+// resets, partitions in one or both directions, and connections that stay open without
+// passing data.
 package faultproxy
 
 import (
@@ -9,37 +10,38 @@
 	"time"
 )
 
-// Fault is what happens to the bytes of all connections, old and new ones.
+// Fault is the fault injected into all connections, open and new ones.
 type Fault struct {
-	Delay      time.Duration // of each piece, in each direction
-	HoldTo     bool          // nothing reaches the target; it is held back until that ends
-	HoldBack   bool          // nothing comes back from it
-	RefuseNew  bool          // new connections are closed at once
-	HoldsOpens bool          // new connections are accepted and lead nowhere until that ends
+	Delay      time.Duration // added to each read of up to 16 KiB, in each direction
+	HoldTo     bool          // data to the target is kept back until the fault is cleared
+	HoldBack   bool          // data from the target is kept back until the fault is cleared
+	RefuseNew  bool          // new connections are reset at once
+	HoldsOpens bool          // new connections are accepted, and the target is dialled only when the fault is cleared
 }
 
-// Proxy passes connections on to one target. It is safe for concurrent use.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 
 	mu      sync.Mutex // guards the rest
-	target  string     // empty: it is not known yet
+	target  string     // empty: not set yet
 	fault   Fault
-	changed chan struct{} // closed, and replaced, when the fault changes
+	changed chan struct{} // closed and replaced when the fault or the target changes
 	links   map[*link]struct{}
 	closed  bool
 }
 
-// link is one connection through the proxy.
+// link is one proxied connection.
 type link struct {
 	from, to net.Conn
-	silent   chan struct{} // closed: nothing passes any more, in either direction
+	silent   chan struct{} // closed: no more data is forwarded in either direction
 	silence  sync.Once
-	ended    chan struct{} // closed: both ends are reset
+	ended    chan struct{} // closed: both connections are reset
 	end      sync.Once
 }
 
-// New starts a proxy before a target. Without one connections wait for SetTarget.
+// New starts a proxy for a target. If the target is empty, connections wait for
+// SetTarget.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,10 +52,10 @@
 	return p, nil
 }
 
-// Addr returns the address under which the target is reached through the proxy.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections lead.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,13 +63,13 @@
 	p.wake()
 }
 
-// wake has those that wait look again. The caller holds mu.
+// wake makes all waiters check the fault and the target again. The caller holds mu.
 func (p *Proxy) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Set changes what happens to all connections.
+// Set replaces the injected fault. The zero Fault clears it.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,21 +77,22 @@
 	p.wake()
 }
 
-// Reset breaks all open connections.
+// Reset resets all open connections at both ends.
 func (p *Proxy) Reset() {
 	for _, l := range p.open() {
 		l.reset()
 	}
 }
 
-// SilenceOpen lets nothing pass any more on the connections that are open now. New
-// ones work.
+// FreezeOpenConns stops forwarding on the connections that are open now without
+// closing them. New connections work.
 func (p *Proxy) SilenceOpen() {
 	for _, l := range p.open() {
 		l.silence.Do(func() { close(l.silent) })
 	}
 }
 
+// open returns the open links.
 func (p *Proxy) open() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +103,7 @@
 	return links
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed, p.fault = true, Fault{RefuseNew: true}
@@ -110,6 +113,8 @@
 	p.Reset()
 }
 
+// state returns the fault, the target, and a channel that is closed when either
+// changes.
 func (p *Proxy) state() (Fault, string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +131,8 @@
 	}
 }
 
-// admit waits until a new connection may lead somewhere, and returns where.
+// admit waits until a new connection may be forwarded and returns its target, or false
+// if new connections are refused.
 func (p *Proxy) admit() (string, bool) {
 	for {
 		fault, target, changed := p.state()
@@ -140,6 +146,7 @@
 	}
 }
 
+// serve forwards one connection in both directions until both have ended.
 func (p *Proxy) serve(from net.Conn) {
 	target, ok := p.admit()
 	if !ok {
@@ -167,13 +174,14 @@
 	p.mu.Lock()
 	delete(p.links, l)
 	p.mu.Unlock()
-	_, _ = from.Close(), to.Close() // both directions have ended
+	_, _ = from.Close(), to.Close() // nothing is left to forward
 }
 
-// pieceSize is how much passes at once.
+// bufferSize is the largest amount of data forwarded at once, in bytes.
 const pieceSize = 16 << 10
 
-// pump passes bytes on in one direction until an end breaks.
+// pump forwards data in one direction until a connection ends. holds reports whether a
+// fault keeps data of this direction back.
 func (p *Proxy) pump(l *link, from, to net.Conn, holds func(Fault) bool) {
 	buf := make([]byte, pieceSize)
 	for {
@@ -189,20 +197,21 @@
 		}
 		if err != nil {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // the other direction may go on
+				_ = tcp.CloseWrite() // the other direction may continue
 			}
 			return
 		}
 	}
 }
 
-// pass waits until something may pass, and reports false when nothing will.
+// pass waits until data may be forwarded, including the fault's delay. It returns
+// false when the link forwards no more data.
 func (p *Proxy) pass(l *link, holds func(Fault) bool) bool {
 	for {
 		fault, _, changed := p.state()
 		select {
 		case <-l.silent:
-			<-l.ended // the far end learns nothing
+			<-l.ended // until then the peers see neither data nor an end of the connection
 			return false
 		case <-l.ended:
 			return false
@@ -222,7 +231,7 @@
 	}
 }
 
-// reset breaks a link at both ends.
+// reset resets both connections of a link.
 func (l *link) reset() {
 	l.end.Do(func() {
 		close(l.ended)
@@ -231,7 +240,7 @@
 	})
 }
 
-// resetConn closes a connection so that its far end sees a reset.
+// resetConn closes a connection with a TCP RST.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
