--- a/internal/standin/kvservice/kvservice.go
+++ b/internal/standin/kvservice/kvservice.go
@@ -1,6 +1,6 @@
-// Package kvservice is a stand-in for the platform's key-value service: the part
-// of etcd v3's HTTP/JSON gateway that package platform uses, in memory, with
-// switches for outages, slowness and answers lost after a write took effect.
+// Package kvservice is an in-memory stand-in for the platform's key-value service. It
+// serves the part of etcd v3's HTTP/JSON gateway that package platform uses, and injects
+// outages, slow answers and answers lost after a write has taken effect.
 package kvservice
 
 import (
@@ -17,13 +17,13 @@
 	"time"
 )
 
-// record is one stored value.
+// record is a stored value and the revision at which it was written.
 type record struct {
 	value    []byte
 	revision int64
 }
 
-// change is one entry of the history that watches read.
+// change is one event of the history that watches are served from.
 type change struct {
 	key     string
 	record  record
@@ -35,21 +35,21 @@
 	server *http.Server
 	addr   string
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields up to epoch
 	data     map[string]record
 	history  []change
 	revision int64
-	changed  chan struct{}
-	epoch    int // watches of an older epoch break
+	changed  chan struct{} // closed and replaced at each change
+	epoch    int           // incremented to break all open watches
 
 	down    atomic.Bool
-	slow    atomic.Int64
-	lose    atomic.Int32
+	slow    atomic.Int64 // delay of each answer, in nanoseconds
+	lose    atomic.Int32 // number of next writes whose answer is lost
 	calls   atomic.Int64
 	closing context.CancelFunc
 }
 
-// Start listens on a free port of loopback.
+// Start starts a service on a free loopback port.
 func Start() (*Service, error) {
 	var cfg net.ListenConfig
 	l, err := cfg.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -69,20 +69,21 @@
 	mux.HandleFunc("POST /v3/kv/txn", s.guard(s.serveTxn))
 	mux.HandleFunc("POST /v3/watch", s.guard(s.serveWatch))
 	s.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }, ReadHeaderTimeout: time.Minute}
-	go func() { _ = s.server.Serve(l) }() // ends with Close
+	go func() { _ = s.server.Serve(l) }() // returns after Close
 	return s, nil
 }
 
-// URL returns the base URL.
+// URL returns the base URL of the service.
 func (s *Service) URL() string { return "http://" + s.addr }
 
-// Close stops the service.
+// Close stops the service and breaks open watches.
 func (s *Service) Close() {
 	s.closing()
 	s.server.Close()
 }
 
-// SetDown starts or ends an outage. Open watches break.
+// SetDown starts or ends an outage: all calls fail with status 503. Open watches break
+// either way.
 func (s *Service) SetDown(down bool) {
 	s.down.Store(down)
 	s.mu.Lock()
@@ -91,16 +92,17 @@
 	s.mu.Unlock()
 }
 
-// SetSlow delays every answer.
+// SetSlow delays every answer by d.
 func (s *Service) SetSlow(d time.Duration) { s.slow.Store(int64(d)) }
 
-// LoseAnswers makes the next n writes take effect without an answer.
+// LoseAnswers makes the next n transactions that write take effect and then breaks
+// their connections without an answer.
 func (s *Service) LoseAnswers(n int) { s.lose.Store(int32(n)) }
 
-// Calls returns how many calls were made; a watch counts as one.
+// Calls returns the number of calls received; a watch counts as one.
 func (s *Service) Calls() int64 { return s.calls.Load() }
 
-// Put writes a value directly, as the platform itself does.
+// Put writes a value directly, as the platform itself does, and returns its revision.
 func (s *Service) Put(key string, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +119,8 @@
 	s.wakeLocked()
 }
 
-// Backup returns a copy of all values for Restore.
+// Backup copies all values and the revision, and returns a function that restores them.
+// Restoring drops the history and breaks open watches.
 func (s *Service) Backup() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,6 +139,7 @@
 	}
 }
 
+// putLocked writes a value at a new revision. The caller holds mu.
 func (s *Service) putLocked(key string, value []byte) int64 {
 	s.revision++
 	r := record{value: value, revision: s.revision}
@@ -145,12 +149,13 @@
 	return s.revision
 }
 
+// wakeLocked notifies open watches of a change. The caller holds mu.
 func (s *Service) wakeLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// guard counts a call and applies the switches.
+// guard counts a call and applies the injected delay and outage.
 func (s *Service) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.Add(1)
@@ -169,6 +174,7 @@
 	}
 }
 
+// keyRange is a single key, or the keys from Key up to and excluding RangeEnd.
 type keyRange struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end"`
@@ -181,10 +187,12 @@
 	return key >= string(r.Key) && bytes.Compare([]byte(key), r.RangeEnd) < 0
 }
 
+// header returns the response header. The caller holds mu.
 func (s *Service) header() map[string]any {
 	return map[string]any{"revision": strconv.FormatInt(s.revision, 10)}
 }
 
+// kvJSON returns a key-value pair in the gateway's JSON format.
 func kvJSON(key string, r record) map[string]any {
 	return map[string]any{
 		"key":          []byte(key),
@@ -193,7 +201,7 @@
 	}
 }
 
-// rangeLocked renders a range response. The caller holds mu.
+// rangeLocked returns a range response, sorted by key. The caller holds mu.
 func (s *Service) rangeLocked(r keyRange) map[string]any {
 	var keys []string
 	for key := range s.data {
@@ -220,6 +228,8 @@
 	reply(w, resp)
 }
 
+// txn is a transaction request: it compares revisions and then runs the operations of
+// Success or Failure.
 type txn struct {
 	Compare []struct {
 		Key         []byte `json:"key"`
@@ -229,6 +239,7 @@
 	Failure []operation `json:"failure"`
 }
 
+// operation is one operation of a transaction; one of its fields is set.
 type operation struct {
 	RequestPut *struct {
 		Key   []byte `json:"key"`
@@ -266,11 +277,12 @@
 	resp := map[string]any{"header": s.header(), "succeeded": succeeded, "responses": responses}
 	s.mu.Unlock()
 	if wrote && s.takeLoss() {
-		panic(http.ErrAbortHandler) // the connection breaks without an answer
+		panic(http.ErrAbortHandler) // breaks the connection without an answer
 	}
 	reply(w, resp)
 }
 
+// takeLoss reports whether the answer to this write is lost, and counts it.
 func (s *Service) takeLoss() bool {
 	if s.lose.Add(-1) >= 0 {
 		return true
@@ -279,6 +291,8 @@
 	return false
 }
 
+// serveWatch streams the changes of a key range from a revision on, until the client
+// disconnects or the epoch changes.
 func (s *Service) serveWatch(w http.ResponseWriter, r *http.Request) {
 	var req struct {
 		CreateRequest struct {
@@ -325,6 +339,8 @@
 	}
 }
 
+// eventsLocked returns the events of a key range from revision start on, and the
+// revision to continue from. The caller holds mu.
 func (s *Service) eventsLocked(r keyRange, start int64) ([]map[string]any, int64) {
 	var events []map[string]any
 	for _, c := range s.history {
@@ -340,6 +356,8 @@
 	return events, max(start, s.revision+1)
 }
 
+// decode parses the request body. On failure it answers with status 400 and returns
+// false.
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -350,5 +368,5 @@
 
 func reply(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the client is gone if this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
