--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -1,5 +1,6 @@
-// Package standin puts the stand-ins and several instances together in one
-// process, for the demo, the tests and the benchmarks.
+// Package standin runs several instances in one process against stand-ins of the
+// platform's key-value service and of a PostgreSQL database group. The demo, the tests
+// and the benchmarks use it.
 package standin
 
 import (
@@ -21,44 +22,45 @@
 	"github.com/stackspindle/stackspindle/internal/standin/pggroup"
 )
 
-// Options shape a fleet.
+// Options configure a fleet.
 type Options struct {
-	Instances    int
-	Lag          time.Duration
-	Database     string                       // name of the database and of its service
-	CallerAddr   func(i int) string           // where instance i serves callers
-	Operator     string                       // where the first instance serves operators
-	Connections  int                          // to each member
-	QueueTimeout time.Duration                // of the service
-	Staleness    time.Duration                // of the service
-	Ack          resource.Acknowledgement     // when a write is acknowledged
-	Log          *logrus.Logger               // nil: no log
-	Adjust       func(*config.Settings)       // changes the settings of every instance
-	Pause        func(i int, _ owner.Step)    // fault hook
-	Services     []resource.Resource          // further services
-	DataCentres  func(instance int) string    // nil: three in turn
-	NoDatabase   bool                         // declare nothing
-	SetUp        []string                     // statements on the group before the start
-	Customise    func(*resource.DatabaseSpec) // changes the declared database
+	Instances    int                          // number of instances to start
+	Lag          time.Duration                // replica lag of the group
+	Database     string                       // name of the database and of its service; empty: roster
+	CallerAddr   func(i int) string           // address on which instance i serves clients; nil: any free port
+	Operator     string                       // address on which the first instance serves operators; empty: any free port
+	Connections  int                          // to each member; 0: 8
+	QueueTimeout time.Duration                // of the service; 0: 3 s
+	Staleness    time.Duration                // staleness bound of the service
+	Ack          resource.Acknowledgement     // when a write is acknowledged; empty: AckPrimary
+	Log          *logrus.Logger               // nil: logs are discarded
+	Adjust       func(*config.Settings)       // changes the settings of each instance before it starts; may be nil
+	Pause        func(i int, _ owner.Step)    // called at each step of instance i's owner, to inject faults; may be nil
+	Services     []resource.Resource          // additional services to declare
+	DataCentres  func(instance int) string    // data centre of each instance; nil: dc1, dc2 and dc3 in turn
+	NoDatabase   bool                         // declare neither database nor services
+	SetUp        []string                     // SQL statements to run on the group before instances start
+	Customise    func(*resource.DatabaseSpec) // changes the database before it is declared; may be nil
 }
 
-// Fleet is a running set of instances before one database group.
+// Fleet is a set of running instances that serve one database group.
 type Fleet struct {
 	Group     *pggroup.Group
 	Store     *kvservice.Service
-	Instances []*instance.Instance
+	Instances []*instance.Instance // nil entries: killed
 	opts      Options
 	seeds     []membership.Instance
 	closeOnce sync.Once
 }
 
-// anyPort lets the system choose a free port of loopback.
+// anyPort is a listen address on a free loopback port that the system chooses.
 const anyPort = "127.0.0.1:0"
 
-// shiftsTable is the table that the demo and the tests start with.
+// shiftsTable creates the table that the demo and the tests use.
 const shiftsTable = "CREATE TABLE shifts (id int PRIMARY KEY, volunteer text, state text)"
 
-// Start runs a fleet and declares its database and service.
+// Start starts the stand-ins, declares the database and its services, and starts the
+// instances.
 func Start(opts Options) (*Fleet, error) {
 	if opts.Log == nil {
 		opts.Log = logrus.New()
@@ -108,7 +110,7 @@
 	}
 }
 
-// Prefix is where the configuration lives in the key-value stand-in.
+// Prefix is the prefix of all keys in the key-value service.
 const Prefix = "stackspindle/"
 
 // declare stores the database and its service.
@@ -144,7 +146,7 @@
 	}
 }
 
-// What a fleet declares when Options say nothing else.
+// Defaults of the declared database and service.
 const (
 	defaultConnections = 8
 	defaultQueue       = 1000
@@ -152,24 +154,27 @@
 	defaultQueueTimeout = 3 * time.Second
 )
 
-// Put stores a resource directly, as an earlier operator would have.
+// Put writes a resource directly to the key-value service, without going through an
+// instance's operator API, and returns its revision.
 func (f *Fleet) Put(r resource.Resource) int64 {
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // resources always marshal
+		panic(err) // resources can always be encoded
 	}
 	return f.Store.Put(Prefix+"resources/"+string(r.Kind)+"/"+r.Metadata.Name, raw)
 }
 
-// List puts an instance on the platform's list, or marks it as leaving.
+// List writes the platform's entry of an instance, which registers it or marks it as
+// leaving.
 func (f *Fleet) List(name string, spec resource.InstanceSpec) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // specs always marshal
+		panic(err) // specs can always be encoded
 	}
 	f.Store.Put(Prefix+"instances/"+name, raw)
 }
 
+// dataCentre returns the default data centre of instance or member i.
 func dataCentre(i int) string {
 	return fmt.Sprintf("dc%d", i%pggroup.Members+1)
 }
@@ -177,7 +182,7 @@
 // Name returns the name of instance i.
 func Name(i int) string { return fmt.Sprintf("instance-%d", i+1) }
 
-// StartInstance runs instance i, for the first time or again.
+// StartInstance starts instance i, for the first time or after Kill, and registers it.
 func (f *Fleet) StartInstance(i int) (*instance.Instance, error) {
 	settings := config.Defaults()
 	settings.Name = Name(i)
@@ -218,7 +223,7 @@
 	return inst, nil
 }
 
-// Kill ends instance i as a crash would.
+// Kill stops instance i abruptly, like a crash.
 func (f *Fleet) Kill(i int) {
 	f.Instances[i].Kill()
 	f.Instances[i] = nil
@@ -237,7 +242,8 @@
 	return -1
 }
 
-// AwaitOwner waits until an instance serves the group and all know the configuration.
+// AwaitOwner waits until an instance serves the group and all running instances have
+// loaded the configuration. It returns the owner's index.
 func (f *Fleet) AwaitOwner(limit time.Duration) (int, error) {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -253,7 +259,7 @@
 	return -1, fmt.Errorf("no owner within %s", limit)
 }
 
-// Close ends everything. Closing twice does nothing.
+// Close stops the instances and the stand-ins. It is idempotent.
 func (f *Fleet) Close() { f.closeOnce.Do(f.close) }
 
 func (f *Fleet) close() {
@@ -268,13 +274,14 @@
 	f.Group.Close()
 }
 
-// Customise changes the declared database while the fleet runs.
+// Customise changes the declared database while the fleet runs. It replaces
+// Options.Customise.
 func (f *Fleet) Customise(change func(*resource.DatabaseSpec)) {
 	f.opts.Customise = change
 	f.Put(f.Database())
 }
 
-// Seeds returns the instances that run now, for the settings of others.
+// Seeds returns the names and peer addresses of the running instances.
 func (f *Fleet) Seeds() []membership.Instance {
 	var seeds []membership.Instance
 	for _, inst := range f.Instances {
@@ -285,10 +292,11 @@
 	return seeds
 }
 
-// SetSeeds gives instances started from now on the addresses of others.
+// SetSeeds sets the seed instances in the settings of instances started from now on.
 func (f *Fleet) SetSeeds(seeds []membership.Instance) { f.seeds = seeds }
 
-// PinCallerAddresses makes instances started again listen where they did.
+// PinCallerAddresses sets the addresses on which restarted instances serve clients, so
+// that they listen on the same ones as before.
 func (f *Fleet) PinCallerAddresses(addrs []string) {
 	f.opts.CallerAddr = func(i int) string { return addrs[i] }
 }
