--- a/internal/standin/pggroup/eval.go
+++ b/internal/standin/pggroup/eval.go
@@ -9,7 +9,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// Type identifiers of PostgreSQL's catalogue.
+// Type OIDs of PostgreSQL's catalogue.
 const (
 	oidBool = 16
 	oidInt8 = 20
@@ -17,7 +17,7 @@
 	oidText = 25
 )
 
-// pgError is an error with its SQLSTATE.
+// pgError is an error with an SQLSTATE code.
 type pgError struct {
 	code    string
 	message string
@@ -32,7 +32,7 @@
 	return &pgError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// env is what an expression may refer to.
+// env is the context in which an expression is evaluated.
 type env struct {
 	table  *table
 	row    []any
@@ -40,6 +40,7 @@
 	sess   *session
 }
 
+// eval returns the value of an expression: int64, bool, string or nil for NULL.
 func (e *env) eval(node *pgquery.Node) (any, error) {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AConst:
@@ -84,6 +85,7 @@
 	return nil
 }
 
+// column returns the value of a column in the current row, or nil without a row.
 func (e *env) column(ref *pgquery.ColumnRef) (any, error) {
 	name := ref.Fields[len(ref.Fields)-1].GetString_().GetSval()
 	if e.table == nil {
@@ -127,6 +129,7 @@
 	return false, nil
 }
 
+// operate applies a binary operator. It returns nil if an operand is nil.
 func operate(op string, left, right any) (any, error) {
 	if left == nil || right == nil {
 		return nil, nil
@@ -204,6 +207,7 @@
 	return convert(v, typeOID(c.TypeName))
 }
 
+// call evaluates a function call.
 func (e *env) call(call *pgquery.FuncCall) (any, error) {
 	name := call.Funcname[len(call.Funcname)-1].GetString_().GetSval()
 	args := make([]any, 0, len(call.Args))
@@ -242,6 +246,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
+// text returns a value in PostgreSQL's text format.
 func text(v any) string {
 	switch x := v.(type) {
 	case nil:
@@ -259,6 +264,7 @@
 	return fmt.Sprint(v)
 }
 
+// toInt converts a value to an integer, or returns 0 if it does not have the form of one.
 func toInt(v any) int64 {
 	if n, ok := v.(int64); ok {
 		return n
@@ -270,7 +276,7 @@
 	return n
 }
 
-// compare orders two values; an integer compares as one with any text.
+// compare compares two values as strings, or as integers if one of them is an integer.
 func compare(a, b any) int {
 	x, okX := a.(int64)
 	y, okY := b.(int64)
@@ -304,7 +310,7 @@
 	return oidText
 }
 
-// convert brings a value to the Go type of a column: int64, bool or string.
+// convert converts a value to the Go type of a column: int64, bool or string.
 func convert(v any, oid uint32) (any, error) {
 	if v == nil {
 		return nil, nil
@@ -328,7 +334,7 @@
 	return text(v), nil
 }
 
-// nodeOID guesses the type of an expression's result.
+// nodeOID infers the type of an expression's result; the default is text.
 func nodeOID(node *pgquery.Node, t *table) uint32 {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AConst:
--- a/internal/standin/pggroup/exec.go
+++ b/internal/standin/pggroup/exec.go
@@ -8,7 +8,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// result receives what a statement produces.
+// result receives the columns and rows that a statement returns.
 type result struct {
 	describe func(columns []column) error
 	row      func(values []any) error
@@ -17,11 +17,11 @@
 // plan is a parsed statement.
 type plan struct {
 	sql        string
-	node       *pgquery.Node // nil: empty
-	parameters []uint32
+	node       *pgquery.Node // nil: empty statement
+	parameters []uint32      // type OIDs
 }
 
-// columns returns the shape of the rows that a statement gives, or nil.
+// columns returns the columns of a statement's result, or nil if it returns no rows.
 func (s *session) columns(p *plan) ([]column, error) {
 	switch n := p.node.GetNode().(type) {
 	case *pgquery.Node_SelectStmt:
@@ -38,6 +38,7 @@
 	return nil, nil
 }
 
+// returning returns the columns of a RETURNING clause, or nil.
 func (s *session) returning(rel *pgquery.RangeVar, list []*pgquery.Node) ([]column, error) {
 	if len(list) == 0 {
 		return nil, nil
@@ -49,6 +50,7 @@
 	return targetColumns(list, t), nil
 }
 
+// lookup returns a table by name.
 func (s *session) lookup(name string) (*table, error) {
 	s.member.store.mu.RLock()
 	defer s.member.store.mu.RUnlock()
@@ -72,7 +74,8 @@
 	return targetColumns(stmt.TargetList, t), nil
 }
 
-// source returns the table that a SELECT reads, or nil without FROM.
+// source returns the table that a SELECT reads, or nil if it has no FROM clause. A
+// function in FROM is always generate_series.
 func (s *session) source(stmt *pgquery.SelectStmt) (*table, error) {
 	if len(stmt.FromClause) == 0 {
 		return nil, nil
@@ -87,6 +90,7 @@
 	return s.lookup(rel.Relname)
 }
 
+// targetColumns returns the columns of a select list.
 func targetColumns(list []*pgquery.Node, t *table) []column {
 	var columns []column
 	for _, node := range list {
@@ -105,6 +109,7 @@
 	return ref != nil && ref.Fields[len(ref.Fields)-1].GetAStar() != nil
 }
 
+// targetName returns the column name of a select list entry, as PostgreSQL names it.
 func targetName(target *pgquery.ResTarget) string {
 	if target.Name != "" {
 		return target.Name
@@ -118,7 +123,7 @@
 	return "?column?"
 }
 
-// execute runs a statement within s.tx and returns its command tag.
+// execute runs a statement in s.tx and returns its command tag.
 func (s *session) execute(p *plan, params []any, out result) (string, error) {
 	switch n := p.node.GetNode().(type) {
 	case *pgquery.Node_SelectStmt:
@@ -151,6 +156,7 @@
 	return "SHOW", out.row([]any{s.settings[name]})
 }
 
+// setVariable runs SET, SET LOCAL, RESET and RESET ALL.
 func (s *session) setVariable(stmt *pgquery.VariableSetStmt) (string, error) {
 	switch stmt.Kind {
 	case pgquery.VariableSetKind_VAR_SET_VALUE:
@@ -171,7 +177,8 @@
 	return "RESET", nil
 }
 
-// writable refuses writes on anything but the primary.
+// writable returns an error in a read-only transaction, and if the member is not the
+// primary.
 func (s *session) writable() error {
 	if s.readOnly || !s.member.isPrimary() {
 		return sqlError("25006", "cannot execute statement in a read-only transaction")
@@ -227,6 +234,7 @@
 	return nil
 }
 
+// selectRows runs a SELECT and returns its command tag.
 func (s *session) selectRows(stmt *pgquery.SelectStmt, params []any, out result) (string, error) {
 	if call := controlCall(stmt); call != nil {
 		return s.control(call, out)
@@ -258,6 +266,7 @@
 	return fmt.Sprintf("SELECT %d", len(rows)), nil
 }
 
+// project evaluates a select list for the current row and returns the values as a row.
 func project(list []*pgquery.Node, e *env, out result) error {
 	var values []any
 	for _, node := range list {
@@ -275,7 +284,8 @@
 	return out.row(values)
 }
 
-// series serves SELECT ... FROM generate_series(a, b), row by row.
+// series runs SELECT ... FROM generate_series(a, b). It computes and returns
+// one row at a time.
 func (s *session) series(stmt *pgquery.SelectStmt, e *env, out result) (string, error) {
 	call := stmt.FromClause[0].GetRangeFunction().Functions[0].GetList().Items[0].GetFuncCall()
 	first, err := e.eval(call.Args[0])
@@ -300,7 +310,8 @@
 	return fmt.Sprintf("SELECT %d", n), nil
 }
 
-// scan returns the rows that WHERE, ORDER BY and LIMIT leave.
+// scan returns the rows of a SELECT with WHERE, ORDER BY and LIMIT applied. With FOR
+// UPDATE it locks them. Without a table it returns a single empty row.
 func (s *session) scan(stmt *pgquery.SelectStmt, e *env) ([][]any, error) {
 	if e.table == nil {
 		return [][]any{nil}, nil
@@ -324,11 +335,13 @@
 	return limitRows(stmt, e, rows)
 }
 
+// match is a row that satisfies a WHERE clause, with its key.
 type match struct {
 	key string
 	row []any
 }
 
+// match returns the rows that satisfy a WHERE clause.
 func (s *session) match(e *env, where *pgquery.Node) ([]match, error) {
 	s.member.store.mu.RLock()
 	defer s.member.store.mu.RUnlock()
@@ -357,6 +370,7 @@
 	return matches, nil
 }
 
+// holds reports whether a row satisfies a WHERE clause.
 func (e *env) holds(where *pgquery.Node, row []any) (bool, error) {
 	if where == nil {
 		return true, nil
@@ -367,7 +381,8 @@
 	return truth, err
 }
 
-// pointLookup recognises WHERE key = value.
+// pointLookup returns the row key for a condition of the form primary key = value, and
+// false for any other condition.
 func pointLookup(e *env, where *pgquery.Node) (string, bool) {
 	expr := where.GetAExpr()
 	if expr == nil || e.table.key < 0 || expr.Name[0].GetString_().GetSval() != "=" {
@@ -390,6 +405,7 @@
 	return rowKey(v), true
 }
 
+// sortRows sorts by the first ORDER BY expression; further ones are ignored.
 func sortRows(clause []*pgquery.Node, e *env, rows [][]any) error {
 	if len(clause) == 0 {
 		return nil
@@ -424,6 +440,7 @@
 	return rows[:min(len(rows), int(toInt(v)))], nil
 }
 
+// aggregateName returns the aggregate function that a select list entry calls, or "".
 func aggregateName(node *pgquery.Node) string {
 	call := node.GetResTarget().GetVal().GetFuncCall()
 	if call == nil {
@@ -458,6 +475,7 @@
 	return "SELECT 1", out.row(values)
 }
 
+// fold computes one aggregate over rows.
 func fold(name string, call *pgquery.FuncCall, e *env, rows [][]any) (any, error) {
 	if name == "count" {
 		return int64(len(rows)), nil
--- a/internal/standin/pggroup/extended.go
+++ b/internal/standin/pggroup/extended.go
@@ -6,9 +6,10 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// flushBytes is how much of a result is collected before it is sent.
+// flushBytes is the amount of result data buffered before it is sent, in bytes.
 const flushBytes = 32 << 10
 
+// extended handles one message of the extended query protocol.
 func (s *session) extended(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
@@ -75,6 +76,8 @@
 	return nil
 }
 
+// formatOf returns the format code of parameter or column i: no codes mean text, and a
+// single code applies to all.
 func formatOf(codes []int16, i int) int16 {
 	switch len(codes) {
 	case 0:
@@ -88,6 +91,7 @@
 	return 0
 }
 
+// decodeParameter converts a bound parameter to int64, bool, string or nil.
 func decodeParameter(raw []byte, oid uint32, format int16) (any, error) {
 	if raw == nil {
 		return nil, nil
@@ -176,6 +180,7 @@
 	return d
 }
 
+// sendRow buffers a row, and sends the buffer once it has flushBytes.
 func (s *session) sendRow(values []any, shape []column, formats []int16) error {
 	row := &pgproto3.DataRow{Values: make([][]byte, len(values))}
 	for i, v := range values {
--- a/internal/standin/pggroup/faults.go
+++ b/internal/standin/pggroup/faults.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// gate lets traffic through while it is open.
+// gate blocks traffic while it is closed. The zero value is open.
 type gate struct {
 	mu   sync.Mutex
-	shut chan struct{} // non-nil while closed; closing it lets waiters on
+	shut chan struct{} // non-nil while the gate is closed; the channel is closed when the gate opens
 }
 
-// wait blocks while the gate is closed, or until done.
+// wait blocks while the gate is closed, at most until done is closed.
 func (g *gate) wait(done <-chan struct{}) {
 	for {
 		g.mu.Lock()
@@ -52,14 +52,14 @@
 	}
 }
 
-// faults are the switches of one member.
+// faults are the faults injected into one member.
 type faults struct {
-	pause *gate
-	stuck *atomic.Bool  // a replica stops applying
-	drop  *atomic.Int32 // answers to writes that are lost, with their connection
-	delay *atomic.Int64 // nanoseconds by which each answer is late
-	mu    *sync.Mutex
-	cuts  map[string]*gate // by the application_name of the other side
+	pause *gate            // closed while the member is paused
+	stuck *atomic.Bool     // replication of this member is stopped
+	drop  *atomic.Int32    // number of next committed writes whose answer and connection are lost
+	delay *atomic.Int64    // delay of each answer, in nanoseconds
+	mu    *sync.Mutex      // guards cuts
+	cuts  map[string]*gate // gate of each instance, by application_name; closed while it is cut off
 }
 
 func newFaults() faults {
@@ -73,6 +73,7 @@
 	}
 }
 
+// cut returns the gate of an instance.
 func (f *faults) cut(instance string) *gate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,28 +83,28 @@
 	return f.cuts[instance]
 }
 
-// Pause freezes the member: connections stay open and nothing answers.
+// Pause makes the member unresponsive: connections stay open but get no answers.
 func (m *Member) Pause() { m.faults.pause.close() }
 
 // Resume ends a pause.
 func (m *Member) Resume() { m.faults.pause.open() }
 
-// CutFrom silences all traffic with the instance of that name.
+// CutFrom blocks all traffic between the member and an instance.
 func (m *Member) CutFrom(instance string) { m.faults.cut(instance).close() }
 
-// Heal ends CutFrom.
+// Heal undoes CutFrom.
 func (m *Member) Heal(instance string) { m.faults.cut(instance).open() }
 
 // SetStuck stops or resumes the replication of this member.
 func (m *Member) SetStuck(stuck bool) { m.faults.stuck.Store(stuck) }
 
-// DropAnswers makes the next n committed writes lose their answer.
+// DropAnswers makes the next n committed writes lose their answer and their connection.
 func (m *Member) DropAnswers(n int) { m.faults.drop.Store(int32(n)) }
 
-// DelayAnswers makes every answer late by d.
+// DelayAnswers delays every answer by d.
 func (m *Member) DelayAnswers(d time.Duration) { m.faults.delay.Store(int64(d)) }
 
-// takeDrop uses up one lost answer.
+// takeDrop reports whether the answer to a committed write is lost, and counts it.
 func (f *faults) takeDrop() bool {
 	for {
 		n := f.drop.Load()
--- a/internal/standin/pggroup/group.go
+++ b/internal/standin/pggroup/group.go
@@ -12,20 +12,20 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Group is a database group of three members on loopback.
+// Group is a running database group of three members on loopback.
 type Group struct {
 	members []*Member
-	lag     atomic.Int64
-	cuts    [Members][Members]atomic.Bool
+	lag     atomic.Int64                  // replica lag in nanoseconds
+	cuts    [Members][Members]atomic.Bool // replication links that are cut
 	done    chan struct{}
 	workers sync.WaitGroup
 }
 
-// Members is the size of a group.
+// Members is the number of members of a group.
 const Members = 3
 
-// Start listens on three free ports of loopback. The first member is primary
-// in term 1 and the others follow it.
+// Start starts the members on free loopback ports. The first member is the primary in
+// term 1 and the others replicate from it.
 func Start(name string, lag time.Duration) (*Group, error) {
 	g := &Group{done: make(chan struct{})}
 	g.lag.Store(int64(lag))
@@ -51,10 +51,10 @@
 	return g, nil
 }
 
-// Member returns the i-th member, counted from 0.
+// Member returns member i, counted from 0.
 func (g *Group) Member(i int) *Member { return g.members[i] }
 
-// ByName returns the member of that name, or nil.
+// ByName returns the member with the given name, or nil.
 func (g *Group) ByName(name string) *Member {
 	if i := g.byName(name); i >= 0 {
 		return g.members[i]
@@ -68,17 +68,19 @@
 // SetLag changes the replication lag.
 func (g *Group) SetLag(d time.Duration) { g.lag.Store(int64(d)) }
 
-// CutLink silences replication between two members, both ways.
+// CutLink stops or resumes replication between two members in both directions.
 func (g *Group) CutLink(i, j int, cut bool) {
 	g.cuts[i][j].Store(cut)
 	g.cuts[j][i].Store(cut)
 }
 
+// linked reports whether member from can replicate from member to.
 func (g *Group) linked(from, to int) bool {
 	other := g.members[to]
 	return !g.cuts[from][to].Load() && other.isRunning() && !other.faults.pause.closed()
 }
 
+// byName returns the index of a member, or -1.
 func (g *Group) byName(name string) int {
 	for i, m := range g.members {
 		if m.Name == name {
@@ -88,7 +90,7 @@
 	return -1
 }
 
-// wake makes all members look at whom they follow.
+// wake makes the replication of all members read role, term and leader again.
 func (g *Group) wake() {
 	for _, m := range g.members {
 		m.mu.Lock()
@@ -98,7 +100,8 @@
 	}
 }
 
-// Exec runs a statement on the current primary, for setting up tests.
+// Exec runs SQL on the current primary, each statement in its own transaction. Tests use
+// it for setup.
 func (g *Group) Exec(sql string) error {
 	for _, m := range g.members {
 		if !m.isPrimary() {
@@ -129,6 +132,7 @@
 	g.workers.Wait()
 }
 
+// listen starts accepting connections.
 func (m *Member) listen(addr string) error {
 	var config net.ListenConfig
 	l, err := config.Listen(context.Background(), "tcp", addr)
@@ -144,7 +148,8 @@
 	return nil
 }
 
-// Kill ends the member at once: its port refuses and its sessions break.
+// Kill stops the member abruptly: its port refuses connections and its sessions are
+// closed.
 func (m *Member) Kill() {
 	m.mu.Lock()
 	l := m.listener
@@ -162,8 +167,8 @@
 	}
 }
 
-// Restart starts a killed member again on its port, with the data, the term
-// and the role it had.
+// Restart starts a killed member again on the same port, with the same data, term and
+// role.
 func (m *Member) Restart() error {
 	return m.listen(m.Addr())
 }
--- a/internal/standin/pggroup/member.go
+++ b/internal/standin/pggroup/member.go
@@ -14,7 +14,7 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Member is one server of the group.
+// Member is one database server of the group.
 type Member struct {
 	Name string
 
@@ -23,20 +23,21 @@
 	index int
 	plans *lru.Cache[string, []*pgquery.RawStmt]
 
-	// mu guards what follows. A commit holds it for reading, so that nothing is
-	// committed once a fence has returned. It is taken before store.mu.
+	// mu guards the fields up to nextPID. A commit holds it for reading, so that no
+	// commit of an earlier term can happen after fence has returned. Lock order: mu
+	// before store.mu.
 	mu        sync.RWMutex
 	listener  net.Listener
 	addr      string
 	term      uint64
 	role      group.Role
-	owner     string    // of the term
-	ownerSeen time.Time // its last fence or heartbeat
-	holder    string    // who sent the last heartbeat
-	heartbeat time.Time
-	released  bool // by the holder
-	acked     group.Position
-	leader    int // member index that is followed, -1: none
+	owner     string         // instance that owns the current term
+	ownerSeen time.Time      // time of the owner's last fence or heartbeat
+	holder    string         // instance that sent the last heartbeat
+	heartbeat time.Time      // of the holder
+	released  bool           // the holder has released the group
+	acked     group.Position // highest acknowledged position that a heartbeat reported
+	leader    int            // index of the member to replicate from; -1: none
 	sessions  map[uint32]*session
 	nextPID   uint32
 
@@ -44,7 +45,7 @@
 	traffic atomic.Int64 // bytes in and out
 
 	faults faults
-	reset  chan struct{} // closed and replaced when replication must look again
+	reset  chan struct{} // closed and replaced when replication must read role, term and leader again
 }
 
 func newMember(g *Group, index int, name string) *Member {
@@ -67,39 +68,39 @@
 	}
 }
 
-// planCacheSize is how many parsed texts a member remembers.
+// planCacheSize is the number of parsed SQL texts that a member caches.
 const planCacheSize = 4096
 
-// Addr returns the address callers and owners connect to.
+// Addr returns the address that the member listens on.
 func (m *Member) Addr() string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.addr
 }
 
-// Position returns the last entry of the member's log.
+// Position returns the position of the last entry in the member's log.
 func (m *Member) Position() group.Position {
 	return m.store.position()
 }
 
-// Traffic returns the bytes received and sent.
+// Traffic returns the number of bytes received and sent.
 func (m *Member) Traffic() int64 { return m.traffic.Load() }
 
-// Role returns the member's role and term.
+// Role returns the member's current role and term.
 func (m *Member) Role() (group.Role, uint64) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.role, m.term
 }
 
-// Owner returns the instance that the member last heard a heartbeat of.
+// Owner returns the name of the instance that sent the last heartbeat.
 func (m *Member) Owner() string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.holder
 }
 
-// Connections returns how many sessions are open.
+// Connections returns the number of open sessions.
 func (m *Member) Connections() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -115,6 +116,7 @@
 	return m.running.Load()
 }
 
+// parse parses SQL and caches the result.
 func (m *Member) parse(sql string) ([]*pgquery.RawStmt, error) {
 	if stmts, ok := m.plans.Get(sql); ok {
 		return stmts, nil
@@ -127,7 +129,8 @@
 	return tree.Stmts, nil
 }
 
-// commit makes a session's writes durable if its term still holds.
+// commit appends a transaction to the log. It rejects writes if the member is not the
+// primary or the session is of an earlier term.
 func (m *Member) commit(s *session, tx *transaction) error {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -147,8 +150,8 @@
 	tx.releaseLocked()
 }
 
-// status renders group.Status in the order that parseStatus of the upstream
-// package reads.
+// status encodes group.Status in the field order that parseStatus in package upstream
+// expects.
 func (m *Member) status() string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -158,7 +161,7 @@
 		m.released, m.linkedLocked(), m.acked.Term, m.acked.Index)
 }
 
-// age returns microseconds since a time, or -1 when it never was.
+// age returns the microseconds since t, or -1 if t is zero.
 func age(t time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -166,11 +169,14 @@
 	return time.Since(t).Microseconds()
 }
 
+// linkedLocked reports whether the member is a replica that can reach its leader. The
+// caller holds mu.
 func (m *Member) linkedLocked() bool {
 	return m.role == group.RoleReplica && m.leader >= 0 && m.group.linked(m.index, m.leader)
 }
 
-// control runs one of the functions that direct the group.
+// control runs a SELECT of one of the group_ functions, which instances use to control
+// the group.
 func (s *session) control(call *pgquery.FuncCall, out result) (string, error) {
 	if err := out.describe(statusColumns); err != nil {
 		return "", err
@@ -193,6 +199,7 @@
 
 var statusColumns = []column{{name: "status", oid: oidText}}
 
+// controlCall returns the call of a group_ function in the FROM clause, or nil.
 func controlCall(stmt *pgquery.SelectStmt) *pgquery.FuncCall {
 	if len(stmt.FromClause) != 1 {
 		return nil
@@ -208,6 +215,7 @@
 	return call
 }
 
+// direct runs a group_ function.
 func (m *Member) direct(name string, args []any) (string, error) {
 	arg := func(i int) any {
 		if i < len(args) {
@@ -236,11 +244,13 @@
 	return "", sqlError("42883", "function %s does not exist", name)
 }
 
-// errTerm is raised for a request of a term that has passed.
+// errTerm returns the error for a request of another term than the member's: have is
+// the member's term, got the requested one.
 func errTerm(have, got uint64) error {
 	return sqlError("55000", "term %d has passed, the member is at %d", got, have)
 }
 
+// takeHeartbeat handles a heartbeat of the owner of the current term.
 func (m *Member) takeHeartbeat(term uint64, owner string, acked group.Position) (string, error) {
 	m.mu.Lock()
 	if term != m.term {
@@ -256,9 +266,9 @@
 	return m.status(), nil
 }
 
-// fence moves the member to a higher term: what it served before ends, and it
-// neither writes nor replicates until it is promoted or told whom to follow.
-// The reply still names the former owner; the last heartbeat stays known.
+// fence moves the member to a higher term and ends the sessions of earlier terms. The
+// member neither accepts writes nor replicates until promote or follow. The reply still
+// names the former owner, and the last heartbeat is kept.
 func (m *Member) fence(term uint64, owner string) (string, error) {
 	m.mu.Lock()
 	if term <= m.term {
@@ -286,6 +296,8 @@
 	return reply, nil
 }
 
+// promote makes the member the primary of the current term. The reply also has the
+// history of terms.
 func (m *Member) promote(term uint64) (string, error) {
 	m.mu.Lock()
 	if term != m.term {
@@ -299,11 +311,11 @@
 	return m.status() + " " + m.history(), nil
 }
 
-// maxHistory bounds the terms that a promotion reports.
+// maxHistory is the maximum number of terms in the reply to a promotion.
 const maxHistory = 32
 
-// history renders where each term of the log began, as PostgreSQL's time line
-// history does.
+// history encodes the log index at which each term began, like PostgreSQL's timeline
+// history files.
 func (m *Member) history() string {
 	m.store.mu.RLock()
 	defer m.store.mu.RUnlock()
@@ -316,6 +328,8 @@
 	return strings.Join(starts[max(0, len(starts)-maxHistory):], ",")
 }
 
+// follow makes the member a replica of leader, in the given term or its current one, and
+// ends the sessions of earlier terms.
 func (m *Member) follow(term uint64, leader string) (string, error) {
 	index := m.group.byName(leader)
 	if index < 0 || index == m.index {
@@ -346,6 +360,7 @@
 	return m.status(), nil
 }
 
+// release records that the holder gives up the current term.
 func (m *Member) release(term uint64, owner string) (string, error) {
 	m.mu.Lock()
 	if term != m.term || owner != m.holder {
@@ -357,7 +372,7 @@
 	return m.status(), nil
 }
 
-// replicate pulls the leader's log until the group closes.
+// replicate copies the leader's log until the group is closed.
 func (m *Member) replicate() {
 	defer m.group.workers.Done()
 	for {
@@ -370,7 +385,8 @@
 	}
 }
 
-// pull applies what is due and returns a channel that tells when to look again.
+// pull applies the entries that are due and returns a channel that is closed when it
+// should run again.
 func (m *Member) pull() <-chan struct{} {
 	m.mu.RLock()
 	leader, role, reset, term := m.leader, m.role, m.reset, m.term
@@ -404,8 +420,9 @@
 	return ch
 }()
 
-// apply brings the log to the leader's, as far as the lag allows. It reports
-// whether entries were applied, and else when the next one is due.
+// apply replicates the entries that are older than the lag, after truncating a log that
+// diverges from the leader's. It returns whether it applied entries, and how long until
+// the next one is due (0: there is none).
 func (m *Member) apply(entries []logEntry, leader int) (bool, time.Duration) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -431,14 +448,15 @@
 	return applied, 0
 }
 
+// after returns a channel that is closed after d.
 func after(d time.Duration) <-chan struct{} {
 	ch := make(chan struct{})
 	time.AfterFunc(d, func() { close(ch) })
 	return ch
 }
 
-// either returns a channel that closes with the first of a and b, or after
-// half a second, so that no waiter is left behind.
+// either returns a channel that is closed when a or b is, or after half a second. The
+// timeout ensures that the goroutine ends even if neither is ever closed.
 func either(a, b <-chan struct{}) <-chan struct{} {
 	ch := make(chan struct{})
 	go func() {
--- a/internal/standin/pggroup/session.go
+++ b/internal/standin/pggroup/session.go
@@ -15,35 +15,36 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// session is one connection to a member.
+// session is one client connection to a member.
 type session struct {
 	member   *Member
 	conn     net.Conn
 	backend  *pgproto3.Backend
-	instance string
-	term     uint64 // 0: not bound to a term
+	instance string // application_name of the connection
+	term     uint64 // term for which the connection was opened; 0: any
 	pid      uint32
 	secret   []byte
 
 	done     chan struct{}
 	endOnce  sync.Once
-	canceled atomic.Bool
+	canceled atomic.Bool // a cancel request has arrived
 
 	prepared map[string]*plan
 	portals  map[string]*portal
 	settings map[string]string
-	saved    map[string]string // settings at BEGIN
-	local    map[string]string // values to restore after SET LOCAL
+	saved    map[string]string // settings at the start of the transaction
+	local    map[string]string // settings to restore at the end of the transaction, after SET LOCAL
 
 	tx       *transaction
-	explicit bool
-	failed   bool
+	explicit bool // the transaction was opened with BEGIN
+	failed   bool // the transaction can only be rolled back
 	readOnly bool
-	wrote    bool
-	skipping bool // after an error in the extended protocol, until Sync
-	pending  int  // bytes given to the backend and not flushed
+	wrote    bool // writes were committed whose answer has not been flushed
+	skipping bool // ignore messages until Sync, after an error in the extended protocol
+	pending  int  // bytes of rows given to the backend since the last flush
 }
 
+// portal is a prepared statement with bound parameters.
 type portal struct {
 	plan    *plan
 	params  []any
@@ -65,13 +66,13 @@
 	}
 }
 
-// staleLocked reports whether the session belongs to a term that has passed.
-// The caller holds member.mu.
+// staleLocked reports whether the session was opened for an earlier term than the
+// member's. The caller holds member.mu.
 func (s *session) staleLocked() bool {
 	return s.term != 0 && s.term < s.member.term
 }
 
-// end breaks the connection.
+// end closes the connection.
 func (s *session) end() {
 	s.endOnce.Do(func() {
 		close(s.done)
@@ -90,11 +91,12 @@
 	}
 }
 
-// gatedConn holds traffic back while the member is paused or cut off.
+// gatedConn blocks traffic while the member is paused or partitioned from the
+// connection's instance, and counts the bytes.
 type gatedConn struct {
 	net.Conn
 	member *Member
-	cut    *gate
+	cut    *gate // closed while the instance is cut off; nil before startup
 	done   chan struct{}
 }
 
@@ -117,6 +119,7 @@
 	return c.Conn.Write(p)
 }
 
+// hold blocks while one of the connection's gates is closed, until done.
 func (c *gatedConn) hold() {
 	c.member.faults.pause.wait(c.done)
 	if c.cut != nil {
@@ -159,7 +162,8 @@
 	s.loop()
 }
 
-// startup reads the first messages; a nil message means the connection is done.
+// startup reads the startup message. It declines encryption and handles cancel requests;
+// a nil message means that the connection has served its purpose.
 func (m *Member) startup(backend *pgproto3.Backend, conn *gatedConn) (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := backend.ReceiveStartupMessage()
@@ -180,6 +184,7 @@
 	}
 }
 
+// cancel handles a cancel request: it interrupts the session's current statement.
 func (m *Member) cancel(pid uint32, secret []byte) {
 	m.mu.RLock()
 	s := m.sessions[pid]
@@ -189,6 +194,8 @@
 	}
 }
 
+// admit registers a new session. It fails if the member is stopping, or if the startup
+// options name another term than the member's.
 func (m *Member) admit(start *pgproto3.StartupMessage, conn *gatedConn) (*session, error) {
 	term := termOption(start.Parameters["options"])
 	instance := start.Parameters["application_name"]
@@ -209,7 +216,7 @@
 	return s, nil
 }
 
-// termOption reads "-c group.term=N" from the startup options.
+// termOption returns N of "-c group.term=N" in the startup options, or 0.
 func termOption(options string) uint64 {
 	for _, field := range strings.Fields(options) {
 		if value, ok := strings.CutPrefix(field, "group.term="); ok {
@@ -222,6 +229,7 @@
 	return 0
 }
 
+// forget rolls back the session's transaction and removes the session.
 func (m *Member) forget(s *session) {
 	if s.tx != nil {
 		m.rollback(s.tx)
@@ -232,6 +240,7 @@
 	m.mu.Unlock()
 }
 
+// ready sends ReadyForQuery and flushes.
 func (s *session) ready() {
 	status := byte('I')
 	switch {
@@ -244,6 +253,8 @@
 	s.flush()
 }
 
+// flush sends all buffered messages. If the answer to a committed write is to be lost,
+// it closes the connection first.
 func (s *session) flush() {
 	s.pending = 0
 	if s.wrote && s.tx == nil && s.member.faults.takeDrop() {
@@ -255,6 +266,7 @@
 	}
 }
 
+// loop handles messages until the session ends.
 func (s *session) loop() {
 	for !s.ended() {
 		msg, err := s.backend.Receive()
@@ -268,6 +280,7 @@
 	}
 }
 
+// handle handles one message after startup.
 func (s *session) handle(msg pgproto3.FrontendMessage) {
 	switch m := msg.(type) {
 	case *pgproto3.Query:
@@ -308,6 +321,7 @@
 	return &pgproto3.ErrorResponse{Severity: severity, SeverityUnlocalized: severity, Code: e.code, Message: e.message}
 }
 
+// simple runs a query of the simple protocol, which may have several statements.
 func (s *session) simple(sql string) {
 	stmts, err := s.member.parse(sql)
 	if err != nil {
@@ -330,6 +344,7 @@
 	}
 }
 
+// runOne runs one statement of a simple query and sends its result.
 func (s *session) runOne(p *plan) error {
 	tag, err := s.run(p, nil, result{
 		describe: func(columns []column) error {
@@ -345,7 +360,7 @@
 	return nil
 }
 
-// runAlone runs a statement in its own transaction and drops its rows.
+// runAlone runs a statement in its own transaction and discards its rows.
 func (s *session) runAlone(p *plan) error {
 	_, err := s.run(p, nil, result{
 		describe: func([]column) error { return nil },
@@ -358,7 +373,7 @@
 	return s.endImplicit()
 }
 
-// run executes one statement, opening an implicit transaction when none is open.
+// run executes one statement. It opens an implicit transaction if none is open.
 func (s *session) run(p *plan, params []any, out result) (string, error) {
 	if n := p.node.GetTransactionStmt(); n != nil {
 		return s.transactionStatement(n)
@@ -383,6 +398,7 @@
 	}
 }
 
+// transactionStatement runs BEGIN, COMMIT or ROLLBACK.
 func (s *session) transactionStatement(n *pgquery.TransactionStmt) (string, error) {
 	switch n.Kind {
 	case pgquery.TransactionStmtKind_TRANS_STMT_BEGIN, pgquery.TransactionStmtKind_TRANS_STMT_START:
@@ -431,6 +447,7 @@
 	s.tx, s.explicit, s.failed, s.readOnly, s.local = nil, false, false, false, nil
 }
 
+// endImplicit commits an implicit transaction.
 func (s *session) endImplicit() error {
 	if s.tx == nil || s.explicit {
 		return nil
@@ -438,7 +455,7 @@
 	return s.commitTx()
 }
 
-// fail marks an open transaction as failed, or drops an implicit one.
+// fail marks an explicit transaction as failed, or rolls back an implicit one.
 func (s *session) fail() {
 	if s.explicit {
 		s.failed = true
@@ -447,6 +464,7 @@
 	s.rollbackTx()
 }
 
+// rememberLocal saves a setting before SET LOCAL changes it.
 func (s *session) rememberLocal(name string) {
 	if s.local == nil {
 		s.local = make(map[string]string)
@@ -456,12 +474,14 @@
 	}
 }
 
+// discardAll runs DISCARD ALL.
 func (s *session) discardAll() {
 	s.settings = make(map[string]string)
 	s.saved = s.settings
 	s.prepared = make(map[string]*plan)
 }
 
+// interrupted returns an error if the session has ended or a cancel request has arrived.
 func (s *session) interrupted() error {
 	if s.ended() {
 		return sqlError("57P01", "terminating connection due to administrator command")
@@ -472,6 +492,7 @@
 	return nil
 }
 
+// sleep runs pg_sleep, until it is interrupted.
 func (s *session) sleep(d time.Duration) error {
 	deadline := time.Now().Add(d)
 	for time.Now().Before(deadline) {
--- a/internal/standin/pggroup/store.go
+++ b/internal/standin/pggroup/store.go
@@ -1,7 +1,11 @@
-// Package pggroup is a stand-in for a PostgreSQL database group: three members
-// that speak the PostgreSQL protocol, replicate asynchronously with a settable
-// lag, and carry terms and log positions. It knows just enough SQL for tests,
-// benchmarks and the demo. It is not a database: everything is in memory.
+// Package pggroup is an in-memory stand-in for a PostgreSQL database group: three
+// members that speak the PostgreSQL protocol, replicate asynchronously with a
+// configurable lag, and have terms and log positions. It implements only the SQL that
+// the tests, the benchmarks and the demo need, and stores nothing on disk.
+//
+// Instances control the group with the SQL functions whose names begin with group_.
+// Fencing moves a member to a higher term and ends the sessions that were opened for
+// earlier terms; they can commit no writes afterwards.
 package pggroup
 
 import (
@@ -19,11 +23,11 @@
 	oid  uint32
 }
 
-// table is a heap of rows by primary key.
+// table has the rows of a table by their encoded primary key.
 type table struct {
 	name    string
 	columns []column
-	key     int // index of the primary key column, -1 when there is none
+	key     int // index of the primary key column; -1: none
 	rows    map[string][]any
 }
 
@@ -36,30 +40,30 @@
 	return -1
 }
 
-// change is one row written, or one table created or dropped.
+// change is one row written or deleted, or one table created or dropped.
 type change struct {
 	table  string
-	schema *table // non-nil: the table is created, or dropped when it has no columns
+	schema *table // non-nil: the table is created, or dropped if schema has no columns
 	key    string
 	row    []any // nil: deleted
 }
 
-// logEntry is one committed transaction.
+// logEntry is one committed transaction, with its commit time at the primary.
 type logEntry struct {
 	position group.Position
 	at       time.Time
 	changes  []change
 }
 
-// store is the data of one member. mu guards all fields.
+// store has the tables, the log and the row locks of one member. mu guards all fields.
 type store struct {
 	mu     sync.RWMutex
 	tables map[string]*table
 	log    []logEntry
-	grown  chan struct{} // closed and replaced when the log changes
-	nextID uint64
-	locks  map[string]*transaction
-	free   *sync.Cond // signalled when locks are released
+	grown  chan struct{}           // closed and replaced when an entry is appended
+	nextID uint64                  // last generated key of a table without a primary key
+	locks  map[string]*transaction // holder of each row lock
+	free   *sync.Cond              // signalled when row locks are released
 }
 
 func newStore() *store {
@@ -72,7 +76,7 @@
 	return s
 }
 
-// position returns the place of the last entry. The caller holds mu.
+// positionLocked returns the position of the last log entry. The caller holds mu.
 func (s *store) positionLocked() group.Position {
 	if len(s.log) == 0 {
 		return group.Position{}
@@ -80,13 +84,15 @@
 	return s.log[len(s.log)-1].position
 }
 
+// position returns the position of the last log entry.
 func (s *store) position() group.Position {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.positionLocked()
 }
 
-// appendLocked adds an entry and applies it. The caller holds mu for writing.
+// appendLocked appends an entry to the log and applies it to the tables. The caller
+// holds mu for writing.
 func (s *store) appendLocked(entry logEntry) {
 	s.log = append(s.log, entry)
 	for _, c := range entry.changes {
@@ -125,7 +131,8 @@
 	}
 }
 
-// truncateLocked drops all entries beyond n and rebuilds the tables.
+// truncateLocked drops all log entries after the first n and rebuilds the tables from
+// the rest. The caller holds mu for writing.
 func (s *store) truncateLocked(n int) {
 	if n >= len(s.log) {
 		return
@@ -141,7 +148,7 @@
 	}
 }
 
-// commonPrefix returns how many entries two logs share.
+// commonPrefix returns the length of the longest common prefix of two logs.
 func commonPrefix(a, b []logEntry) int {
 	n := min(len(a), len(b))
 	for n > 0 && a[n-1].position != b[n-1].position {
@@ -150,14 +157,14 @@
 	return n
 }
 
-// transaction collects the writes of one session until it commits.
+// transaction collects the writes of one session until they are committed.
 type transaction struct {
 	store   *store
-	writes  map[string]map[string][]any // table, key, row; nil row: deleted
-	created map[string]*table
-	order   []change
-	locked  []string
-	aborted func() bool // reports that the session is being ended
+	writes  map[string]map[string][]any // row by table and key; nil: deleted
+	created map[string]*table           // tables created in this transaction
+	order   []change                    // in execution order
+	locked  []string                    // names of the row locks it holds
+	aborted func() bool                 // reports whether the session has ended
 }
 
 func (s *store) begin(aborted func() bool) *transaction {
@@ -179,11 +186,12 @@
 	return nil, sqlError("42P01", "relation %q does not exist", name)
 }
 
-// lockWait bounds how long a row lock is waited for.
+// lockTimeout limits the wait for a row lock. After that the statement fails as if a
+// deadlock had been detected.
 const lockWait = 2 * time.Second
 
-// lockRow takes the lock of a row, waiting for its holder. The caller holds
-// store.mu for writing; it is released while waiting.
+// lockRow acquires the lock of a row and waits while another transaction holds it. The
+// caller holds store.mu for writing, which is released during the wait.
 func (tx *transaction) lockRow(tableName, key string) error {
 	name := tableName + "\x00" + key
 	deadline := time.Now().Add(lockWait)
@@ -209,7 +217,8 @@
 	}
 }
 
-// rowLocked returns the row as the transaction sees it.
+// rowLocked returns the row with the transaction's own writes applied; nil: no such
+// row. The caller holds store.mu.
 func (tx *transaction) rowLocked(t *table, key string) []any {
 	if row, ok := tx.writes[t.name][key]; ok {
 		return row
@@ -217,6 +226,7 @@
 	return t.rows[key]
 }
 
+// put records a written row, or a deletion if row is nil.
 func (tx *transaction) put(tableName, key string, row []any) {
 	if tx.writes[tableName] == nil {
 		tx.writes[tableName] = make(map[string][]any)
@@ -225,7 +235,8 @@
 	tx.order = append(tx.order, change{table: tableName, key: key, row: row})
 }
 
-// keysLocked returns the keys of all rows the transaction sees, in order.
+// keysLocked returns the sorted keys of all rows that the transaction sees. The caller
+// holds store.mu.
 func (tx *transaction) keysLocked(t *table) []string {
 	keys := make([]string, 0, len(t.rows))
 	for key := range t.rows {
@@ -242,6 +253,7 @@
 	return keys
 }
 
+// releaseLocked releases all row locks. The caller holds store.mu for writing.
 func (tx *transaction) releaseLocked() {
 	for _, name := range tx.locked {
 		delete(tx.store.locks, name)
@@ -250,7 +262,8 @@
 	tx.store.free.Broadcast()
 }
 
-// commitLocked appends the writes under the given term. The caller holds mu.
+// commitLocked appends the writes to the log as one entry of the given term and
+// releases the row locks. The caller holds store.mu for writing.
 func (tx *transaction) commitLocked(term uint64) {
 	if len(tx.order) > 0 {
 		last := tx.store.positionLocked()
@@ -263,7 +276,8 @@
 	tx.releaseLocked()
 }
 
-// rowKey renders a primary key value so that keys sort as integers do.
+// rowKey encodes a primary key value as a string. The keys of integers sort in numeric
+// order.
 func rowKey(v any) string {
 	if n, ok := v.(int64); ok {
 		return fmt.Sprintf("i%020d", uint64(n)+1<<63)
--- a/internal/standin/pggroup/write.go
+++ b/internal/standin/pggroup/write.go
@@ -6,6 +6,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
+// insert runs an INSERT and returns its command tag.
 func (s *session) insert(stmt *pgquery.InsertStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
@@ -32,8 +33,8 @@
 	return fmt.Sprintf("INSERT 0 %d", n), nil
 }
 
-// writeTarget finds the table that a statement writes and describes what the
-// statement returns.
+// writeTarget returns the table that a statement writes to, and describes the columns of
+// its RETURNING clause.
 func (s *session) writeTarget(rel *pgquery.RangeVar, returning []*pgquery.Node, out result) (*table, error) {
 	if err := s.writable(); err != nil {
 		return nil, err
@@ -59,6 +60,7 @@
 	return project(list, &env{table: t, row: row, params: params, sess: s}, out)
 }
 
+// insertRows evaluates the VALUES lists of an INSERT.
 func insertRows(stmt *pgquery.InsertStmt, t *table, e *env) ([][]any, error) {
 	var targets []int
 	for _, col := range stmt.Cols {
@@ -101,7 +103,8 @@
 	return row, nil
 }
 
-// insertRow reports whether the row was inserted.
+// insertRow inserts a row and reports whether it did. On a key conflict it returns false
+// if ignoreConflict is set (ON CONFLICT), and an error otherwise.
 func (s *session) insertRow(t *table, row []any, ignoreConflict bool) (bool, error) {
 	st := s.member.store
 	st.mu.Lock()
@@ -122,6 +125,8 @@
 	return true, nil
 }
 
+// newKey returns the key of a new row: its primary key, or a generated one if the table
+// has none. The caller holds store.mu for writing.
 func (s *session) newKey(t *table, row []any) string {
 	if t.key >= 0 {
 		return rowKey(row[t.key])
@@ -130,6 +135,7 @@
 	return fmt.Sprintf("r%020d-%d", s.member.store.nextID, s.pid)
 }
 
+// update runs an UPDATE and returns its command tag.
 func (s *session) update(stmt *pgquery.UpdateStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
@@ -153,6 +159,7 @@
 	return fmt.Sprintf("UPDATE %d", len(matches)), nil
 }
 
+// updatedRow returns a copy of a row with the assignments of an UPDATE applied.
 func updatedRow(stmt *pgquery.UpdateStmt, t *table, e *env, old []any) ([]any, error) {
 	row := append([]any(nil), old...)
 	for _, node := range stmt.TargetList {
@@ -179,6 +186,7 @@
 	s.tx.put(t.name, key, row)
 }
 
+// remove runs a DELETE and returns its command tag.
 func (s *session) remove(stmt *pgquery.DeleteStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
@@ -197,6 +205,7 @@
 	return fmt.Sprintf("DELETE %d", len(matches)), nil
 }
 
+// matchForWrite finds the rows that match a WHERE clause and locks them.
 func (s *session) matchForWrite(e *env, where *pgquery.Node) ([]match, error) {
 	matches, err := s.match(e, where)
 	if err != nil {
@@ -205,7 +214,8 @@
 	return s.lockMatches(e, where, matches)
 }
 
-// lockMatches locks rows and reads them again, as READ COMMITTED does.
+// lockMatches locks rows, reads them again and keeps those that still match, like
+// PostgreSQL does under READ COMMITTED.
 func (s *session) lockMatches(e *env, where *pgquery.Node, matches []match) ([]match, error) {
 	st := s.member.store
 	st.mu.Lock()
@@ -230,7 +240,8 @@
 	return locked, nil
 }
 
-// inferParameters gives the types of the parameters that the caller left open.
+// inferParameters returns the parameter types of a statement. It infers those that the
+// client has not declared from the expressions that use them; the default is text.
 func (s *session) inferParameters(p *plan, declared []uint32) []uint32 {
 	types := make(map[int]uint32)
 	visit := func(param *pgquery.Node, oid uint32) {
@@ -272,6 +283,8 @@
 	return mergeTypes(types, declared)
 }
 
+// mergeTypes combines inferred types (by parameter number, from 1) with declared ones,
+// which take precedence.
 func mergeTypes(types map[int]uint32, declared []uint32) []uint32 {
 	n := len(declared)
 	for number := range types {
@@ -290,6 +303,7 @@
 	return merged
 }
 
+// visitInsert visits the inserted values with the types of their columns.
 func visitInsert(stmt *pgquery.InsertStmt, t *table, visit func(*pgquery.Node, uint32)) {
 	if t == nil {
 		return
@@ -307,6 +321,7 @@
 	}
 }
 
+// visitAssignment visits an assigned value with the type of its column.
 func visitAssignment(target *pgquery.ResTarget, t *table, visit func(*pgquery.Node, uint32)) {
 	if t == nil {
 		return
@@ -317,6 +332,8 @@
 	visitTypes(target.Val, t, visit)
 }
 
+// visitTypes calls visit for operands and parameters of an expression, with the type
+// that the context suggests.
 func visitTypes(node *pgquery.Node, t *table, visit func(*pgquery.Node, uint32)) {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AExpr:
