--- a/internal/standin/soak/caller.go
+++ b/internal/standin/soak/client.go
@@ -16,40 +16,40 @@
 
 // Limits of the clients.
 const (
-	connectTime = time.Second
-	answerTime  = 5 * time.Second // several times the statement timeout of the routes, after which no instance still works on the statement
-	maxInTx     = 4               // statements per transaction
-	// cutAfter distinguishes a request that was cut off from one that was sent while
+	connectTimeout  = time.Second
+	answerTimeout   = 5 * time.Second // several times the statement timeout of the routes, after which no instance still works on the statement
+	maxTxStatements = 4               // statements per transaction
+	// minCutOffTime distinguishes a request that was cut off from one that was sent while
 	// the instance was closing the session in an orderly way: only a request that ran
 	// this long without an answer counts as cut.
-	cutAfter = 200 * time.Millisecond
+	minCutOffTime = 200 * time.Millisecond
 )
 
 // client simulates a client of the fleet. It keeps one session open for as long as
 // possible and checks every answer.
-type caller struct {
-	run   *run
-	name  string
-	rnd   *rand.Rand
-	fixed *instance // the instance to connect to; nil: a random one
-	next  int
+type client struct {
+	run    *run
+	name   string
+	rnd    *rand.Rand
+	target *instance // the instance to connect to; nil: a random one
+	lastID int       // number in the last statement ID
 
-	conn  net.Conn
-	r     *bufio.Reader
-	group *databaseGroup
-	kind  string // consistency of the route: strict, bounded or own
-	floor group.Position
+	conn   net.Conn
+	reader *bufio.Reader
+	group  *databaseGroup
+	kind   string         // consistency of the route: strict, bounded or own
+	floor  group.Position // of the session's last acknowledged write
 }
 
-func newCaller(r *run, n int) *caller {
-	return &caller{run: r, name: fmt.Sprintf("c%d.%d", n, time.Now().UnixNano()), rnd: r.random(1000 + uint64(n))}
+func newClient(r *run, n int) *client {
+	return &client{run: r, name: fmt.Sprintf("c%d.%d", n, time.Now().UnixNano()), rnd: r.random(1000 + uint64(n))}
 }
 
-// work runs random operations until the context is cancelled.
-func (c *caller) work(ctx context.Context) {
-	defer c.hangUp()
+// runOperations runs random operations until the context is cancelled.
+func (c *client) runOperations(ctx context.Context) {
+	defer c.disconnect()
 	for ctx.Err() == nil {
-		time.Sleep(callerPause)
+		time.Sleep(clientPause)
 		if c.conn == nil {
 			c.connect()
 			continue
@@ -63,7 +63,7 @@
 			c.transaction()
 		default:
 			if c.rnd.IntN(5) == 0 {
-				c.hangUp()
+				c.disconnect()
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 
 // connect opens a session with a random group, consistency and instance. Half of the
 // sessions set the value "owner", which the members check.
-func (c *caller) connect() {
+func (c *client) connect() {
 	c.group = c.run.groups[c.rnd.IntN(len(c.run.groups))]
 	c.kind = []string{"strict", "bounded", "own"}[c.rnd.IntN(3)]
 	c.dial(c.run.instances[c.rnd.IntN(len(c.run.instances))])
@@ -81,33 +81,33 @@
 }
 
 // dial opens a session at an instance. On failure it leaves the client unconnected.
-func (c *caller) dial(i *instance) {
-	conn, err := net.DialTimeout("tcp", i.callers, connectTime)
+func (c *client) dial(i *instance) {
+	conn, err := net.DialTimeout("tcp", i.clientAddr, connectTimeout)
 	if err != nil {
 		return // the instance is down
 	}
-	c.conn, c.r, c.floor = conn, bufio.NewReader(conn), group.Position{}
+	c.conn, c.reader, c.floor = conn, bufio.NewReader(conn), group.Position{}
 	if _, err := fmt.Fprintf(conn, "STARTUP %s-%s\r\n", c.kind, c.group.name); err != nil {
-		c.hangUp()
+		c.disconnect()
 		return
 	}
 	if a := c.read(); a.lost {
-		c.hangUp()
+		c.disconnect()
 	}
 }
 
-func (c *caller) hangUp() {
+func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // no request is in flight
+		_ = c.conn.Close() // no request is in flight that an error could affect
 		c.conn = nil
 	}
 }
 
 // id returns a new statement ID. It begins with the client's name, so that members
 // can tell whose statement it is.
-func (c *caller) id() string {
-	c.next++
-	return c.name + "-" + strconv.Itoa(c.next)
+func (c *client) id() string {
+	c.lastID++
+	return c.name + "-" + strconv.Itoa(c.lastID)
 }
 
 // answer is the parsed answer to one request.
@@ -121,24 +121,24 @@
 
 func (a answer) ok() bool { return !a.lost && a.code == "" }
 
-// notRun has the error codes that promise that the statement or transaction had no
+// noEffectCodes has the error codes that promise that the statement or transaction had no
 // effect.
-var notRun = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "MISROUTED": true, "TOOMANY": true}
+var noEffectCodes = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "MISROUTED": true, "TOOMANY": true}
 
 // query sends one statement and reads its answer. It checks the receipt, and with
 // planned work only, that the request was not cut off.
-func (c *caller) query(id, text string) answer {
+func (c *client) query(id, text string) answer {
 	sent := time.Now()
 	if _, err := fmt.Fprintf(c.conn, "QUERY %s %s\r\n", id, text); err != nil {
-		c.hangUp()
+		c.disconnect()
 		return answer{lost: true}
 	}
 	a := c.read()
 	if a.lost {
-		if time.Since(sent) >= cutAfter && c.run.opts.Planned {
+		if time.Since(sent) >= minCutOffTime && c.run.opts.Planned {
 			c.run.finding("planned work: %s %q was cut after %s", id, text, time.Since(sent).Round(time.Millisecond))
 		}
-		c.hangUp()
+		c.disconnect()
 		return a
 	}
 	if text != "ROLLBACK" && a.ok() && !strings.HasPrefix(text, "SET") && !strings.HasSuffix(a.receipt, "."+id) {
@@ -148,13 +148,13 @@
 }
 
 // read reads one answer, up to its READY line.
-func (c *caller) read() answer {
+func (c *client) read() answer {
 	var a answer
-	if err := c.conn.SetReadDeadline(time.Now().Add(answerTime)); err != nil {
+	if err := c.conn.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return answer{lost: true}
 	}
 	for {
-		line, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
@@ -178,25 +178,25 @@
 }
 
 // write tries one write to a group, for callers that repeat it until it succeeds.
-func (c *caller) write(_ context.Context, g *databaseGroup) bool {
+func (c *client) write(_ context.Context, g *databaseGroup) bool {
 	c.group, c.kind = g, "strict"
 	if c.conn == nil {
-		c.dial(c.fixed)
+		c.dial(c.target)
 	}
 	return c.conn != nil && c.writeOnce()
 }
 
 // writeOnce runs a single write outside of a transaction.
-func (c *caller) writeOnce() bool {
+func (c *client) writeOnce() bool {
 	id := c.id()
 	a := c.query(id, "WRITE thing "+id)
-	c.settle(a, id)
+	c.recordOutcome(a, id)
 	return a.ok()
 }
 
-// settle records the outcome of writes that were acknowledged or rejected together,
+// recordOutcome records the outcome of writes that were acknowledged or rejected together,
 // and checks that acknowledged ones are committed by a current primary.
-func (c *caller) settle(a answer, ids ...string) {
+func (c *client) recordOutcome(a answer, ids ...string) {
 	switch {
 	case a.ok():
 		c.run.count("acknowledged")
@@ -210,40 +210,40 @@
 				c.run.finding("write %s was acknowledged, and a replaced primary committed it", id)
 			}
 			c.floor = group.Max(c.floor, committed.Position)
-			c.group.ledger.acknowledge(id, committed.Position)
+			c.group.outcomes.acknowledge(id, committed.Position)
 		}
-	case notRun[a.code]:
+	case noEffectCodes[a.code]:
 		c.run.count("refused")
-		c.group.ledger.refuse(ids...)
+		c.group.outcomes.reject(ids...)
 	default:
 		c.run.count("in doubt or lost")
 	}
 }
 
 // readOnce runs a single read outside of a transaction and checks its staleness.
-func (c *caller) readOnce() {
-	required := c.required()
+func (c *client) readOnce() {
+	required := c.requiredPosition()
 	a := c.query(c.id(), "READ thing")
 	c.checkRead(a, required)
 }
 
-// required returns the log position that a read that starts now must at least see:
+// requiredPosition returns the log position that a read that starts now must at least see:
 // with strict consistency all acknowledged writes, otherwise those acknowledged before
 // the staleness bound, and with own also the session's own writes.
-func (c *caller) required() group.Position {
+func (c *client) requiredPosition() group.Position {
 	switch c.kind {
 	case "strict":
-		return c.group.ledger.acknowledgedBy(time.Now())
+		return c.group.outcomes.acknowledgedBy(time.Now())
 	case "own":
-		return group.Max(c.floor, c.group.ledger.acknowledgedBy(time.Now().Add(-staleness)))
+		return group.Max(c.floor, c.group.outcomes.acknowledgedBy(time.Now().Add(-maxStaleness)))
 	}
-	return c.group.ledger.acknowledgedBy(time.Now().Add(-staleness))
+	return c.group.outcomes.acknowledgedBy(time.Now().Add(-maxStaleness))
 }
 
 // checkRead compares the log position that a read ran at with the required one. A log
 // of a later term passes whatever its length, since the promotion that began the term
 // decided which writes it has.
-func (c *caller) checkRead(a answer, required group.Position) {
+func (c *client) checkRead(a answer, required group.Position) {
 	if !a.ok() {
 		c.run.count("reads not served")
 		return
@@ -263,13 +263,13 @@
 
 // transaction runs a transaction of random reads and writes and commits it, or rolls
 // it back in one of five cases.
-func (c *caller) transaction() {
-	required := c.required()
+func (c *client) transaction() {
+	required := c.requiredPosition()
 	if a := c.query(c.id(), "BEGIN"); !a.ok() {
 		return
 	}
 	var ids []string
-	for range 1 + c.rnd.IntN(maxInTx) {
+	for range 1 + c.rnd.IntN(maxTxStatements) {
 		id := c.id()
 		text := "WRITE thing " + id
 		reads := c.rnd.IntN(2) == 0
@@ -285,7 +285,7 @@
 		case reads && a.ok():
 			c.checkRead(a, required)
 		case !a.ok():
-			c.settle(a, ids...)
+			c.recordOutcome(a, ids...)
 			if a.state != "I" {
 				c.query(c.id(), "ROLLBACK")
 			}
@@ -294,9 +294,9 @@
 	}
 	if c.rnd.IntN(5) == 0 {
 		if a := c.query(c.id(), "ROLLBACK"); a.ok() {
-			c.group.ledger.refuse(ids...)
+			c.group.outcomes.reject(ids...)
 		}
 		return
 	}
-	c.settle(c.query(c.id(), "COMMIT"), ids...)
+	c.recordOutcome(c.query(c.id(), "COMMIT"), ids...)
 }
--- a/internal/standin/soak/ledger.go
+++ b/internal/standin/soak/outcomes.go
@@ -10,54 +10,54 @@
 
 // outcomes records which writes of a group were acknowledged to clients and which were
 // rejected. It is safe for concurrent use.
-type ledger struct {
+type outcomes struct {
 	mu           sync.Mutex // guards all below
 	acknowledged map[string]bool
-	refused      map[string]bool // rejected with a code that promises that the write had no effect
-	ends         []end           // in order of time, with ascending positions
+	rejected     map[string]bool // rejected with a code that promises that the write had no effect
+	watermarks   []watermark     // in order of time, with ascending positions
 }
 
-// end is the highest log position of all writes acknowledged up to a time.
-type end struct {
+// watermark is the highest log position of all writes acknowledged up to a time.
+type watermark struct {
 	at       time.Time
 	position group.Position
 }
 
 // acknowledge records that a write at a log position was acknowledged now.
-func (l *ledger) acknowledge(id string, p group.Position) {
+func (l *outcomes) acknowledge(id string, p group.Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.acknowledged == nil {
 		l.acknowledged = make(map[string]bool)
 	}
 	l.acknowledged[id] = true
-	if n := len(l.ends); n == 0 || l.ends[n-1].position.Less(p) {
-		l.ends = append(l.ends, end{at: time.Now(), position: p})
+	if n := len(l.watermarks); n == 0 || l.watermarks[n-1].position.Less(p) {
+		l.watermarks = append(l.watermarks, watermark{at: time.Now(), position: p})
 	}
 }
 
-// refuse records that writes were rejected without effect.
-func (l *ledger) refuse(ids ...string) {
+// reject records that writes were rejected without effect.
+func (l *outcomes) reject(ids ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.refused == nil {
-		l.refused = make(map[string]bool)
+	if l.rejected == nil {
+		l.rejected = make(map[string]bool)
 	}
 	for _, id := range ids {
-		l.refused[id] = true
+		l.rejected[id] = true
 	}
 }
 
 // acknowledgedBy returns the highest log position of the writes acknowledged up to a
 // time, or the zero position.
-func (l *ledger) acknowledgedBy(at time.Time) group.Position {
+func (l *outcomes) acknowledgedBy(at time.Time) group.Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := sort.Search(len(l.ends), func(n int) bool { return l.ends[n].at.After(at) })
+	n := sort.Search(len(l.watermarks), func(n int) bool { return l.watermarks[n].at.After(at) })
 	if n == 0 {
 		return group.Position{}
 	}
-	return l.ends[n-1].position
+	return l.watermarks[n-1].position
 }
 
 // checkCommits compares the outcomes reported to clients with the commits at the
@@ -69,14 +69,14 @@
 	for _, w := range g.members.Log() {
 		kept[w.ID] = true
 	}
-	g.ledger.mu.Lock()
-	defer g.ledger.mu.Unlock()
-	for id := range g.ledger.acknowledged {
+	g.outcomes.mu.Lock()
+	defer g.outcomes.mu.Unlock()
+	for id := range g.outcomes.acknowledged {
 		if !kept[id] && !commits[id].Cut {
 			r.finding("group %s: write %s was acknowledged and is gone, though no promotion has dropped it", g.name, id)
 		}
 	}
-	for id := range g.ledger.refused {
+	for id := range g.outcomes.rejected {
 		if _, committed := commits[id]; committed {
 			r.finding("group %s: write %s was committed, though its caller was told that nothing is kept", g.name, id)
 		}
--- a/internal/standin/soak/process.go
+++ b/internal/standin/soak/process.go
@@ -19,23 +19,23 @@
 
 // shutdownGrace is the time between the platform's SIGTERM and its SIGKILL. It is
 // written into the settings of each instance.
-const grace = 3 * time.Second
+const shutdownGrace = 3 * time.Second
 
 // stopTimeout is how long a process may take to exit after SIGTERM before the soak
 // reports a finding. It is several times the grace period because the machine may be
 // busy.
-const stopBound = 5 * grace
+const stopTimeout = 5 * shutdownGrace
 
 // instance is one stackspindle process and the fault proxies around it.
 type instance struct {
-	name     string
-	run      *run
-	settings string
-	callers  string            // address that clients connect to
-	store    *faultproxy.Proxy // between this instance and the store
-	peers    *faultproxy.Proxy // between the other instances and this one
+	name       string
+	run        *run
+	settings   string
+	clientAddr string            // address that clients connect to
+	storeProxy *faultproxy.Proxy // between this instance and the store
+	peerProxy  *faultproxy.Proxy // between the other instances and this one
 
-	busy sync.Mutex // held while a fault affects the process
+	faultMu sync.Mutex // held while a fault affects the process
 
 	mu   sync.Mutex // guards cmd, done
 	cmd  *exec.Cmd
@@ -45,19 +45,19 @@
 // The processes listen on ports below the system's ephemeral range (from 32768).
 // Otherwise an outgoing connection could take a port while its process is down.
 const (
-	firstPort = 15000
-	ports     = 17000
-	portTries = 1000
+	firstPort    = 15000
+	portCount    = 17000
+	maxPortTries = 1000
 )
 
 // usedAddrs has the addresses that freeAddr has returned to runs in this process.
-var handedOut sync.Map
+var usedAddrs sync.Map
 
-// freeAddr returns an unused loopback address.
+// freeAddr returns an unused loopback address that no other run in this process uses.
 func freeAddr() (string, error) {
-	for range portTries {
-		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(firstPort+rand.N(ports)))
-		if _, used := handedOut.LoadOrStore(addr, true); used {
+	for range maxPortTries {
+		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(firstPort+rand.N(portCount)))
+		if _, used := usedAddrs.LoadOrStore(addr, true); used {
 			continue
 		}
 		if l, err := net.Listen("tcp", addr); err == nil {
@@ -78,20 +78,20 @@
 			return nil, err
 		}
 	}
-	i.callers = addrs[0]
-	if i.store, err = faultproxy.New(r.platform.Addr()); err != nil {
+	i.clientAddr = addrs[0]
+	if i.storeProxy, err = faultproxy.New(r.platform.Addr()); err != nil {
 		return nil, err
 	}
-	if i.peers, err = faultproxy.New(addrs[1]); err != nil {
+	if i.peerProxy, err = faultproxy.New(addrs[1]); err != nil {
 		return nil, err
 	}
 	dataCentre := []string{"east", "west"}[n%2]
 	settings := strings.Join([]string{
 		"[instance]", "name = " + i.name, "data_centre = " + dataCentre,
-		"[caller]", "listen = " + i.callers,
-		"[peer]", "listen = " + addrs[1], "address = " + i.peers.Addr(),
-		"[fleet]", "store = " + i.store.Addr(), "promoter = " + i.store.Addr(), "ready = " + addrs[2], "metrics = " + addrs[3],
-		"grace = " + grace.String(), "store_silence = 3s", "",
+		"[caller]", "listen = " + i.clientAddr,
+		"[peer]", "listen = " + addrs[1], "address = " + i.peerProxy.Addr(),
+		"[fleet]", "store = " + i.storeProxy.Addr(), "promoter = " + i.storeProxy.Addr(), "ready = " + addrs[2], "metrics = " + addrs[3],
+		"grace = " + shutdownGrace.String(), "store_silence = 3s", "",
 	}, "\n")
 	i.settings = filepath.Join(r.opts.Dir, i.name+".ini")
 	return i, os.WriteFile(i.settings, []byte(settings), 0o600)
@@ -155,8 +155,8 @@
 	_ = p.Signal(syscall.SIGTERM) // fails if the process has exited
 	select {
 	case <-done:
-	case <-time.After(stopBound):
-		i.run.finding("%s did not end within %s of being asked to", i.name, stopBound)
+	case <-time.After(stopTimeout):
+		i.run.finding("%s did not end within %s of being asked to", i.name, stopTimeout)
 		i.kill()
 	}
 }
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -39,15 +39,15 @@
 
 // Properties of the database groups, their routes and the clients.
 const (
-	membersPerGroup = 3
-	memberWork      = 5 * time.Millisecond  // duration of a statement at a member
-	memberLag       = 40 * time.Millisecond // replica lag
-	plenty          = 40                    // connection limit of a member: enough for every instance to have some
-	scarce          = 10                    // connection limit of a member: only two instances have connections and serve the others
-	staleness       = 2 * time.Second       // staleness bound of the routes that are not strict
-	statementTime   = time.Second           // statement timeout and target latency of the routes
-	recovery        = 40 * time.Second      // how long after the faults all instances must serve again; grants last 15 to 31 s
-	callerPause     = 10 * time.Millisecond
+	membersPerGroup   = 3
+	statementDuration = 5 * time.Millisecond  // duration of a statement at a member
+	replicaLag        = 40 * time.Millisecond // replica lag
+	ampleConns        = 40                    // connection limit of a member: enough for every instance to have some
+	scarceConns       = 10                    // connection limit of a member: only two instances have connections and serve the others
+	maxStaleness      = 2 * time.Second       // staleness bound of the routes that are not strict
+	statementTimeout  = time.Second           // statement timeout and target latency of the routes
+	recoveryTimeout   = 40 * time.Second      // how long after the faults all instances must serve again; grants last 15 to 31 s
+	clientPause       = 10 * time.Millisecond
 )
 
 // Report is the result of a run.
@@ -76,12 +76,12 @@
 // databaseGroup is a database group whose members are served over TCP, each behind a
 // fault proxy.
 type databaseGroup struct {
-	name    string
-	limit   int // connection limit of each member
-	members *membergroup.Group
-	ids     []string
-	proxies map[string]*faultproxy.Proxy // by member ID
-	ledger  *ledger
+	name      string
+	connLimit int // connection limit of each member
+	members   *membergroup.Group
+	ids       []string
+	proxies   map[string]*faultproxy.Proxy // by member ID
+	outcomes  *outcomes
 }
 
 // Run starts the stand-ins and instances, runs clients while it injects faults, and
@@ -91,43 +91,43 @@
 func Run(ctx context.Context, opts Options) (Report, error) {
 	r := &run{opts: opts, started: time.Now(), store: memstore.New(), report: Report{Seed: opts.Seed, Counts: make(map[string]int)}}
 	defer r.close()
-	if err := r.prepare(); err != nil {
+	if err := r.setUp(); err != nil {
 		return r.report, err
 	}
 	if !r.awaitService(ctx) {
-		r.finding("the instances did not serve %s after their start", recovery)
+		r.finding("the instances did not serve %s after their start", recoveryTimeout)
 		return r.report, ctx.Err()
 	}
-	callersCtx, stopCallers := context.WithCancel(ctx)
-	defer stopCallers()
-	var callers sync.WaitGroup
+	clientsCtx, stopClients := context.WithCancel(ctx)
+	defer stopClients()
+	var clients sync.WaitGroup
 	for n := range opts.Callers {
-		callers.Add(1)
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
-			newCaller(r, n).work(callersCtx)
+			defer clients.Done()
+			newClient(r, n).runOperations(clientsCtx)
 		}()
 	}
 	r.inject(ctx)
 	if !r.awaitService(ctx) {
-		r.finding("not every instance serves every group %s after the last fault ended", recovery)
+		r.finding("not every instance serves every group %s after the last fault ended", recoveryTimeout)
 	}
-	stopCallers()
-	callers.Wait()
+	stopClients()
+	clients.Wait()
 	for _, g := range r.groups {
 		r.checkCommits(g)
 	}
 	return r.report, ctx.Err()
 }
 
-// prepare starts the stand-ins, writes the configuration and starts the instances.
-func (r *run) prepare() error {
+// setUp starts the stand-ins, writes the configuration and starts the instances.
+func (r *run) setUp() error {
 	var err error
 	if r.platform, err = platformstore.New(r.store, r.promote); err != nil {
 		return err
 	}
-	for _, g := range []*databaseGroup{{name: "plenty", limit: plenty}, {name: "scarce", limit: scarce}} {
-		if err := r.prepareGroup(g); err != nil {
+	for _, g := range []*databaseGroup{{name: "plenty", connLimit: ampleConns}, {name: "scarce", connLimit: scarceConns}} {
+		if err := r.setUpGroup(g); err != nil {
 			return err
 		}
 		r.groups = append(r.groups, g)
@@ -146,16 +146,16 @@
 	return nil
 }
 
-// prepareGroup starts the members of a group and writes their entries to the store.
-func (r *run) prepareGroup(g *databaseGroup) error {
-	g.proxies, g.ledger = make(map[string]*faultproxy.Proxy), &ledger{}
+// setUpGroup starts the members of a group and writes their entries to the store.
+func (r *run) setUpGroup(g *databaseGroup) error {
+	g.proxies, g.outcomes = make(map[string]*faultproxy.Proxy), &outcomes{}
 	for n := range membersPerGroup {
 		g.ids = append(g.ids, fmt.Sprintf("%s-%d", g.name, n))
 	}
 	g.members = membergroup.New(g.name, g.ids...)
-	g.members.SetLag(memberLag)
+	g.members.SetLag(replicaLag)
 	for _, id := range g.ids {
-		server, err := memberserver.New(id, g.members, memberWork, r.finding)
+		server, err := memberserver.New(id, g.members, statementDuration, r.finding)
 		if err != nil {
 			return err
 		}
@@ -204,11 +204,11 @@
 		for prefix, kind := range kinds {
 			routes = append(routes, map[string]any{
 				"name": prefix + g.name, "host": prefix + "-" + g.name, "kind": kind, "service": g.name, "priority": 1,
-				"timeout-ms": statementTime.Milliseconds(), "target-latency-ms": statementTime.Milliseconds(),
-				"max-staleness-ms": staleness.Milliseconds(),
+				"timeout-ms": statementTimeout.Milliseconds(), "target-latency-ms": statementTimeout.Milliseconds(),
+				"max-staleness-ms": maxStaleness.Milliseconds(),
 			})
 		}
-		services = append(services, map[string]any{"name": g.name, "max-conns": g.limit, "sync-replicas": 0})
+		services = append(services, map[string]any{"name": g.name, "max-conns": g.connLimit, "sync-replicas": 0})
 	}
 	r.put("op/config", map[string]any{"version": version, "routes": routes, "services": services, "limits": map[string]any{"tx-idle-ms": 5000}})
 }
@@ -229,27 +229,27 @@
 	r.report.Findings = append(r.report.Findings, fmt.Sprintf("%s: ", at)+fmt.Sprintf(format, args...))
 }
 
-func (r *run) count(what string) {
+func (r *run) count(outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Counts[what]++
+	r.report.Counts[outcome]++
 }
 
 // awaitService waits until one write to every group has succeeded through every
 // instance. It returns false after the recovery time or when the context is cancelled.
 func (r *run) awaitService(ctx context.Context) bool {
-	until := time.Now().Add(recovery)
+	until := time.Now().Add(recoveryTimeout)
 	for n, i := range r.instances {
 		for _, g := range r.groups {
-			probe := newCaller(r, -1-n)
-			probe.fixed = i
+			probe := newClient(r, -1-n)
+			probe.target = i
 			for !probe.write(ctx, g) {
 				if time.Now().After(until) || ctx.Err() != nil {
 					return false
 				}
-				time.Sleep(callerPause)
+				time.Sleep(clientPause)
 			}
-			probe.hangUp()
+			probe.disconnect()
 		}
 	}
 	return true
@@ -258,8 +258,8 @@
 func (r *run) close() {
 	for _, i := range r.instances {
 		i.kill()
-		i.store.Close()
-		i.peers.Close()
+		i.storeProxy.Close()
+		i.peerProxy.Close()
 	}
 	for _, g := range r.groups {
 		for _, p := range g.proxies {
--- a/internal/standin/soak/soak_test.go
+++ b/internal/standin/soak/soak_test.go
@@ -26,7 +26,7 @@
 const faultsInTests = 6 * time.Second
 
 // Runs the real program with each seed that has failed before.
-func TestSeedsThatFailedOnce(t *testing.T) {
+func TestFailedSeeds(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "stackspindle")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/stackspindle/stackspindle/cmd/stackspindle").CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(out)))
@@ -46,27 +46,27 @@
 func position(term, index uint64) group.Position { return group.Position{Term: term, Index: index} }
 
 // newTestClient returns an unconnected client; tests pass answers to its checks.
-func newTestCaller(kind string) *caller {
+func newTestClient(kind string) *client {
 	r := &run{started: time.Now(), report: Report{Counts: make(map[string]int)}}
-	return &caller{run: r, kind: kind, group: &databaseGroup{ledger: &ledger{}}}
+	return &client{run: r, kind: kind, group: &databaseGroup{outcomes: &outcomes{}}}
 }
 
 // A read is a finding if its log is too short or of an earlier term. A log of a later
 // term passes, since the promotion that began the term decided which writes it has.
-func TestReadsThatAreTooOldAreFound(t *testing.T) {
+func TestCheckReadReportsStaleReads(t *testing.T) {
 	for row, found := range map[string]bool{"2.9": false, "2.10": false, "2.8": true, "1.99": true, "3.1": false, "x": true} {
-		c := newTestCaller("strict")
+		c := newTestClient("strict")
 		c.checkRead(answer{row: row, receipt: "r"}, position(2, 9))
 		must.Eq(t, found, len(c.run.report.Findings) == 1, must.Sprint(row))
 	}
 }
 
-func TestWhatAReadMustSee(t *testing.T) {
+func TestRequiredPosition(t *testing.T) {
 	long := time.Now().Add(-time.Hour)
 	for kind, want := range map[string]group.Position{"strict": position(1, 9), "bounded": position(1, 3), "own": position(1, 5)} {
-		c := newTestCaller(kind)
+		c := newTestClient(kind)
 		c.floor = position(1, 5)
-		c.group.ledger.ends = []end{{at: long, position: position(1, 3)}, {at: time.Now(), position: position(1, 9)}}
-		must.Eq(t, want, c.required(), must.Sprint(kind))
+		c.group.outcomes.watermarks = []watermark{{at: long, position: position(1, 3)}, {at: time.Now(), position: position(1, 9)}}
+		must.Eq(t, want, c.requiredPosition(), must.Sprint(kind))
 	}
 }
