--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -39,7 +39,7 @@
 	Text     string
 }
 
-// Run is a statement that ran at a member, with the client account of its connection.
+// Run is a statement that reached a member, and the client account of its connection.
 type Run struct {
 	ID      string // of the statement
 	Member  string
@@ -47,16 +47,16 @@
 }
 
 // maxRuns bounds the runs that a group records.
-const keptRuns = 1 << 16
+const maxRuns = 1 << 16
 
 // recordRun records a run, up to maxRuns of them. The caller holds mu.
-func (g *Group) noteRun(r Run) {
-	if len(g.runs) < keptRuns {
+func (g *Group) recordRun(r Run) {
+	if len(g.runs) < maxRuns {
 		g.runs = append(g.runs, r)
 	}
 }
 
-// Runs returns the first 65,536 statements that ran at the members, in order.
+// Runs returns the first 65,536 statements that reached the members, in order.
 func (g *Group) Runs() []Run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,24 +65,24 @@
 
 // memberState is the state of one member. It is guarded by the group's mu.
 type memberState struct {
-	id      string
-	primary bool
-	term    uint64
-	log     []Write        // received writes
-	applied group.Position // log position that reads at a replica see; a primary's reads see its whole log
-	reach   Reach
-	lagging bool // replication to it is stopped
-	lose    int  // number of next statements that run but are not answered
-	fail    int  // number of next statements that fail
-	ran     []string
-	conns   map[*conn]struct{}
-	held    *held // blocks its statements; nil: they run
+	id             string
+	primary        bool
+	term           uint64
+	log            []Write        // received writes
+	applied        group.Position // log position that reads at a replica see; a primary's reads see its whole log
+	reachability   Reach
+	lagging        bool // replication to it is stopped
+	loseAnswers    int  // number of next statements that run but are not answered
+	failStatements int  // number of next statements that fail
+	ran            []string
+	conns          map[*conn]struct{}
+	block          *block // blocks its statements; nil: they run
 }
 
 // block makes the statements of a member wait before they run.
-type held struct {
-	reached chan struct{} // receives an item for each statement that waits
-	ended   chan struct{} // closed when the statements may run
+type block struct {
+	reached  chan struct{} // receives an item for each statement that waits
+	released chan struct{} // closed when the statements may run
 }
 
 // Group is one group. It is safe for concurrent use.
@@ -99,7 +99,7 @@
 	runs       []Run             // at most maxRuns
 }
 
-// Commit is the fate of a committed write.
+// Commit describes a committed write and what happened to it since.
 type Commit struct {
 	Write
 	Times int  // how often it was committed
@@ -137,8 +137,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	before := m.reach
-	m.reach = r
+	before := m.reachability
+	m.reachability = r
 	switch {
 	case r == Dead:
 		for c := range m.conns {
@@ -146,12 +146,12 @@
 		}
 		clear(m.conns)
 	case r == Open && before == Dead:
-		g.yield(m) // a restarted member learns who is primary before it serves
+		g.stepDownIfReplaced(m) // a restarted member learns who is primary before it serves
 	case r == Open && before == Silent:
-		time.AfterFunc(yieldAfter, func() {
+		time.AfterFunc(stepDownDelay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			g.yield(m)
+			g.stepDownIfReplaced(m)
 		})
 	}
 }
@@ -159,15 +159,15 @@
 // BlockStatements makes the statements that reach a member from now on wait until
 // release is called. reached receives an item for each waiting statement.
 func (g *Group) Hold(id string) (reached <-chan struct{}, release func()) {
-	h := &held{reached: make(chan struct{}, keptRuns), ended: make(chan struct{})}
+	h := &block{reached: make(chan struct{}, maxRuns), released: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].held = h
+	g.members[id].block = h
 	return h.reached, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.members[id].held = nil
-		close(h.ended)
+		g.members[id].block = nil
+		close(h.released)
 	}
 }
 
@@ -177,18 +177,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.members[id].conns {
-		c.silent = true
+		c.frozen = true
 	}
 }
 
 // stepDownDelay is how long a replaced primary keeps acting as primary after it can
 // reach the new one again.
-const yieldAfter = time.Second
+const stepDownDelay = time.Second
 
 // stepDownIfReplaced makes a primary a replica if another member has been promoted.
 // The caller holds mu.
-func (g *Group) yield(m *memberState) {
-	if m.reach == Open && m.primary && g.leader() != m {
+func (g *Group) stepDownIfReplaced(m *memberState) {
+	if m.reachability == Open && m.primary && g.currentPrimary() != m {
 		m.primary = false
 	}
 	g.replicate()
@@ -228,28 +228,28 @@
 func (g *Group) LoseAnswers(id string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].lose = n
+	g.members[id].loseAnswers = n
 }
 
 // FailStatements makes the next n statements at a member fail without effect.
 func (g *Group) FailStatements(id string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].fail = n
+	g.members[id].failStatements = n
 }
 
 // Primary returns the primary with the highest term.
 func (g *Group) Primary() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leader().id
+	return g.currentPrimary().id
 }
 
 // Log returns the log of the primary.
 func (g *Group) Log() []Write {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Write(nil), g.leader().log...)
+	return append([]Write(nil), g.currentPrimary().log...)
 }
 
 // Ran returns the texts of the statements that a member ran, each followed by the
@@ -267,32 +267,32 @@
 	return append([]Promotion(nil), g.promotions...)
 }
 
-// leader returns the primary with the highest term, or the first member if there is
+// currentPrimary returns the primary with the highest term, or the first member if there is
 // no primary. The caller holds mu.
-func (g *Group) leader() *memberState {
-	var leader *memberState
+func (g *Group) currentPrimary() *memberState {
+	var primary *memberState
 	for _, id := range g.order {
-		if m := g.members[id]; m.primary && (leader == nil || leader.term < m.term) {
-			leader = m
+		if m := g.members[id]; m.primary && (primary == nil || primary.term < m.term) {
+			primary = m
 		}
 	}
-	if leader == nil {
+	if primary == nil {
 		return g.members[g.order[0]]
 	}
-	return leader
+	return primary
 }
 
 // replicate copies the primary's log to the reachable replicas, unless the primary
 // itself cannot be reached. The caller holds mu.
 func (g *Group) replicate() {
-	leader := g.leader()
-	if leader.reach != Open || !leader.primary {
+	primary := g.currentPrimary()
+	if primary.reachability != Open || !primary.primary {
 		return
 	}
 	for _, m := range g.members {
-		if !m.primary && !m.lagging && m.reach == Open {
-			m.log = append([]Write(nil), leader.log...)
-			m.term = leader.term
+		if !m.primary && !m.lagging && m.reachability == Open {
+			m.log = append([]Write(nil), primary.log...)
+			m.term = primary.term
 			g.apply(m)
 		}
 	}
@@ -322,19 +322,19 @@
 	defer g.mu.Unlock()
 	g.promotions = append(g.promotions, Promotion{Member: id, Instance: instance, FencingToken: token})
 	m := g.members[id]
-	if m == nil || m.reach == Dead {
+	if m == nil || m.reachability == Dead {
 		return fmt.Errorf("member %s is not running", id)
 	}
 	if m.primary {
 		return nil
 	}
-	g.cutAllBut(m.log)
+	g.dropAllBut(m.log)
 	m.primary, m.term = true, g.nextTerm
 	g.nextTerm++
 	for _, other := range g.members {
 		// A reachable old primary steps down; an unreachable one keeps its role until
 		// it is reachable again.
-		if other != m && other.primary && other.reach == Open {
+		if other != m && other.primary && other.reachability == Open {
 			other.primary = false
 		}
 	}
@@ -344,7 +344,7 @@
 
 // dropAllBut marks the commits that are missing from the log of a promoted member as
 // dropped. The caller holds mu.
-func (g *Group) cutAllBut(log []Write) {
+func (g *Group) dropAllBut(log []Write) {
 	kept := make(map[string]bool, len(log))
 	for _, w := range log {
 		kept[w.ID] = true
@@ -361,53 +361,53 @@
 func (g *Group) Dial(ctx context.Context, m topology.Member, account string) (member.Conn, error) {
 	g.mu.Lock()
 	state := g.members[m.ID]
-	if state == nil || state.reach == Dead {
+	if state == nil || state.reachability == Dead {
 		g.mu.Unlock()
 		return nil, fmt.Errorf("dial %s: %w", m.ID, syscall.ECONNREFUSED)
 	}
-	if state.reach == Silent {
+	if state.reachability == Silent {
 		g.mu.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	defer g.mu.Unlock()
-	c := &conn{group: g, member: state, account: account, state: statement.Idle, values: make(map[string]string), names: make(map[string]member.Prepared)}
+	c := &conn{group: g, member: state, account: account, state: statement.Idle, values: make(map[string]string), prepared: make(map[string]member.Prepared)}
 	state.conns[c] = struct{}{}
 	return c, nil
 }
 
 // conn implements member.Conn. Its fields are guarded by the group's mu.
 type conn struct {
-	group   *Group
-	member  *memberState
-	account string // the client account that it was opened for
-	closed  bool
-	silent  bool // requests on it get no answer; new connections work
-	state   statement.State
-	writes  []Write // of the open transaction
-	reads   bool    // the transaction is read-only
-	values  map[string]string
-	names   map[string]member.Prepared
+	group    *Group
+	member   *memberState
+	account  string // the client account that it was opened for
+	closed   bool
+	frozen   bool // requests on it get no answer; new connections work
+	state    statement.State
+	writes   []Write // of the open transaction
+	readOnly bool    // the transaction is read-only
+	values   map[string]string
+	prepared map[string]member.Prepared
 }
 
 // enter locks the group for a request. If the connection is broken or gets no answers
 // it returns an error and leaves the group unlocked.
 func (c *conn) enter(deadline time.Time) error {
 	c.group.mu.Lock()
-	if c.closed || c.member.reach == Dead {
+	if c.closed || c.member.reachability == Dead {
 		c.group.mu.Unlock()
 		return fmt.Errorf("%w: closed", member.ErrBroken)
 	}
-	if c.member.reach == Silent || c.silent {
+	if c.member.reachability == Silent || c.frozen {
 		c.group.mu.Unlock()
-		return silence(deadline)
+		return timeOut(deadline)
 	}
 	return nil
 }
 
 // timeOut waits until the deadline, like a read from an unresponsive member, and
 // returns the resulting error.
-func silence(deadline time.Time) error {
+func timeOut(deadline time.Time) error {
 	time.Sleep(time.Until(deadline))
 	return fmt.Errorf("%w: %w", member.ErrBroken, context.DeadlineExceeded)
 }
@@ -417,21 +417,21 @@
 	if err := c.enter(req.Deadline); err != nil {
 		return statement.Answer{}, err
 	}
-	if h := c.member.held; h != nil {
+	if h := c.member.block; h != nil {
 		c.group.mu.Unlock()
 		h.reached <- struct{}{}
-		<-h.ended
+		<-h.released
 		c.group.mu.Lock()
 	}
 	answer := c.run(req)
-	c.group.noteRun(Run{ID: req.Statement.ID, Member: c.member.id, Account: c.account})
-	lost := c.member.lose > 0
+	c.group.recordRun(Run{ID: req.Statement.ID, Member: c.member.id, Account: c.account})
+	lost := c.member.loseAnswers > 0
 	if lost {
-		c.member.lose--
+		c.member.loseAnswers--
 	}
 	c.group.mu.Unlock()
 	if lost {
-		return statement.Answer{}, silence(req.Deadline)
+		return statement.Answer{}, timeOut(req.Deadline)
 	}
 	return answer, nil
 }
@@ -439,21 +439,21 @@
 // run executes a statement and returns its answer. The caller holds the group's mu.
 func (c *conn) run(req member.Request) statement.Answer {
 	st, m := req.Statement, c.member
-	if m.fail > 0 {
-		m.fail--
+	if m.failStatements > 0 {
+		m.failStatements--
 		return c.answer(statement.StatementFailed, m.id)
 	}
 	text := st.Text
 	writes := st.Kind == statement.Write
 	if st.Kind == statement.Execute {
-		prepared, ok := c.names[req.Name]
+		prepared, ok := c.prepared[req.Name]
 		if !ok {
 			return c.answer(statement.Unprepared, "")
 		}
 		writes = prepared.Writes
 		text = prepared.Shape + " " + st.Args
 	}
-	if c.end().Less(req.After) {
+	if c.visiblePosition().Less(req.After) {
 		return c.answer(statement.Lagging, "")
 	}
 	switch st.Kind {
@@ -461,7 +461,7 @@
 		if st.Kind == statement.Begin && !m.primary {
 			return c.answer(statement.ReadOnly, m.id)
 		}
-		c.state, c.reads, c.writes = statement.InTransaction, st.Kind == statement.BeginRead, nil
+		c.state, c.readOnly, c.writes = statement.InTransaction, st.Kind == statement.BeginRead, nil
 	case statement.Commit, statement.Rollback:
 		if st.Kind == statement.Commit && c.state == statement.InTransaction {
 			if len(c.writes) > 0 && !m.primary {
@@ -510,29 +510,29 @@
 	for _, w := range writes {
 		w.Position = group.Position{Term: c.member.term, Index: uint64(len(c.member.log) + 1)}
 		c.member.log = append(c.member.log, w)
-		stale := c.group.leader() != c.member
+		stale := c.group.currentPrimary() != c.member
 		c.group.commits[w.ID] = Commit{Write: w, Times: c.group.commits[w.ID].Times + 1, Stale: stale, Cut: stale}
 	}
 	c.group.replicate()
 }
 
-// end returns the log position that reads at the member see.
-func (c *conn) end() group.Position {
+// visiblePosition returns the log position that reads at the member see.
+func (c *conn) visiblePosition() group.Position {
 	if c.member.primary {
-		return c.received()
+		return c.receivedPosition()
 	}
 	return c.member.applied
 }
 
-// received returns the log position of the last write that the member received.
-func (c *conn) received() group.Position {
+// receivedPosition returns the log position of the last write that the member received.
+func (c *conn) receivedPosition() group.Position {
 	return group.Position{Term: c.member.term, Index: uint64(len(c.member.log))}
 }
 
 // answer returns an answer with the connection's state and position, and with an error
 // unless code is 0.
 func (c *conn) answer(code statement.Code, detail string) statement.Answer {
-	a := statement.Answer{State: c.state, Position: c.end()}
+	a := statement.Answer{State: c.state, Position: c.visiblePosition()}
 	if code != 0 {
 		a.Err = &statement.Error{Code: code, Detail: detail}
 	}
@@ -547,13 +547,13 @@
 	defer c.group.mu.Unlock()
 	if reset {
 		clear(c.values)
-		clear(c.names)
+		clear(c.prepared)
 	}
 	for _, v := range values {
 		c.values[v.Name] = v.Value
 	}
 	for _, p := range prepared {
-		c.names[p.Name] = p
+		c.prepared[p.Name] = p
 	}
 	return nil
 }
@@ -574,7 +574,7 @@
 		return member.Status{}, err
 	}
 	defer c.group.mu.Unlock()
-	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.received()}, nil
+	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.receivedPosition()}, nil
 }
 
 // StepDown implements member.Conn.
@@ -586,7 +586,7 @@
 	if c.member.primary && c.member.term < term {
 		c.member.primary = false
 	}
-	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.received()}, nil
+	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.receivedPosition()}, nil
 }
 
 // IsIdle implements member.Conn.
--- a/internal/standin/membergroup/membergroup_test.go
+++ b/internal/standin/membergroup/membergroup_test.go
@@ -14,7 +14,7 @@
 
 // Commits by a replaced primary are reported as stale, and commits that a promotion
 // loses as dropped.
-func TestStaleAndCutCommits(t *testing.T) {
+func TestStaleAndDroppedCommits(t *testing.T) {
 	g := New("g", "a", "b")
 	conn, err := g.Dial(t.Context(), topology.Member{ID: "a"}, account.Anonymous)
 	must.NoError(t, err)
