--- a/internal/standin/memberserver/memberserver.go
+++ b/internal/standin/memberserver/memberserver.go
@@ -22,25 +22,25 @@
 
 // answerTimeout limits dialling the member and each statement. An unresponsive member leaves its
 // connections without an answer for that long and then closes them.
-const answerTime = 3 * time.Second
+const answerTimeout = 3 * time.Second
 
 // Server serves one member.
 type Server struct {
-	id       string
-	dialer   member.Dialer
-	work     time.Duration
-	listener net.Listener
-	finding  func(format string, args ...any)
+	id                string
+	dialer            member.Dialer
+	statementDuration time.Duration
+	listener          net.Listener
+	finding           func(format string, args ...any)
 }
 
 // New starts a server for a member on a free loopback port. Each statement takes the
-// duration work. finding is called for each violation.
-func New(id string, dialer member.Dialer, work time.Duration, finding func(format string, args ...any)) (*Server, error) {
+// given duration. finding is called for each violation.
+func New(id string, dialer member.Dialer, statementDuration time.Duration, finding func(format string, args ...any)) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("member %s: %w", id, err)
 	}
-	s := &Server{id: id, dialer: dialer, work: work, listener: l, finding: finding}
+	s := &Server{id: id, dialer: dialer, statementDuration: statementDuration, listener: l, finding: finding}
 	go s.accept()
 	return s, nil
 }
@@ -63,11 +63,11 @@
 
 // session is one connection to the member.
 type session struct {
-	server *Server
-	conn   member.Conn
-	state  statement.State
-	owner  string            // client whose transaction is open; empty: none
-	values map[string]string // session values set by the connection's user
+	server  *Server
+	conn    member.Conn
+	state   statement.State
+	txOwner string            // client whose transaction is open; empty: none
+	values  map[string]string // session values set by the connection's user
 }
 
 // serve runs the session of one connection. It closes the connection instead of
@@ -79,7 +79,7 @@
 	if err != nil || !strings.HasPrefix(line, "STARTUP ") {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	_, account, _ := strings.Cut(strings.TrimRight(line, "\r\n"), " ") // skip STARTUP
 	_, account, _ = strings.Cut(account, " ")                          // skip the group
@@ -106,20 +106,20 @@
 		if err != nil {
 			return // the answer is lost
 		}
-		if _, err := conn.Write(spell(answer)); err != nil {
+		if _, err := conn.Write(encode(answer)); err != nil {
 			return
 		}
 	}
 }
 
-// spell encodes an answer in the line protocol.
-func spell(a statement.Answer) []byte {
+// encode encodes an answer in the line protocol.
+func encode(a statement.Answer) []byte {
 	var out strings.Builder
 	for _, row := range a.Rows {
 		fmt.Fprintf(&out, "ROW %s\r\n", row)
 	}
 	if a.Err != nil {
-		fmt.Fprintf(&out, "ERROR %s %s\r\n", words[a.Err.Code], a.Err.Detail)
+		fmt.Fprintf(&out, "ERROR %s %s\r\n", errorCodes[a.Err.Code], a.Err.Detail)
 	} else {
 		fmt.Fprintf(&out, "COMPLETE %s\r\n", a.Receipt)
 	}
@@ -127,40 +127,40 @@
 	return []byte(out.String())
 }
 
-// words has the protocol's error codes for the errors that this member returns.
-var words = map[statement.Code]string{
+// errorCodes has the protocol's error codes for the errors that this member returns.
+var errorCodes = map[statement.Code]string{
 	statement.Lagging: "LAGGING", statement.ReadOnly: "READONLY", statement.Unprepared: "NOSTMT", statement.Malformed: "MALFORMED",
 }
 
 // run handles one request: a session command, or a statement that takes the duration
-// Server.work. An error means that the answer is lost.
+// Server.statementDuration. An error means that the answer is lost.
 func (c *session) run(id, text string) (statement.Answer, error) {
-	deadline := time.Now().Add(answerTime)
+	deadline := time.Now().Add(answerTimeout)
 	word, rest, _ := strings.Cut(text, " ")
 	switch word {
 	case "STATUS":
-		return c.status(c.conn.Status(deadline))
+		return c.statusAnswer(c.conn.Status(deadline))
 	case "STEPDOWN":
 		term, err := strconv.ParseUint(rest, 10, 64)
 		if err != nil {
 			return c.malformed(text), nil
 		}
-		return c.status(c.conn.StepDown(deadline, term))
+		return c.statusAnswer(c.conn.StepDown(deadline, term))
 	case "RESET":
 		clear(c.values)
-		return c.done(c.conn.Configure(deadline, true, nil, nil))
+		return c.commandAnswer(c.conn.Configure(deadline, true, nil, nil))
 	case "SET":
 		name, value, _ := strings.Cut(rest, " ")
 		c.values[name] = value
-		return c.done(c.conn.Configure(deadline, false, []member.Value{{Name: name, Value: value}}, nil))
+		return c.commandAnswer(c.conn.Configure(deadline, false, []member.Value{{Name: name, Value: value}}, nil))
 	case "PREPARE":
 		f := strings.Fields(rest)
 		if len(f) != 3 {
 			return c.malformed(text), nil
 		}
-		return c.done(c.conn.Configure(deadline, false, nil, []member.Prepared{{Name: f[0], Writes: f[1] == "WRITE", Shape: f[2]}}))
+		return c.commandAnswer(c.conn.Configure(deadline, false, nil, []member.Prepared{{Name: f[0], Writes: f[1] == "WRITE", Shape: f[2]}}))
 	}
-	time.Sleep(c.server.work)
+	time.Sleep(c.server.statementDuration)
 	return c.statement(id, text, deadline)
 }
 
@@ -172,13 +172,13 @@
 	return statement.Answer{State: c.state, Err: errMalformed}
 }
 
-// done returns the answer to a session command.
-func (c *session) done(err error) (statement.Answer, error) {
+// commandAnswer returns the answer to a session command.
+func (c *session) commandAnswer(err error) (statement.Answer, error) {
 	return statement.Answer{State: c.state, Receipt: statement.NoReceipt}, err
 }
 
-// status returns the answer to STATUS and STEPDOWN.
-func (c *session) status(st member.Status, err error) (statement.Answer, error) {
+// statusAnswer returns the answer to STATUS and STEPDOWN.
+func (c *session) statusAnswer(st member.Status, err error) (statement.Answer, error) {
 	role := "replica"
 	if st.Primary {
 		role = "primary"
@@ -192,14 +192,14 @@
 func (c *session) statement(id, text string, deadline time.Time) (statement.Answer, error) {
 	req := member.Request{Deadline: deadline}
 	if rest, ok := strings.CutPrefix(text, "AFTER "); ok {
-		position, more, _ := strings.Cut(rest, " ")
+		position, remainder, _ := strings.Cut(rest, " ")
 		term, index, _ := strings.Cut(position, ".")
 		t, errTerm := strconv.ParseUint(term, 10, 64)
 		i, errIndex := strconv.ParseUint(index, 10, 64)
 		if errors.Join(errTerm, errIndex) != nil {
 			return c.malformed(text), nil
 		}
-		req.After, text = group.Position{Term: t, Index: i}, more
+		req.After, text = group.Position{Term: t, Index: i}, remainder
 	}
 	st, ok := parse(id, text)
 	if !ok {
@@ -216,7 +216,7 @@
 	}
 	c.state = answer.State
 	if answer.State == statement.Idle {
-		c.owner = ""
+		c.txOwner = ""
 	}
 	for n := range answer.Rows {
 		answer.Rows[n] = fmt.Sprintf("%d.%d", answer.Position.Term, answer.Position.Index)
@@ -232,11 +232,11 @@
 		return
 	}
 	owner, _, _ := strings.Cut(st.ID, "-")
-	if c.owner != "" && c.owner != owner {
-		c.server.finding("member %s: statement %s runs in the transaction of %s", c.server.id, st.ID, c.owner)
+	if c.txOwner != "" && c.txOwner != owner {
+		c.server.finding("member %s: statement %s runs in the transaction of %s", c.server.id, st.ID, c.txOwner)
 	}
 	if st.Kind == statement.Begin || st.Kind == statement.BeginRead {
-		c.owner = owner
+		c.txOwner = owner
 	}
 	if value, set := c.values["owner"]; set && value != owner {
 		c.server.finding("member %s: statement %s runs with the values of %s", c.server.id, st.ID, value)
