--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -28,7 +28,7 @@
 	promote  Promote
 	http     *http.Server
 	listener net.Listener
-	slow     atomic.Int64 // delay of each answer, in nanoseconds
+	delay    atomic.Int64 // delay of each answer, in nanoseconds
 
 	mu     sync.Mutex // guards leases
 	leases map[kv.LeaseID]*lease
@@ -56,7 +56,7 @@
 	mux.HandleFunc("POST /api/kv-keep/{id}", s.renew)
 	mux.HandleFunc("DELETE /api/kv-lease-end/{id}", s.revoke)
 	mux.HandleFunc("POST /promote", s.servePromote)
-	s.http = &http.Server{Handler: s.delayed(mux), ReadHeaderTimeout: time.Minute}
+	s.http = &http.Server{Handler: s.withDelay(mux), ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.http.Serve(l) }() // returns after Close
 	return s, nil
 }
@@ -68,7 +68,7 @@
 func (s *Server) Set(f memstore.Faults) { s.client.Set(f) }
 
 // SetSlow delays each answer by d.
-func (s *Server) SetSlow(d time.Duration) { s.slow.Store(int64(d)) }
+func (s *Server) SetSlow(d time.Duration) { s.delay.Store(int64(d)) }
 
 // EndLeases ends all leases, as after a long outage of the store.
 func (s *Server) EndLeases() {
@@ -84,51 +84,51 @@
 // Close stops the server and closes its connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// delayed delays each request by the duration of SetSlow.
-func (s *Server) delayed(next http.Handler) http.Handler {
+// withDelay delays each request by the duration of SetSlow.
+func (s *Server) withDelay(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(time.Duration(s.slow.Load()))
+		time.Sleep(time.Duration(s.delay.Load()))
 		next.ServeHTTP(w, r)
 	})
 }
 
 // item is an item or an event in the platform's JSON format.
 type item struct {
-	Key     string `json:"tls-key"`
-	Value   []byte `json:"value"`
-	Changed int64  `json:"mod-revision"`
-	Lease   int64  `json:"lease-id"`
-	Removed bool   `json:"compacted,omitempty"`
+	Key         string `json:"tls-key"`
+	Value       []byte `json:"value"`
+	ModRevision int64  `json:"mod-revision"`
+	Lease       int64  `json:"lease-id"`
+	Deleted     bool   `json:"compacted,omitempty"`
 }
 
-// spell converts an item to the platform's JSON format.
-func spell(i kv.Item, removed bool) item {
-	return item{Key: i.Key, Value: i.Value, Changed: i.Revision, Lease: int64(i.Lease), Removed: removed}
+// toJSON converts an item to the platform's JSON format.
+func toJSON(i kv.Item, removed bool) item {
+	return item{Key: i.Key, Value: i.Value, ModRevision: i.Revision, Lease: int64(i.Lease), Deleted: removed}
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	found, err := s.client.Get(r.Context(), r.URL.Query().Get("tls-key"))
 	switch {
 	case err != nil:
-		fail(w, err)
+		replyError(w, err)
 	case found.Revision == 0:
 		w.WriteHeader(http.StatusNotFound)
 	default:
-		reply(w, http.StatusOK, spell(found, false))
+		reply(w, http.StatusOK, toJSON(found, false))
 	}
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	items, revision, err := s.client.List(r.Context(), r.URL.Query().Get("path-prefix"))
 	if err != nil {
-		fail(w, err)
+		replyError(w, err)
 		return
 	}
-	spelled := []item{}
+	encoded := []item{}
 	for _, i := range items {
-		spelled = append(spelled, spell(i, false))
+		encoded = append(encoded, toJSON(i, false))
 	}
-	reply(w, http.StatusOK, map[string]any{"items": spelled, "has-more": false, "at-revision": revision})
+	reply(w, http.StatusOK, map[string]any{"items": encoded, "has-more": false, "at-revision": revision})
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -141,14 +141,14 @@
 	}
 	events, revision, err := s.client.Watch(r.Context(), q.Get("path-prefix"), after, time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		fail(w, err)
+		replyError(w, err)
 		return
 	}
-	spelled := []item{}
+	encoded := []item{}
 	for _, e := range events {
-		spelled = append(spelled, spell(e.Item, e.Deleted))
+		encoded = append(encoded, toJSON(e.Item, e.Deleted))
 	}
-	reply(w, http.StatusOK, map[string]any{"events": spelled, "at-revision": revision})
+	reply(w, http.StatusOK, map[string]any{"events": encoded, "at-revision": revision})
 }
 
 func (s *Server) commit(w http.ResponseWriter, r *http.Request) {
@@ -163,14 +163,14 @@
 	}
 	txn := kv.Txn{Delete: body.Delete}
 	for _, e := range body.Expect {
-		txn.Expect = append(txn.Expect, kv.Expect{Key: e.Key, Revision: e.Changed})
+		txn.Expect = append(txn.Expect, kv.Expect{Key: e.Key, Revision: e.ModRevision})
 	}
 	for _, p := range body.Puts {
 		txn.Puts = append(txn.Puts, kv.Put{Key: p.Key, Value: p.Value, Lease: kv.LeaseID(p.Lease)})
 	}
 	revision, err := s.client.Commit(r.Context(), txn)
 	if err != nil {
-		fail(w, err)
+		replyError(w, err)
 		return
 	}
 	reply(w, http.StatusOK, map[string]any{"mod-revision": revision})
@@ -187,33 +187,33 @@
 	ttl := time.Duration(body.TTL) * time.Millisecond
 	granted, err := s.client.Grant(r.Context(), ttl)
 	if err != nil {
-		fail(w, err)
+		replyError(w, err)
 		return
 	}
 	s.mu.Lock()
-	s.leases[granted.ID] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.end(granted.ID) })}
+	s.leases[granted.ID] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expire(granted.ID) })}
 	s.mu.Unlock()
 	reply(w, http.StatusOK, map[string]any{"lease-id": granted.ID, "ttl-ms": body.TTL})
 }
 
-// end ends a lease that has expired.
-func (s *Server) end(id kv.LeaseID) {
+// expire ends a lease that has expired.
+func (s *Server) expire(id kv.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.leases, id)
 	s.store.EndLease(id)
 }
 
-// leaseOf returns the lease ID in the request's path, or 0 if it is not a number.
-func leaseOf(r *http.Request) kv.LeaseID {
+// leaseID returns the lease ID in the request's path, or 0 if it is not a number.
+func leaseID(r *http.Request) kv.LeaseID {
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64) // 0 is never a valid lease
 	return kv.LeaseID(id)
 }
 
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
-	id := leaseOf(r)
+	id := leaseID(r)
 	if err := s.client.Renew(r.Context(), id); err != nil {
-		fail(w, err)
+		replyError(w, err)
 		return
 	}
 	s.mu.Lock()
@@ -225,8 +225,8 @@
 }
 
 func (s *Server) revoke(w http.ResponseWriter, r *http.Request) {
-	if err := s.client.Revoke(r.Context(), leaseOf(r)); err != nil {
-		fail(w, err)
+	if err := s.client.Revoke(r.Context(), leaseID(r)); err != nil {
+		replyError(w, err)
 		return
 	}
 	reply(w, http.StatusOK, map[string]any{})
@@ -250,15 +250,15 @@
 	reply(w, http.StatusOK, map[string]any{})
 }
 
-// fail answers with the HTTP status for an error. For a lost answer it breaks the
+// replyError answers with the HTTP status for an error. For a lost answer it breaks the
 // connection without a response.
-func fail(w http.ResponseWriter, err error) {
+func replyError(w http.ResponseWriter, err error) {
 	var conflict *kv.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		items := []item{}
 		for _, i := range conflict.Items {
-			items = append(items, spell(i, false))
+			items = append(items, toJSON(i, false))
 		}
 		reply(w, http.StatusPreconditionFailed, map[string]any{"items": items})
 	case errors.Is(err, kv.ErrCompacted):
