--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -20,15 +20,15 @@
 // Store is the state that all clients share. Leases do not expire by themselves;
 // EndLease ends one.
 type Store struct {
-	mu        sync.Mutex // guards all below
-	revision  int64
-	compacted int64 // events up to this revision are gone
-	items     map[string]kv.Item
-	events    []kv.Event
-	leases    map[kv.LeaseID]bool
-	nextLease kv.LeaseID
-	watching  int           // number of pending watch calls
-	changed   chan struct{} // closed and replaced at each change
+	mu             sync.Mutex // guards all below
+	revision       int64
+	compacted      int64 // events up to this revision are gone
+	items          map[string]kv.Item
+	events         []kv.Event
+	leases         map[kv.LeaseID]bool
+	nextLease      kv.LeaseID
+	pendingWatches int           // number of pending watch calls
+	changed        chan struct{} // closed and replaced at each change
 }
 
 // New returns an empty store.
@@ -42,7 +42,7 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.put(kv.Put{Key: key, Value: value})
-	s.wake()
+	s.notifyWatches()
 }
 
 // Delete removes a key directly. No fault applies.
@@ -51,20 +51,20 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
 // Watching returns the number of pending watch calls.
 func (s *Store) Watching() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.watching
+	return s.pendingWatches
 }
 
-func (s *Store) addWatching(n int) {
+func (s *Store) addPendingWatches(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watching += n
+	s.pendingWatches += n
 }
 
 // Compact drops the event history. Watches from earlier revisions fail with
@@ -74,7 +74,7 @@
 	defer s.mu.Unlock()
 	s.compacted = s.revision
 	s.events = nil
-	s.wake()
+	s.notifyWatches()
 }
 
 // EndLease ends a lease and removes its keys, as when it expires.
@@ -96,11 +96,11 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// put writes an item at the current revision. The caller of put, remove and wake holds
-// mu and has incremented the revision.
+// put writes an item at the current revision. Callers of put, remove and notifyWatches
+// hold mu and have incremented the revision.
 func (s *Store) put(p kv.Put) {
 	item := kv.Item{Key: p.Key, Value: slices.Clone(p.Value), Revision: s.revision, Lease: p.Lease}
 	s.items[p.Key] = item
@@ -116,8 +116,8 @@
 	s.events = append(s.events, kv.Event{Item: kv.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-// wake notifies pending watches of a change.
-func (s *Store) wake() {
+// notifyWatches notifies pending watches of a change.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -147,7 +147,7 @@
 	c.faults = f
 }
 
-func (c *Client) refused() error {
+func (c *Client) unavailable() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.Refuse {
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// loses reports whether the answer to this commit is lost, and counts it.
-func (c *Client) loses() bool {
+// losesAnswer reports whether the answer to this commit is lost, and counts it.
+func (c *Client) losesAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.LoseWrites == 0 {
@@ -169,7 +169,7 @@
 
 // List implements kv.Store.
 func (c *Client) List(_ context.Context, prefix string) ([]kv.Item, int64, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return nil, 0, err
 	}
 	s := c.store
@@ -188,13 +188,13 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]kv.Event, int64, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	c.store.addWatching(1)
-	defer c.store.addWatching(-1)
+	c.store.addPendingWatches(1)
+	defer c.store.addPendingWatches(-1)
 	for {
-		if err := c.refused(); err != nil {
+		if err := c.unavailable(); err != nil {
 			return nil, 0, err
 		}
-		events, revision, changed, err := c.store.since(prefix, after)
+		events, revision, changed, err := c.store.eventsSince(prefix, after)
 		if err != nil || len(events) > 0 {
 			return events, revision, err
 		}
@@ -208,9 +208,9 @@
 	}
 }
 
-// since returns the events under a prefix after a revision, the current revision, and
+// eventsSince returns the events under a prefix after a revision, the current revision, and
 // a channel that is closed at the next change.
-func (s *Store) since(prefix string, after int64) ([]kv.Event, int64, chan struct{}, error) {
+func (s *Store) eventsSince(prefix string, after int64) ([]kv.Event, int64, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compacted {
@@ -227,7 +227,7 @@
 
 // Get implements kv.Store.
 func (c *Client) Get(_ context.Context, key string) (kv.Item, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return kv.Item{}, err
 	}
 	c.store.mu.Lock()
@@ -240,11 +240,11 @@
 
 // Commit implements kv.Store.
 func (c *Client) Commit(_ context.Context, txn kv.Txn) (int64, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return 0, err
 	}
 	revision, err := c.store.commit(txn)
-	if c.loses() {
+	if c.losesAnswer() {
 		return 0, ErrLost
 	}
 	return revision, err
@@ -275,13 +275,13 @@
 	for _, key := range txn.Delete {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	return s.revision, nil
 }
 
 // Grant implements kv.Store.
 func (c *Client) Grant(_ context.Context, ttl time.Duration) (kv.Lease, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return kv.Lease{}, err
 	}
 	c.store.mu.Lock()
@@ -293,7 +293,7 @@
 
 // Renew implements kv.Store.
 func (c *Client) Renew(_ context.Context, id kv.LeaseID) error {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return err
 	}
 	c.store.mu.Lock()
@@ -306,7 +306,7 @@
 
 // Revoke implements kv.Store.
 func (c *Client) Revoke(_ context.Context, id kv.LeaseID) error {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return err
 	}
 	c.store.EndLease(id)
