--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -33,11 +33,11 @@
 
 // link is one proxied connection.
 type link struct {
-	from, to net.Conn
-	silent   chan struct{} // closed: no more data is forwarded in either direction
-	silence  sync.Once
-	ended    chan struct{} // closed: both connections are reset
-	end      sync.Once
+	from, to   net.Conn
+	frozen     chan struct{} // closed: no more data is forwarded in either direction
+	freezeOnce sync.Once
+	resetDone  chan struct{} // closed: both connections are reset
+	resetOnce  sync.Once
 }
 
 // New starts a proxy for a target. If the target is empty, connections wait for
@@ -60,11 +60,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
-	p.wake()
+	p.notifyWaiters()
 }
 
-// wake makes all waiters check the fault and the target again. The caller holds mu.
-func (p *Proxy) wake() {
+// notifyWaiters makes all waiters check the fault and the target again. The caller holds mu.
+func (p *Proxy) notifyWaiters() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -74,12 +74,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
-	p.wake()
+	p.notifyWaiters()
 }
 
 // Reset resets all open connections at both ends.
 func (p *Proxy) Reset() {
-	for _, l := range p.open() {
+	for _, l := range p.openLinks() {
 		l.reset()
 	}
 }
@@ -87,13 +87,13 @@
 // FreezeOpenConns stops forwarding on the connections that are open now without
 // closing them. New connections work.
 func (p *Proxy) SilenceOpen() {
-	for _, l := range p.open() {
-		l.silence.Do(func() { close(l.silent) })
+	for _, l := range p.openLinks() {
+		l.freezeOnce.Do(func() { close(l.frozen) })
 	}
 }
 
-// open returns the open links.
-func (p *Proxy) open() []*link {
+// openLinks returns the open links.
+func (p *Proxy) openLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var links []*link
@@ -107,7 +107,7 @@
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed, p.fault = true, Fault{RefuseNew: true}
-	p.wake()
+	p.notifyWaiters()
 	p.mu.Unlock()
 	_ = p.listener.Close()
 	p.Reset()
@@ -131,9 +131,9 @@
 	}
 }
 
-// admit waits until a new connection may be forwarded and returns its target, or false
+// awaitTarget waits until a new connection may be forwarded and returns its target, or false
 // if new connections are refused.
-func (p *Proxy) admit() (string, bool) {
+func (p *Proxy) awaitTarget() (string, bool) {
 	for {
 		fault, target, changed := p.state()
 		if fault.RefuseNew {
@@ -148,7 +148,7 @@
 
 // serve forwards one connection in both directions until both have ended.
 func (p *Proxy) serve(from net.Conn) {
-	target, ok := p.admit()
+	target, ok := p.awaitTarget()
 	if !ok {
 		resetConn(from)
 		return
@@ -158,7 +158,7 @@
 		resetConn(from)
 		return
 	}
-	l := &link{from: from, to: to, silent: make(chan struct{}), ended: make(chan struct{})}
+	l := &link{from: from, to: to, frozen: make(chan struct{}), resetDone: make(chan struct{})}
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	closed := p.closed
@@ -178,15 +178,15 @@
 }
 
 // bufferSize is the largest amount of data forwarded at once, in bytes.
-const pieceSize = 16 << 10
+const bufferSize = 16 << 10
 
-// pump forwards data in one direction until a connection ends. holds reports whether a
+// pump forwards data in one direction until a connection ends. blocked reports whether a
 // fault keeps data of this direction back.
-func (p *Proxy) pump(l *link, from, to net.Conn, holds func(Fault) bool) {
-	buf := make([]byte, pieceSize)
+func (p *Proxy) pump(l *link, from, to net.Conn, blocked func(Fault) bool) {
+	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
-		if !p.pass(l, holds) {
+		if !p.awaitForwarding(l, blocked) {
 			return
 		}
 		if n > 0 {
@@ -204,20 +204,20 @@
 	}
 }
 
-// pass waits until data may be forwarded, including the fault's delay. It returns
+// awaitForwarding waits until data may be forwarded, including the fault's delay. It returns
 // false when the link forwards no more data.
-func (p *Proxy) pass(l *link, holds func(Fault) bool) bool {
+func (p *Proxy) awaitForwarding(l *link, blocked func(Fault) bool) bool {
 	for {
 		fault, _, changed := p.state()
 		select {
-		case <-l.silent:
-			<-l.ended // until then the peers see neither data nor an end of the connection
+		case <-l.frozen:
+			<-l.resetDone // until then the peers see neither data nor an end of the connection
 			return false
-		case <-l.ended:
+		case <-l.resetDone:
 			return false
 		default:
 		}
-		if !holds(fault) {
+		if !blocked(fault) {
 			if fault.Delay > 0 {
 				time.Sleep(fault.Delay)
 			}
@@ -225,16 +225,16 @@
 		}
 		select {
 		case <-changed:
-		case <-l.silent:
-		case <-l.ended:
+		case <-l.frozen:
+		case <-l.resetDone:
 		}
 	}
 }
 
 // reset resets both connections of a link.
 func (l *link) reset() {
-	l.end.Do(func() {
-		close(l.ended)
+	l.resetOnce.Do(func() {
+		close(l.resetDone)
 		resetConn(l.from)
 		resetConn(l.to)
 	})
