--- a/internal/standin/kvservice/kvservice.go
+++ b/internal/standin/kvservice/kvservice.go
@@ -42,11 +42,11 @@
 	changed  chan struct{} // closed and replaced at each change
 	epoch    int           // incremented to break all open watches
 
-	down    atomic.Bool
-	slow    atomic.Int64 // delay of each answer, in nanoseconds
-	lose    atomic.Int32 // number of next writes whose answer is lost
-	calls   atomic.Int64
-	closing context.CancelFunc
+	down        atomic.Bool
+	delay       atomic.Int64 // delay of each answer, in nanoseconds
+	loseAnswers atomic.Int32 // number of next writes whose answer is lost
+	calls       atomic.Int64
+	cancel      context.CancelFunc
 }
 
 // Start starts a service on a free loopback port.
@@ -62,12 +62,12 @@
 		data:     make(map[string]record),
 		revision: 1,
 		changed:  make(chan struct{}),
-		closing:  cancel,
+		cancel:   cancel,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v3/kv/range", s.guard(s.serveRange))
-	mux.HandleFunc("POST /v3/kv/txn", s.guard(s.serveTxn))
-	mux.HandleFunc("POST /v3/watch", s.guard(s.serveWatch))
+	mux.HandleFunc("POST /v3/kv/range", s.withFaults(s.serveRange))
+	mux.HandleFunc("POST /v3/kv/txn", s.withFaults(s.serveTxn))
+	mux.HandleFunc("POST /v3/watch", s.withFaults(s.serveWatch))
 	s.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }, ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.server.Serve(l) }() // returns after Close
 	return s, nil
@@ -78,7 +78,7 @@
 
 // Close stops the service and breaks open watches.
 func (s *Service) Close() {
-	s.closing()
+	s.cancel()
 	s.server.Close()
 }
 
@@ -93,11 +93,11 @@
 }
 
 // SetSlow delays every answer by d.
-func (s *Service) SetSlow(d time.Duration) { s.slow.Store(int64(d)) }
+func (s *Service) SetSlow(d time.Duration) { s.delay.Store(int64(d)) }
 
 // LoseAnswers makes the next n transactions that write take effect and then breaks
 // their connections without an answer.
-func (s *Service) LoseAnswers(n int) { s.lose.Store(int32(n)) }
+func (s *Service) LoseAnswers(n int) { s.loseAnswers.Store(int32(n)) }
 
 // Calls returns the number of calls received; a watch counts as one.
 func (s *Service) Calls() int64 { return s.calls.Load() }
@@ -155,11 +155,11 @@
 	s.changed = make(chan struct{})
 }
 
-// guard counts a call and applies the injected delay and outage.
-func (s *Service) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call and applies the injected delay and outage.
+func (s *Service) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.Add(1)
-		if d := s.slow.Load(); d > 0 {
+		if d := s.delay.Load(); d > 0 {
 			select {
 			case <-time.After(time.Duration(d)):
 			case <-r.Context().Done():
@@ -180,7 +180,7 @@
 	RangeEnd []byte `json:"range_end"`
 }
 
-func (r keyRange) holds(key string) bool {
+func (r keyRange) contains(key string) bool {
 	if len(r.RangeEnd) == 0 {
 		return key == string(r.Key)
 	}
@@ -205,7 +205,7 @@
 func (s *Service) rangeLocked(r keyRange) map[string]any {
 	var keys []string
 	for key := range s.data {
-		if r.holds(key) {
+		if r.contains(key) {
 			keys = append(keys, key)
 		}
 	}
@@ -276,18 +276,18 @@
 	}
 	resp := map[string]any{"header": s.header(), "succeeded": succeeded, "responses": responses}
 	s.mu.Unlock()
-	if wrote && s.takeLoss() {
+	if wrote && s.losesAnswer() {
 		panic(http.ErrAbortHandler) // breaks the connection without an answer
 	}
 	reply(w, resp)
 }
 
-// takeLoss reports whether the answer to this write is lost, and counts it.
-func (s *Service) takeLoss() bool {
-	if s.lose.Add(-1) >= 0 {
+// losesAnswer reports whether the answer to this write is lost, and counts it.
+func (s *Service) losesAnswer() bool {
+	if s.loseAnswers.Add(-1) >= 0 {
 		return true
 	}
-	s.lose.Add(1)
+	s.loseAnswers.Add(1)
 	return false
 }
 
@@ -344,7 +344,7 @@
 func (s *Service) eventsLocked(r keyRange, start int64) ([]map[string]any, int64) {
 	var events []map[string]any
 	for _, c := range s.history {
-		if c.record.revision < start || !r.holds(c.key) {
+		if c.record.revision < start || !r.contains(c.key) {
 			continue
 		}
 		kind := "PUT"
