--- a/internal/standin/pggroup/eval.go
+++ b/internal/standin/pggroup/eval.go
@@ -32,8 +32,8 @@
 	return &pgError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// env is the context in which an expression is evaluated.
-type env struct {
+// evalContext is the context in which an expression is evaluated.
+type evalContext struct {
 	table  *table
 	row    []any
 	params []any
@@ -41,7 +41,7 @@
 }
 
 // eval returns the value of an expression: int64, bool, string or nil for NULL.
-func (e *env) eval(node *pgquery.Node) (any, error) {
+func (e *evalContext) eval(node *pgquery.Node) (any, error) {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AConst:
 		return constValue(n.AConst), nil
@@ -86,7 +86,7 @@
 }
 
 // column returns the value of a column in the current row, or nil without a row.
-func (e *env) column(ref *pgquery.ColumnRef) (any, error) {
+func (e *evalContext) column(ref *pgquery.ColumnRef) (any, error) {
 	name := ref.Fields[len(ref.Fields)-1].GetString_().GetSval()
 	if e.table == nil {
 		return nil, sqlError("42703", "column %q does not exist", name)
@@ -101,7 +101,7 @@
 	return e.row[i], nil
 }
 
-func (e *env) operator(expr *pgquery.A_Expr) (any, error) {
+func (e *evalContext) operator(expr *pgquery.A_Expr) (any, error) {
 	left, err := e.eval(expr.Lexpr)
 	if err != nil {
 		return nil, err
@@ -113,10 +113,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return operate(expr.Name[0].GetString_().GetSval(), left, right)
+	return applyOperator(expr.Name[0].GetString_().GetSval(), left, right)
 }
 
-func (e *env) in(left any, items []*pgquery.Node) (any, error) {
+func (e *evalContext) in(left any, items []*pgquery.Node) (any, error) {
 	for _, item := range items {
 		v, err := e.eval(item)
 		if err != nil {
@@ -129,8 +129,8 @@
 	return false, nil
 }
 
-// operate applies a binary operator. It returns nil if an operand is nil.
-func operate(op string, left, right any) (any, error) {
+// applyOperator applies a binary operator. It returns nil if an operand is nil.
+func applyOperator(op string, left, right any) (any, error) {
 	if left == nil || right == nil {
 		return nil, nil
 	}
@@ -159,28 +159,28 @@
 	case "*":
 		return a * b, nil
 	case "%":
-		return remainder(a, b)
+		return modulo(a, b)
 	case "/":
-		return quotient(a, b)
+		return divide(a, b)
 	}
 	return nil, sqlError("42883", "operator does not exist: %s", op)
 }
 
-func remainder(a, b int64) (any, error) {
+func modulo(a, b int64) (any, error) {
 	if b == 0 {
 		return nil, sqlError("22012", "division by zero")
 	}
 	return a % b, nil
 }
 
-func quotient(a, b int64) (any, error) {
+func divide(a, b int64) (any, error) {
 	if b == 0 {
 		return nil, sqlError("22012", "division by zero")
 	}
 	return a / b, nil
 }
 
-func (e *env) boolean(expr *pgquery.BoolExpr) (any, error) {
+func (e *evalContext) boolean(expr *pgquery.BoolExpr) (any, error) {
 	for _, arg := range expr.Args {
 		v, err := e.eval(arg)
 		if err != nil {
@@ -199,7 +199,7 @@
 	return expr.Boolop == pgquery.BoolExprType_AND_EXPR, nil
 }
 
-func (e *env) cast(c *pgquery.TypeCast) (any, error) {
+func (e *evalContext) cast(c *pgquery.TypeCast) (any, error) {
 	v, err := e.eval(c.Arg)
 	if err != nil || v == nil {
 		return v, err
@@ -208,7 +208,7 @@
 }
 
 // call evaluates a function call.
-func (e *env) call(call *pgquery.FuncCall) (any, error) {
+func (e *evalContext) call(call *pgquery.FuncCall) (any, error) {
 	name := call.Funcname[len(call.Funcname)-1].GetString_().GetSval()
 	args := make([]any, 0, len(call.Args))
 	for _, arg := range call.Args {
--- a/internal/standin/pggroup/exec.go
+++ b/internal/standin/pggroup/exec.go
@@ -29,17 +29,17 @@
 	case *pgquery.Node_VariableShowStmt:
 		return []column{{name: n.VariableShowStmt.Name, oid: oidText}}, nil
 	case *pgquery.Node_InsertStmt:
-		return s.returning(n.InsertStmt.Relation, n.InsertStmt.ReturningList)
+		return s.returningColumns(n.InsertStmt.Relation, n.InsertStmt.ReturningList)
 	case *pgquery.Node_UpdateStmt:
-		return s.returning(n.UpdateStmt.Relation, n.UpdateStmt.ReturningList)
+		return s.returningColumns(n.UpdateStmt.Relation, n.UpdateStmt.ReturningList)
 	case *pgquery.Node_DeleteStmt:
-		return s.returning(n.DeleteStmt.Relation, n.DeleteStmt.ReturningList)
+		return s.returningColumns(n.DeleteStmt.Relation, n.DeleteStmt.ReturningList)
 	}
 	return nil, nil
 }
 
-// returning returns the columns of a RETURNING clause, or nil.
-func (s *session) returning(rel *pgquery.RangeVar, list []*pgquery.Node) ([]column, error) {
+// returningColumns returns the columns of a RETURNING clause, or nil.
+func (s *session) returningColumns(rel *pgquery.RangeVar, list []*pgquery.Node) ([]column, error) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -64,19 +64,19 @@
 }
 
 func (s *session) selectColumns(stmt *pgquery.SelectStmt) ([]column, error) {
-	if call := controlCall(stmt); call != nil {
+	if call := groupFunctionCall(stmt); call != nil {
 		return statusColumns, nil
 	}
-	t, err := s.source(stmt)
+	t, err := s.sourceTable(stmt)
 	if err != nil {
 		return nil, err
 	}
 	return targetColumns(stmt.TargetList, t), nil
 }
 
-// source returns the table that a SELECT reads, or nil if it has no FROM clause. A
+// sourceTable returns the table that a SELECT reads, or nil if it has no FROM clause. A
 // function in FROM is always generate_series.
-func (s *session) source(stmt *pgquery.SelectStmt) (*table, error) {
+func (s *session) sourceTable(stmt *pgquery.SelectStmt) (*table, error) {
 	if len(stmt.FromClause) == 0 {
 		return nil, nil
 	}
@@ -133,7 +133,7 @@
 	case *pgquery.Node_UpdateStmt:
 		return s.update(n.UpdateStmt, params, out)
 	case *pgquery.Node_DeleteStmt:
-		return s.remove(n.DeleteStmt, params, out)
+		return s.deleteRows(n.DeleteStmt, params, out)
 	case *pgquery.Node_CreateStmt:
 		return "CREATE TABLE", s.createTable(n.CreateStmt)
 	case *pgquery.Node_DropStmt:
@@ -165,7 +165,7 @@
 			parts = append(parts, text(constValue(arg.GetAConst())))
 		}
 		if stmt.IsLocal {
-			s.rememberLocal(stmt.Name)
+			s.saveBeforeLocal(stmt.Name)
 		}
 		s.settings[stmt.Name] = strings.Join(parts, ", ")
 		return "SET", nil
@@ -177,9 +177,9 @@
 	return "RESET", nil
 }
 
-// writable returns an error in a read-only transaction, and if the member is not the
+// checkWritable returns an error in a read-only transaction, and if the member is not the
 // primary.
-func (s *session) writable() error {
+func (s *session) checkWritable() error {
 	if s.readOnly || !s.member.isPrimary() {
 		return sqlError("25006", "cannot execute statement in a read-only transaction")
 	}
@@ -187,7 +187,7 @@
 }
 
 func (s *session) createTable(stmt *pgquery.CreateStmt) error {
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	t := &table{name: stmt.Relation.Relname, key: -1, rows: make(map[string][]any)}
@@ -212,12 +212,12 @@
 		return sqlError("42P07", "relation %q already exists", t.name)
 	}
 	s.tx.created[t.name] = t
-	s.tx.order = append(s.tx.order, change{table: t.name, schema: t})
+	s.tx.changes = append(s.tx.changes, change{table: t.name, schema: t})
 	return nil
 }
 
 func (s *session) dropTable(stmt *pgquery.DropStmt) error {
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	for _, object := range stmt.Objects {
@@ -229,24 +229,24 @@
 			}
 			return err
 		}
-		s.tx.order = append(s.tx.order, change{table: name, schema: &table{name: name}})
+		s.tx.changes = append(s.tx.changes, change{table: name, schema: &table{name: name}})
 	}
 	return nil
 }
 
 // selectRows runs a SELECT and returns its command tag.
 func (s *session) selectRows(stmt *pgquery.SelectStmt, params []any, out result) (string, error) {
-	if call := controlCall(stmt); call != nil {
-		return s.control(call, out)
+	if call := groupFunctionCall(stmt); call != nil {
+		return s.runGroupFunction(call, out)
 	}
-	t, err := s.source(stmt)
+	t, err := s.sourceTable(stmt)
 	if err != nil {
 		return "", err
 	}
 	if err := out.describe(targetColumns(stmt.TargetList, t)); err != nil {
 		return "", err
 	}
-	e := &env{table: t, params: params, sess: s}
+	e := &evalContext{table: t, params: params, sess: s}
 	if len(stmt.FromClause) > 0 && stmt.FromClause[0].GetRangeFunction() != nil {
 		return s.series(stmt, e, out)
 	}
@@ -267,7 +267,7 @@
 }
 
 // project evaluates a select list for the current row and returns the values as a row.
-func project(list []*pgquery.Node, e *env, out result) error {
+func project(list []*pgquery.Node, e *evalContext, out result) error {
 	var values []any
 	for _, node := range list {
 		target := node.GetResTarget()
@@ -286,7 +286,7 @@
 
 // series runs SELECT ... FROM generate_series(a, b). It computes and returns
 // one row at a time.
-func (s *session) series(stmt *pgquery.SelectStmt, e *env, out result) (string, error) {
+func (s *session) series(stmt *pgquery.SelectStmt, e *evalContext, out result) (string, error) {
 	call := stmt.FromClause[0].GetRangeFunction().Functions[0].GetList().Items[0].GetFuncCall()
 	first, err := e.eval(call.Args[0])
 	if err != nil {
@@ -312,7 +312,7 @@
 
 // scan returns the rows of a SELECT with WHERE, ORDER BY and LIMIT applied. With FOR
 // UPDATE it locks them. Without a table it returns a single empty row.
-func (s *session) scan(stmt *pgquery.SelectStmt, e *env) ([][]any, error) {
+func (s *session) scan(stmt *pgquery.SelectStmt, e *evalContext) ([][]any, error) {
 	if e.table == nil {
 		return [][]any{nil}, nil
 	}
@@ -342,13 +342,13 @@
 }
 
 // match returns the rows that satisfy a WHERE clause.
-func (s *session) match(e *env, where *pgquery.Node) ([]match, error) {
+func (s *session) match(e *evalContext, where *pgquery.Node) ([]match, error) {
 	s.member.store.mu.RLock()
 	defer s.member.store.mu.RUnlock()
 	return s.matchLocked(e, where)
 }
 
-func (s *session) matchLocked(e *env, where *pgquery.Node) ([]match, error) {
+func (s *session) matchLocked(e *evalContext, where *pgquery.Node) ([]match, error) {
 	if key, ok := pointLookup(e, where); ok {
 		row := s.tx.rowLocked(e.table, key)
 		if row == nil {
@@ -359,7 +359,7 @@
 	var matches []match
 	for _, key := range s.tx.keysLocked(e.table) {
 		row := s.tx.rowLocked(e.table, key)
-		ok, err := e.holds(where, row)
+		ok, err := e.matches(where, row)
 		if err != nil {
 			return nil, err
 		}
@@ -370,8 +370,8 @@
 	return matches, nil
 }
 
-// holds reports whether a row satisfies a WHERE clause.
-func (e *env) holds(where *pgquery.Node, row []any) (bool, error) {
+// matches reports whether a row satisfies a WHERE clause.
+func (e *evalContext) matches(where *pgquery.Node, row []any) (bool, error) {
 	if where == nil {
 		return true, nil
 	}
@@ -383,7 +383,7 @@
 
 // pointLookup returns the row key for a condition of the form primary key = value, and
 // false for any other condition.
-func pointLookup(e *env, where *pgquery.Node) (string, bool) {
+func pointLookup(e *evalContext, where *pgquery.Node) (string, bool) {
 	expr := where.GetAExpr()
 	if expr == nil || e.table.key < 0 || expr.Name[0].GetString_().GetSval() != "=" {
 		return "", false
@@ -406,7 +406,7 @@
 }
 
 // sortRows sorts by the first ORDER BY expression; further ones are ignored.
-func sortRows(clause []*pgquery.Node, e *env, rows [][]any) error {
+func sortRows(clause []*pgquery.Node, e *evalContext, rows [][]any) error {
 	if len(clause) == 0 {
 		return nil
 	}
@@ -429,7 +429,7 @@
 	return failed
 }
 
-func limitRows(stmt *pgquery.SelectStmt, e *env, rows [][]any) ([][]any, error) {
+func limitRows(stmt *pgquery.SelectStmt, e *evalContext, rows [][]any) ([][]any, error) {
 	if stmt.LimitCount == nil {
 		return rows, nil
 	}
@@ -463,10 +463,10 @@
 	return false
 }
 
-func (s *session) aggregate(stmt *pgquery.SelectStmt, e *env, rows [][]any, out result) (string, error) {
+func (s *session) aggregate(stmt *pgquery.SelectStmt, e *evalContext, rows [][]any, out result) (string, error) {
 	values := make([]any, 0, len(stmt.TargetList))
 	for _, target := range stmt.TargetList {
-		v, err := fold(aggregateName(target), target.GetResTarget().GetVal().GetFuncCall(), e, rows)
+		v, err := computeAggregate(aggregateName(target), target.GetResTarget().GetVal().GetFuncCall(), e, rows)
 		if err != nil {
 			return "", err
 		}
@@ -475,8 +475,8 @@
 	return "SELECT 1", out.row(values)
 }
 
-// fold computes one aggregate over rows.
-func fold(name string, call *pgquery.FuncCall, e *env, rows [][]any) (any, error) {
+// computeAggregate computes one aggregate over rows.
+func computeAggregate(name string, call *pgquery.FuncCall, e *evalContext, rows [][]any) (any, error) {
 	if name == "count" {
 		return int64(len(rows)), nil
 	}
--- a/internal/standin/pggroup/extended.go
+++ b/internal/standin/pggroup/extended.go
@@ -9,8 +9,8 @@
 // flushBytes is the amount of result data buffered before it is sent, in bytes.
 const flushBytes = 32 << 10
 
-// extended handles one message of the extended query protocol.
-func (s *session) extended(msg pgproto3.FrontendMessage) error {
+// extendedQuery handles one message of the extended query protocol.
+func (s *session) extendedQuery(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
 		return s.parse(m)
@@ -192,13 +192,13 @@
 		} else {
 			row.Values[i] = []byte(text(v))
 		}
-		s.pending += len(row.Values[i]) + 4
+		s.unflushedBytes += len(row.Values[i]) + 4
 	}
 	s.backend.Send(row)
-	if s.pending < flushBytes {
+	if s.unflushedBytes < flushBytes {
 		return nil
 	}
-	s.pending = 0
+	s.unflushedBytes = 0
 	if err := s.backend.Flush(); err != nil {
 		s.end()
 		return err
--- a/internal/standin/pggroup/group.go
+++ b/internal/standin/pggroup/group.go
@@ -14,11 +14,11 @@
 
 // Group is a running database group of three members on loopback.
 type Group struct {
-	members []*Member
-	lag     atomic.Int64                  // replica lag in nanoseconds
-	cuts    [Members][Members]atomic.Bool // replication links that are cut
-	done    chan struct{}
-	workers sync.WaitGroup
+	members  []*Member
+	lag      atomic.Int64                  // replica lag in nanoseconds
+	cutLinks [Members][Members]atomic.Bool // replication links that are cut
+	done     chan struct{}
+	workers  sync.WaitGroup
 }
 
 // Members is the number of members of a group.
@@ -56,7 +56,7 @@
 
 // ByName returns the member with the given name, or nil.
 func (g *Group) ByName(name string) *Member {
-	if i := g.byName(name); i >= 0 {
+	if i := g.indexOf(name); i >= 0 {
 		return g.members[i]
 	}
 	return nil
@@ -70,18 +70,18 @@
 
 // CutLink stops or resumes replication between two members in both directions.
 func (g *Group) CutLink(i, j int, cut bool) {
-	g.cuts[i][j].Store(cut)
-	g.cuts[j][i].Store(cut)
+	g.cutLinks[i][j].Store(cut)
+	g.cutLinks[j][i].Store(cut)
 }
 
-// linked reports whether member from can replicate from member to.
-func (g *Group) linked(from, to int) bool {
+// canReplicate reports whether member from can replicate from member to.
+func (g *Group) canReplicate(from, to int) bool {
 	other := g.members[to]
-	return !g.cuts[from][to].Load() && other.isRunning() && !other.faults.pause.closed()
+	return !g.cutLinks[from][to].Load() && other.isRunning() && !other.faults.pause.closed()
 }
 
-// byName returns the index of a member, or -1.
-func (g *Group) byName(name string) int {
+// indexOf returns the index of a member, or -1.
+func (g *Group) indexOf(name string) int {
 	for i, m := range g.members {
 		if m.Name == name {
 			return i
@@ -90,12 +90,12 @@
 	return -1
 }
 
-// wake makes the replication of all members read role, term and leader again.
-func (g *Group) wake() {
+// notifyReplication makes the replication of all members read role, term and leader again.
+func (g *Group) notifyReplication() {
 	for _, m := range g.members {
 		m.mu.Lock()
-		close(m.reset)
-		m.reset = make(chan struct{})
+		close(m.replicationChanged)
+		m.replicationChanged = make(chan struct{})
 		m.mu.Unlock()
 	}
 }
@@ -113,7 +113,7 @@
 			return err
 		}
 		for _, stmt := range stmts {
-			if err := s.runAlone(&plan{sql: sql, node: stmt.Stmt}); err != nil {
+			if err := s.runInOwnTx(&plan{sql: sql, node: stmt.Stmt}); err != nil {
 				return err
 			}
 		}
--- a/internal/standin/pggroup/member.go
+++ b/internal/standin/pggroup/member.go
@@ -44,8 +44,8 @@
 	running atomic.Bool
 	traffic atomic.Int64 // bytes in and out
 
-	faults faults
-	reset  chan struct{} // closed and replaced when replication must read role, term and leader again
+	faults             faults
+	replicationChanged chan struct{} // closed and replaced when replication must read role, term and leader again
 }
 
 func newMember(g *Group, index int, name string) *Member {
@@ -54,17 +54,17 @@
 		panic(err) // the size is a positive constant
 	}
 	return &Member{
-		Name:     name,
-		group:    g,
-		store:    newStore(),
-		index:    index,
-		plans:    plans,
-		role:     group.RoleReplica,
-		leader:   -1,
-		sessions: make(map[uint32]*session),
-		nextPID:  uint32(index+1) * 1_000_000,
-		reset:    make(chan struct{}),
-		faults:   newFaults(),
+		Name:               name,
+		group:              g,
+		store:              newStore(),
+		index:              index,
+		plans:              plans,
+		role:               group.RoleReplica,
+		leader:             -1,
+		sessions:           make(map[uint32]*session),
+		nextPID:            uint32(index+1) * 1_000_000,
+		replicationChanged: make(chan struct{}),
+		faults:             newFaults(),
 	}
 }
 
@@ -136,7 +136,7 @@
 	defer m.mu.RUnlock()
 	m.store.mu.Lock()
 	defer m.store.mu.Unlock()
-	if len(tx.order) > 0 && (m.role != group.RolePrimary || s.staleLocked()) {
+	if len(tx.changes) > 0 && (m.role != group.RolePrimary || s.staleLocked()) {
 		tx.releaseLocked()
 		return sqlError("57P01", "terminating connection: the term has passed")
 	}
@@ -158,7 +158,7 @@
 	p := m.store.position()
 	return fmt.Sprintf("%d %s %d %d %s %d %s %d %t %t %d %d", m.term, m.role, p.Term, p.Index,
 		cmp.Or(m.owner, "-"), age(m.ownerSeen), cmp.Or(m.holder, "-"), age(m.heartbeat),
-		m.released, m.linkedLocked(), m.acked.Term, m.acked.Index)
+		m.released, m.canReplicateLocked(), m.acked.Term, m.acked.Index)
 }
 
 // age returns the microseconds since t, or -1 if t is zero.
@@ -169,19 +169,19 @@
 	return time.Since(t).Microseconds()
 }
 
-// linkedLocked reports whether the member is a replica that can reach its leader. The
+// canReplicateLocked reports whether the member is a replica that can reach its leader. The
 // caller holds mu.
-func (m *Member) linkedLocked() bool {
-	return m.role == group.RoleReplica && m.leader >= 0 && m.group.linked(m.index, m.leader)
+func (m *Member) canReplicateLocked() bool {
+	return m.role == group.RoleReplica && m.leader >= 0 && m.group.canReplicate(m.index, m.leader)
 }
 
-// control runs a SELECT of one of the group_ functions, which instances use to control
+// runGroupFunction runs a SELECT of one of the group_ functions, which instances use to control
 // the group.
-func (s *session) control(call *pgquery.FuncCall, out result) (string, error) {
+func (s *session) runGroupFunction(call *pgquery.FuncCall, out result) (string, error) {
 	if err := out.describe(statusColumns); err != nil {
 		return "", err
 	}
-	e := &env{sess: s}
+	e := &evalContext{sess: s}
 	var args []any
 	for _, node := range call.Args {
 		v, err := e.eval(node)
@@ -190,7 +190,7 @@
 		}
 		args = append(args, v)
 	}
-	reply, err := s.member.direct(call.Funcname[0].GetString_().GetSval(), args)
+	reply, err := s.member.callGroupFunction(call.Funcname[0].GetString_().GetSval(), args)
 	if err != nil {
 		return "", err
 	}
@@ -199,8 +199,8 @@
 
 var statusColumns = []column{{name: "status", oid: oidText}}
 
-// controlCall returns the call of a group_ function in the FROM clause, or nil.
-func controlCall(stmt *pgquery.SelectStmt) *pgquery.FuncCall {
+// groupFunctionCall returns the call of a group_ function in the FROM clause, or nil.
+func groupFunctionCall(stmt *pgquery.SelectStmt) *pgquery.FuncCall {
 	if len(stmt.FromClause) != 1 {
 		return nil
 	}
@@ -215,8 +215,8 @@
 	return call
 }
 
-// direct runs a group_ function.
-func (m *Member) direct(name string, args []any) (string, error) {
+// callGroupFunction runs a group_ function.
+func (m *Member) callGroupFunction(name string, args []any) (string, error) {
 	arg := func(i int) any {
 		if i < len(args) {
 			return args[i]
@@ -231,7 +231,7 @@
 		return fmt.Sprintf("%d %d", p.Term, p.Index), nil
 	case "group_heartbeat":
 		acked := group.Position{Term: uint64(toInt(arg(2))), Index: uint64(toInt(arg(3)))}
-		return m.takeHeartbeat(uint64(toInt(arg(0))), text(arg(1)), acked)
+		return m.recordHeartbeat(uint64(toInt(arg(0))), text(arg(1)), acked)
 	case "group_fence":
 		return m.fence(uint64(toInt(arg(0))), text(arg(1)))
 	case "group_promote":
@@ -244,18 +244,18 @@
 	return "", sqlError("42883", "function %s does not exist", name)
 }
 
-// errTerm returns the error for a request of another term than the member's: have is
+// staleTermError returns the error for a request of another term than the member's: have is
 // the member's term, got the requested one.
-func errTerm(have, got uint64) error {
+func staleTermError(have, got uint64) error {
 	return sqlError("55000", "term %d has passed, the member is at %d", got, have)
 }
 
-// takeHeartbeat handles a heartbeat of the owner of the current term.
-func (m *Member) takeHeartbeat(term uint64, owner string, acked group.Position) (string, error) {
+// recordHeartbeat handles a heartbeat of the owner of the current term.
+func (m *Member) recordHeartbeat(term uint64, owner string, acked group.Position) (string, error) {
 	m.mu.Lock()
 	if term != m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.owner, m.holder = owner, owner
 	m.heartbeat = time.Now()
@@ -273,7 +273,7 @@
 	m.mu.Lock()
 	if term <= m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.term = term
 	m.role = group.RoleFenced
@@ -302,12 +302,12 @@
 	m.mu.Lock()
 	if term != m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.role = group.RolePrimary
 	m.leader = -1
 	m.mu.Unlock()
-	m.group.wake()
+	m.group.notifyReplication()
 	return m.status() + " " + m.history(), nil
 }
 
@@ -331,14 +331,14 @@
 // follow makes the member a replica of leader, in the given term or its current one, and
 // ends the sessions of earlier terms.
 func (m *Member) follow(term uint64, leader string) (string, error) {
-	index := m.group.byName(leader)
+	index := m.group.indexOf(leader)
 	if index < 0 || index == m.index {
 		return "", sqlError("22023", "no other member %q", leader)
 	}
 	m.mu.Lock()
 	if term < m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	changed := term != m.term || m.role != group.RoleReplica || m.leader != index
 	m.term = term
@@ -355,7 +355,7 @@
 		s.end()
 	}
 	if changed {
-		m.group.wake()
+		m.group.notifyReplication()
 	}
 	return m.status(), nil
 }
@@ -365,7 +365,7 @@
 	m.mu.Lock()
 	if term != m.term || owner != m.holder {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.released = true
 	m.mu.Unlock()
@@ -376,7 +376,7 @@
 func (m *Member) replicate() {
 	defer m.group.workers.Done()
 	for {
-		wait := m.pull()
+		wait := m.replicateOnce()
 		select {
 		case <-m.group.done:
 			return
@@ -385,33 +385,33 @@
 	}
 }
 
-// pull applies the entries that are due and returns a channel that is closed when it
+// replicateOnce applies the entries that are due and returns a channel that is closed when it
 // should run again.
-func (m *Member) pull() <-chan struct{} {
+func (m *Member) replicateOnce() <-chan struct{} {
 	m.mu.RLock()
-	leader, role, reset, term := m.leader, m.role, m.reset, m.term
+	leader, role, replicationChanged, term := m.leader, m.role, m.replicationChanged, m.term
 	m.mu.RUnlock()
 	if role != group.RoleReplica || leader < 0 {
-		return reset
+		return replicationChanged
 	}
-	if !m.group.linked(m.index, leader) || !m.isRunning() || m.faults.stuck.Load() || m.faults.pause.closed() {
+	if !m.group.canReplicate(m.index, leader) || !m.isRunning() || m.faults.replicationStopped.Load() || m.faults.pause.closed() {
 		return after(10 * time.Millisecond)
 	}
 	source := m.group.members[leader]
 	source.store.mu.RLock()
-	entries, grown := source.store.log, source.store.grown
+	entries, logChanged := source.store.log, source.store.logChanged
 	source.store.mu.RUnlock()
 	if sourceRole, sourceTerm := source.Role(); sourceRole != group.RolePrimary || sourceTerm != term {
 		return after(10 * time.Millisecond)
 	}
-	due, next := m.apply(entries, leader)
-	if due {
+	applied, next := m.apply(entries, leader)
+	if applied {
 		return closedChannel
 	}
 	if next > 0 {
 		return after(next)
 	}
-	return either(grown, reset)
+	return firstOf(logChanged, replicationChanged)
 }
 
 var closedChannel = func() chan struct{} {
@@ -455,9 +455,9 @@
 	return ch
 }
 
-// either returns a channel that is closed when a or b is, or after half a second. The
+// firstOf returns a channel that is closed when a or b is, or after half a second. The
 // timeout ensures that the goroutine ends even if neither is ever closed.
-func either(a, b <-chan struct{}) <-chan struct{} {
+func firstOf(a, b <-chan struct{}) <-chan struct{} {
 	ch := make(chan struct{})
 	go func() {
 		defer close(ch)
--- a/internal/standin/pggroup/session.go
+++ b/internal/standin/pggroup/session.go
@@ -29,19 +29,19 @@
 	endOnce  sync.Once
 	canceled atomic.Bool // a cancel request has arrived
 
-	prepared map[string]*plan
-	portals  map[string]*portal
-	settings map[string]string
-	saved    map[string]string // settings at the start of the transaction
-	local    map[string]string // settings to restore at the end of the transaction, after SET LOCAL
+	prepared            map[string]*plan
+	portals             map[string]*portal
+	settings            map[string]string
+	settingsAtBegin     map[string]string // settings at the start of the transaction
+	settingsBeforeLocal map[string]string // settings to restore at the end of the transaction, after SET LOCAL
 
-	tx       *transaction
-	explicit bool // the transaction was opened with BEGIN
-	failed   bool // the transaction can only be rolled back
-	readOnly bool
-	wrote    bool // writes were committed whose answer has not been flushed
-	skipping bool // ignore messages until Sync, after an error in the extended protocol
-	pending  int  // bytes of rows given to the backend since the last flush
+	tx               *transaction
+	explicitTx       bool // the transaction was opened with BEGIN
+	failed           bool // the transaction can only be rolled back
+	readOnly         bool
+	unansweredWrites bool // writes were committed whose answer has not been flushed
+	skipUntilSync    bool // ignore messages until Sync, after an error in the extended protocol
+	unflushedBytes   int  // bytes of rows given to the backend since the last flush
 }
 
 // portal is a prepared statement with bound parameters.
@@ -95,15 +95,15 @@
 // connection's instance, and counts the bytes.
 type gatedConn struct {
 	net.Conn
-	member *Member
-	cut    *gate // closed while the instance is cut off; nil before startup
-	done   chan struct{}
+	member       *Member
+	instanceGate *gate // closed while the instance is cut off; nil before startup
+	done         chan struct{}
 }
 
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.member.traffic.Add(int64(n))
-	c.hold()
+	c.waitForGates()
 	return n, err
 }
 
@@ -114,16 +114,16 @@
 		case <-c.done:
 		}
 	}
-	c.hold()
+	c.waitForGates()
 	c.member.traffic.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// hold blocks while one of the connection's gates is closed, until done.
-func (c *gatedConn) hold() {
+// waitForGates blocks while one of the connection's gates is closed, until done.
+func (c *gatedConn) waitForGates() {
 	c.member.faults.pause.wait(c.done)
-	if c.cut != nil {
-		c.cut.wait(c.done)
+	if c.instanceGate != nil {
+		c.instanceGate.wait(c.done)
 	}
 }
 
@@ -145,20 +145,20 @@
 	if err != nil || start == nil {
 		return
 	}
-	s, err := m.admit(start, gated)
+	s, err := m.openSession(start, gated)
 	if err != nil {
 		backend.Send(errorResponse(err))
 		_ = backend.Flush()
 		return
 	}
 	s.backend = backend
-	defer m.forget(s)
+	defer m.removeSession(s)
 	backend.Send(&pgproto3.AuthenticationOk{})
 	backend.Send(&pgproto3.ParameterStatus{Name: "server_version", Value: "16.0"})
 	backend.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
 	backend.Send(&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"})
 	backend.Send(&pgproto3.BackendKeyData{ProcessID: s.pid, SecretKey: s.secret})
-	s.ready()
+	s.sendReady()
 	s.loop()
 }
 
@@ -194,13 +194,13 @@
 	}
 }
 
-// admit registers a new session. It fails if the member is stopping, or if the startup
+// openSession registers a new session. It fails if the member is stopping, or if the startup
 // options name another term than the member's.
-func (m *Member) admit(start *pgproto3.StartupMessage, conn *gatedConn) (*session, error) {
+func (m *Member) openSession(start *pgproto3.StartupMessage, conn *gatedConn) (*session, error) {
 	term := termOption(start.Parameters["options"])
 	instance := start.Parameters["application_name"]
-	conn.cut = m.faults.cut(instance)
-	conn.hold()
+	conn.instanceGate = m.faults.instanceGate(instance)
+	conn.waitForGates()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.running.Load() {
@@ -229,8 +229,8 @@
 	return 0
 }
 
-// forget rolls back the session's transaction and removes the session.
-func (m *Member) forget(s *session) {
+// removeSession rolls back the session's transaction and removes the session.
+func (m *Member) removeSession(s *session) {
 	if s.tx != nil {
 		m.rollback(s.tx)
 	}
@@ -240,13 +240,13 @@
 	m.mu.Unlock()
 }
 
-// ready sends ReadyForQuery and flushes.
-func (s *session) ready() {
+// sendReady sends ReadyForQuery and flushes.
+func (s *session) sendReady() {
 	status := byte('I')
 	switch {
 	case s.failed:
 		status = 'E'
-	case s.explicit:
+	case s.explicitTx:
 		status = 'T'
 	}
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: status})
@@ -256,11 +256,11 @@
 // flush sends all buffered messages. If the answer to a committed write is to be lost,
 // it closes the connection first.
 func (s *session) flush() {
-	s.pending = 0
-	if s.wrote && s.tx == nil && s.member.faults.takeDrop() {
+	s.unflushedBytes = 0
+	if s.unansweredWrites && s.tx == nil && s.member.faults.dropsAnswer() {
 		s.end()
 	}
-	s.wrote = s.wrote && s.tx != nil
+	s.unansweredWrites = s.unansweredWrites && s.tx != nil
 	if err := s.backend.Flush(); err != nil {
 		s.end()
 	}
@@ -285,28 +285,28 @@
 	switch m := msg.(type) {
 	case *pgproto3.Query:
 		s.canceled.Store(false)
-		s.simple(m.String)
-		s.ready()
+		s.simpleQuery(m.String)
+		s.sendReady()
 		return
 	case *pgproto3.Sync:
-		s.skipping = false
+		s.skipUntilSync = false
 		if err := s.endImplicit(); err != nil {
 			s.backend.Send(errorResponse(err))
 		}
 		s.portals = make(map[string]*portal)
-		s.ready()
+		s.sendReady()
 		s.canceled.Store(false)
 		return
 	case *pgproto3.Flush:
 		s.flush()
 		return
 	}
-	if s.skipping {
+	if s.skipUntilSync {
 		return
 	}
-	if err := s.extended(msg); err != nil {
+	if err := s.extendedQuery(msg); err != nil {
 		s.fail()
-		s.skipping = true
+		s.skipUntilSync = true
 		s.backend.Send(errorResponse(err))
 	}
 }
@@ -321,8 +321,8 @@
 	return &pgproto3.ErrorResponse{Severity: severity, SeverityUnlocalized: severity, Code: e.code, Message: e.message}
 }
 
-// simple runs a query of the simple protocol, which may have several statements.
-func (s *session) simple(sql string) {
+// simpleQuery runs a query of the simple protocol, which may have several statements.
+func (s *session) simpleQuery(sql string) {
 	stmts, err := s.member.parse(sql)
 	if err != nil {
 		s.fail()
@@ -333,7 +333,7 @@
 		s.backend.Send(&pgproto3.EmptyQueryResponse{})
 	}
 	for _, stmt := range stmts {
-		if err := s.runOne(&plan{sql: sql, node: stmt.Stmt}); err != nil {
+		if err := s.runSimple(&plan{sql: sql, node: stmt.Stmt}); err != nil {
 			s.fail()
 			s.backend.Send(errorResponse(err))
 			return
@@ -344,8 +344,8 @@
 	}
 }
 
-// runOne runs one statement of a simple query and sends its result.
-func (s *session) runOne(p *plan) error {
+// runSimple runs one statement of a simple query and sends its result.
+func (s *session) runSimple(p *plan) error {
 	tag, err := s.run(p, nil, result{
 		describe: func(columns []column) error {
 			s.backend.Send(rowDescription(columns, nil))
@@ -360,8 +360,8 @@
 	return nil
 }
 
-// runAlone runs a statement in its own transaction and discards its rows.
-func (s *session) runAlone(p *plan) error {
+// runInOwnTx runs a statement in its own transaction and discards its rows.
+func (s *session) runInOwnTx(p *plan) error {
 	_, err := s.run(p, nil, result{
 		describe: func([]column) error { return nil },
 		row:      func([]any) error { return nil },
@@ -392,9 +392,9 @@
 
 func (s *session) beginTx() {
 	s.tx = s.member.store.begin(s.ended)
-	s.saved = make(map[string]string, len(s.settings))
+	s.settingsAtBegin = make(map[string]string, len(s.settings))
 	for name, value := range s.settings {
-		s.saved[name] = value
+		s.settingsAtBegin[name] = value
 	}
 }
 
@@ -405,7 +405,7 @@
 		if s.tx == nil {
 			s.beginTx()
 		}
-		s.explicit = true
+		s.explicitTx = true
 		for _, option := range n.Options {
 			if option.GetDefElem().GetDefname() == "transaction_read_only" {
 				s.readOnly = option.GetDefElem().GetArg().GetAConst().GetIval().GetIval() != 0
@@ -427,29 +427,29 @@
 
 func (s *session) commitTx() error {
 	tx := s.tx
-	s.tx, s.explicit, s.failed, s.readOnly = nil, false, false, false
-	for name, value := range s.local {
+	s.tx, s.explicitTx, s.failed, s.readOnly = nil, false, false, false
+	for name, value := range s.settingsBeforeLocal {
 		s.settings[name] = value
 	}
-	s.local = nil
+	s.settingsBeforeLocal = nil
 	if tx == nil {
 		return nil
 	}
-	s.wrote = s.wrote || len(tx.order) > 0
+	s.unansweredWrites = s.unansweredWrites || len(tx.changes) > 0
 	return s.member.commit(s, tx)
 }
 
 func (s *session) rollbackTx() {
 	if s.tx != nil {
 		s.member.rollback(s.tx)
-		s.settings = s.saved
+		s.settings = s.settingsAtBegin
 	}
-	s.tx, s.explicit, s.failed, s.readOnly, s.local = nil, false, false, false, nil
+	s.tx, s.explicitTx, s.failed, s.readOnly, s.settingsBeforeLocal = nil, false, false, false, nil
 }
 
 // endImplicit commits an implicit transaction.
 func (s *session) endImplicit() error {
-	if s.tx == nil || s.explicit {
+	if s.tx == nil || s.explicitTx {
 		return nil
 	}
 	return s.commitTx()
@@ -457,27 +457,27 @@
 
 // fail marks an explicit transaction as failed, or rolls back an implicit one.
 func (s *session) fail() {
-	if s.explicit {
+	if s.explicitTx {
 		s.failed = true
 		return
 	}
 	s.rollbackTx()
 }
 
-// rememberLocal saves a setting before SET LOCAL changes it.
-func (s *session) rememberLocal(name string) {
-	if s.local == nil {
-		s.local = make(map[string]string)
+// saveBeforeLocal saves a setting before SET LOCAL changes it.
+func (s *session) saveBeforeLocal(name string) {
+	if s.settingsBeforeLocal == nil {
+		s.settingsBeforeLocal = make(map[string]string)
 	}
-	if _, ok := s.local[name]; !ok {
-		s.local[name] = s.settings[name]
+	if _, ok := s.settingsBeforeLocal[name]; !ok {
+		s.settingsBeforeLocal[name] = s.settings[name]
 	}
 }
 
 // discardAll runs DISCARD ALL.
 func (s *session) discardAll() {
 	s.settings = make(map[string]string)
-	s.saved = s.settings
+	s.settingsAtBegin = s.settings
 	s.prepared = make(map[string]*plan)
 }
 
--- a/internal/standin/pggroup/store.go
+++ b/internal/standin/pggroup/store.go
@@ -57,22 +57,22 @@
 
 // store has the tables, the log and the row locks of one member. mu guards all fields.
 type store struct {
-	mu     sync.RWMutex
-	tables map[string]*table
-	log    []logEntry
-	grown  chan struct{}           // closed and replaced when an entry is appended
-	nextID uint64                  // last generated key of a table without a primary key
-	locks  map[string]*transaction // holder of each row lock
-	free   *sync.Cond              // signalled when row locks are released
+	mu           sync.RWMutex
+	tables       map[string]*table
+	log          []logEntry
+	logChanged   chan struct{}           // closed and replaced when an entry is appended
+	nextID       uint64                  // last generated key of a table without a primary key
+	locks        map[string]*transaction // holder of each row lock
+	lockReleased *sync.Cond              // signalled when row locks are released
 }
 
 func newStore() *store {
 	s := &store{
-		tables: make(map[string]*table),
-		grown:  make(chan struct{}),
-		locks:  make(map[string]*transaction),
+		tables:     make(map[string]*table),
+		logChanged: make(chan struct{}),
+		locks:      make(map[string]*transaction),
 	}
-	s.free = sync.NewCond(&s.mu)
+	s.lockReleased = sync.NewCond(&s.mu)
 	return s
 }
 
@@ -98,8 +98,8 @@
 	for _, c := range entry.changes {
 		s.applyLocked(c)
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.logChanged)
+	s.logChanged = make(chan struct{})
 }
 
 func (s *store) applyLocked(c change) {
@@ -159,12 +159,12 @@
 
 // transaction collects the writes of one session until they are committed.
 type transaction struct {
-	store   *store
-	writes  map[string]map[string][]any // row by table and key; nil: deleted
-	created map[string]*table           // tables created in this transaction
-	order   []change                    // in execution order
-	locked  []string                    // names of the row locks it holds
-	aborted func() bool                 // reports whether the session has ended
+	store     *store
+	writes    map[string]map[string][]any // row by table and key; nil: deleted
+	created   map[string]*table           // tables created in this transaction
+	changes   []change                    // in execution order
+	heldLocks []string                    // names of the row locks it holds
+	aborted   func() bool                 // reports whether the session has ended
 }
 
 func (s *store) begin(aborted func() bool) *transaction {
@@ -188,13 +188,13 @@
 
 // lockTimeout limits the wait for a row lock. After that the statement fails as if a
 // deadlock had been detected.
-const lockWait = 2 * time.Second
+const lockTimeout = 2 * time.Second
 
 // lockRow acquires the lock of a row and waits while another transaction holds it. The
 // caller holds store.mu for writing, which is released during the wait.
 func (tx *transaction) lockRow(tableName, key string) error {
 	name := tableName + "\x00" + key
-	deadline := time.Now().Add(lockWait)
+	deadline := time.Now().Add(lockTimeout)
 	for {
 		holder := tx.store.locks[name]
 		if holder == tx {
@@ -202,7 +202,7 @@
 		}
 		if holder == nil {
 			tx.store.locks[name] = tx
-			tx.locked = append(tx.locked, name)
+			tx.heldLocks = append(tx.heldLocks, name)
 			return nil
 		}
 		if tx.aborted() {
@@ -211,8 +211,8 @@
 		if time.Now().After(deadline) {
 			return sqlError("40P01", "deadlock detected")
 		}
-		timer := time.AfterFunc(20*time.Millisecond, tx.store.free.Broadcast)
-		tx.store.free.Wait()
+		timer := time.AfterFunc(20*time.Millisecond, tx.store.lockReleased.Broadcast)
+		tx.store.lockReleased.Wait()
 		timer.Stop()
 	}
 }
@@ -232,7 +232,7 @@
 		tx.writes[tableName] = make(map[string][]any)
 	}
 	tx.writes[tableName][key] = row
-	tx.order = append(tx.order, change{table: tableName, key: key, row: row})
+	tx.changes = append(tx.changes, change{table: tableName, key: key, row: row})
 }
 
 // keysLocked returns the sorted keys of all rows that the transaction sees. The caller
@@ -255,22 +255,22 @@
 
 // releaseLocked releases all row locks. The caller holds store.mu for writing.
 func (tx *transaction) releaseLocked() {
-	for _, name := range tx.locked {
+	for _, name := range tx.heldLocks {
 		delete(tx.store.locks, name)
 	}
-	tx.locked = nil
-	tx.store.free.Broadcast()
+	tx.heldLocks = nil
+	tx.store.lockReleased.Broadcast()
 }
 
 // commitLocked appends the writes to the log as one entry of the given term and
 // releases the row locks. The caller holds store.mu for writing.
 func (tx *transaction) commitLocked(term uint64) {
-	if len(tx.order) > 0 {
+	if len(tx.changes) > 0 {
 		last := tx.store.positionLocked()
 		tx.store.appendLocked(logEntry{
 			position: group.Position{Term: term, Index: last.Index + 1},
 			at:       time.Now(),
-			changes:  tx.order,
+			changes:  tx.changes,
 		})
 	}
 	tx.releaseLocked()
--- a/internal/standin/pggroup/write.go
+++ b/internal/standin/pggroup/write.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		return "", err
 	}
-	rows, err := insertRows(stmt, t, &env{params: params, sess: s})
+	rows, err := insertRows(stmt, t, &evalContext{params: params, sess: s})
 	if err != nil {
 		return "", err
 	}
@@ -36,7 +36,7 @@
 // writeTarget returns the table that a statement writes to, and describes the columns of
 // its RETURNING clause.
 func (s *session) writeTarget(rel *pgquery.RangeVar, returning []*pgquery.Node, out result) (*table, error) {
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return nil, err
 	}
 	t, err := s.lookup(rel.Relname)
@@ -57,11 +57,11 @@
 	if len(list) == 0 {
 		return nil
 	}
-	return project(list, &env{table: t, row: row, params: params, sess: s}, out)
+	return project(list, &evalContext{table: t, row: row, params: params, sess: s}, out)
 }
 
 // insertRows evaluates the VALUES lists of an INSERT.
-func insertRows(stmt *pgquery.InsertStmt, t *table, e *env) ([][]any, error) {
+func insertRows(stmt *pgquery.InsertStmt, t *table, e *evalContext) ([][]any, error) {
 	var targets []int
 	for _, col := range stmt.Cols {
 		i := t.columnIndex(col.GetResTarget().Name)
@@ -86,7 +86,7 @@
 	return rows, nil
 }
 
-func insertValues(items []*pgquery.Node, targets []int, t *table, e *env) ([]any, error) {
+func insertValues(items []*pgquery.Node, targets []int, t *table, e *evalContext) ([]any, error) {
 	if len(items) > len(targets) {
 		return nil, sqlError("42601", "INSERT has more expressions than target columns")
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		return "", err
 	}
-	e := &env{table: t, params: params, sess: s}
+	e := &evalContext{table: t, params: params, sess: s}
 	matches, err := s.matchForWrite(e, stmt.WhereClause)
 	if err != nil {
 		return "", err
@@ -160,7 +160,7 @@
 }
 
 // updatedRow returns a copy of a row with the assignments of an UPDATE applied.
-func updatedRow(stmt *pgquery.UpdateStmt, t *table, e *env, old []any) ([]any, error) {
+func updatedRow(stmt *pgquery.UpdateStmt, t *table, e *evalContext, old []any) ([]any, error) {
 	row := append([]any(nil), old...)
 	for _, node := range stmt.TargetList {
 		target := node.GetResTarget()
@@ -186,13 +186,13 @@
 	s.tx.put(t.name, key, row)
 }
 
-// remove runs a DELETE and returns its command tag.
-func (s *session) remove(stmt *pgquery.DeleteStmt, params []any, out result) (string, error) {
+// deleteRows runs a DELETE and returns its command tag.
+func (s *session) deleteRows(stmt *pgquery.DeleteStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
 		return "", err
 	}
-	matches, err := s.matchForWrite(&env{table: t, params: params, sess: s}, stmt.WhereClause)
+	matches, err := s.matchForWrite(&evalContext{table: t, params: params, sess: s}, stmt.WhereClause)
 	if err != nil {
 		return "", err
 	}
@@ -206,7 +206,7 @@
 }
 
 // matchForWrite finds the rows that match a WHERE clause and locks them.
-func (s *session) matchForWrite(e *env, where *pgquery.Node) ([]match, error) {
+func (s *session) matchForWrite(e *evalContext, where *pgquery.Node) ([]match, error) {
 	matches, err := s.match(e, where)
 	if err != nil {
 		return nil, err
@@ -216,7 +216,7 @@
 
 // lockMatches locks rows, reads them again and keeps those that still match, like
 // PostgreSQL does under READ COMMITTED.
-func (s *session) lockMatches(e *env, where *pgquery.Node, matches []match) ([]match, error) {
+func (s *session) lockMatches(e *evalContext, where *pgquery.Node, matches []match) ([]match, error) {
 	st := s.member.store
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -229,7 +229,7 @@
 		if row == nil {
 			continue
 		}
-		ok, err := e.holds(where, row)
+		ok, err := e.matches(where, row)
 		if err != nil {
 			return nil, err
 		}
@@ -254,7 +254,7 @@
 	var t *table
 	switch n := p.node.GetNode().(type) {
 	case *pgquery.Node_SelectStmt:
-		t, _ = s.source(n.SelectStmt)
+		t, _ = s.sourceTable(n.SelectStmt)
 		for _, target := range n.SelectStmt.TargetList {
 			visitTypes(target.GetResTarget().GetVal(), t, visit)
 		}
