--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -22,13 +22,13 @@
 )
 
 // Reachability says whether a member can be reached.
-type Reach int
+type Reachability int
 
 // The values of Reachability.
 const (
-	Open   Reach = iota
-	Dead         // new connections are refused and open ones are closed
-	Silent       // neither dials nor requests are answered
+	Open   Reachability = iota
+	Dead                // new connections are refused and open ones are closed
+	Silent              // neither dials nor requests are answered
 )
 
 // Write is a committed write.
@@ -70,7 +70,7 @@
 	term           uint64
 	log            []Write        // received writes
 	applied        group.Position // log position that reads at a replica see; a primary's reads see its whole log
-	reachability   Reach
+	reachability   Reachability
 	lagging        bool // replication to it is stopped
 	loseAnswers    int  // number of next statements that run but are not answered
 	failStatements int  // number of next statements that fail
@@ -133,7 +133,7 @@
 // SetReachability changes whether a member can be reached. A replaced primary that
 // becomes reachable again turns into a replica: at once after being down, and after
 // stepDownDelay otherwise.
-func (g *Group) SetReach(id string, r Reach) {
+func (g *Group) SetReach(id string, r Reachability) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -121,7 +121,7 @@
 
 // reachabilityFault returns a fault that changes the reachability of a member and restores it
 // afterwards.
-func reachabilityFault(reachability membergroup.Reach) func(*run, *rand.Rand, time.Duration) {
+func reachabilityFault(reachability membergroup.Reachability) func(*run, *rand.Rand, time.Duration) {
 	return onMember(func(g *databaseGroup, id string, duration time.Duration) {
 		g.members.SetReach(id, reachability)
 		if reachability == membergroup.Dead {
