--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -79,7 +79,7 @@
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
 	b.group.SetReach("m1", membergroup.Silent) // cut off, so that it does not hear of its successor
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
-	b.group.SetReach("m1", membergroup.Open)
+	b.group.SetReach("m1", membergroup.Reachable)
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 2 x").Err.Code, must.Sprint("the members verified the grant a moment ago"))
 	must.NotNil(t, b.run(s, statement.Read, "READ 1").Err)
 }
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -26,9 +26,9 @@
 
 // The values of Reachability.
 const (
-	Open   Reachability = iota
-	Dead                // new connections are refused and open ones are closed
-	Silent              // neither dials nor requests are answered
+	Reachable Reachability = iota
+	Dead                   // new connections are refused and open ones are closed
+	Silent                 // neither dials nor requests are answered
 )
 
 // Write is a committed write.
@@ -145,9 +145,9 @@
 			c.closed = true
 		}
 		clear(m.conns)
-	case r == Open && before == Dead:
+	case r == Reachable && before == Dead:
 		g.stepDownIfReplaced(m) // a restarted member learns who is primary before it serves
-	case r == Open && before == Silent:
+	case r == Reachable && before == Silent:
 		time.AfterFunc(stepDownDelay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
@@ -188,7 +188,7 @@
 // stepDownIfReplaced makes a primary a replica if another member has been promoted.
 // The caller holds mu.
 func (g *Group) stepDownIfReplaced(m *memberState) {
-	if m.reachability == Open && m.primary && g.currentPrimary() != m {
+	if m.reachability == Reachable && m.primary && g.currentPrimary() != m {
 		m.primary = false
 	}
 	g.replicate()
@@ -286,11 +286,11 @@
 // itself cannot be reached. The caller holds mu.
 func (g *Group) replicate() {
 	primary := g.currentPrimary()
-	if primary.reachability != Open || !primary.primary {
+	if primary.reachability != Reachable || !primary.primary {
 		return
 	}
 	for _, m := range g.members {
-		if !m.primary && !m.lagging && m.reachability == Open {
+		if !m.primary && !m.lagging && m.reachability == Reachable {
 			m.log = append([]Write(nil), primary.log...)
 			m.term = primary.term
 			g.apply(m)
@@ -334,7 +334,7 @@
 	for _, other := range g.members {
 		// A reachable old primary steps down; an unreachable one keeps its role until
 		// it is reachable again.
-		if other != m && other.primary && other.reachability == Open {
+		if other != m && other.primary && other.reachability == Reachable {
 			other.primary = false
 		}
 	}
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -130,7 +130,7 @@
 		}
 		time.Sleep(duration)
 		g.proxies[id].Set(faultproxy.Fault{})
-		g.members.SetReach(id, membergroup.Open)
+		g.members.SetReach(id, membergroup.Reachable)
 	})
 }
 
