--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestDeadPrimaryIsReplaced(t *testing.T) {
-	for name, reach := range map[string]membergroup.Reachability{"refuses": membergroup.Dead, "silent": membergroup.Silent} {
+	for name, reach := range map[string]membergroup.Reachability{"refuses": membergroup.Down, "silent": membergroup.Silent} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3)
 			c := f.call(0, "own")
@@ -120,7 +120,7 @@
 	must.NonNegative(t, first)
 	f.clients[first].Set(memstore.Faults{Refuse: true})
 	f.store.EndLease(leaseOf(f.instances[first]))
-	f.group.SetReach("m1", membergroup.Dead)
+	f.group.SetReach("m1", membergroup.Down)
 	f.call(first, "own").writeUntilDone("after")
 	promotions := f.group.Promotions()
 	must.Len(t, 1, promotions)
@@ -221,7 +221,7 @@
 	c := f.call(0, "strict")
 	c.must("BEGIN", "T")
 	c.must("WRITE 0 x", "T")
-	f.group.SetReach("m1", membergroup.Dead)
+	f.group.SetReach("m1", membergroup.Down)
 	line, state := c.query("WRITE 1 x")
 	must.StrHasPrefix(t, "ERROR ABORTED", line)
 	must.Eq(t, "I", state)
@@ -249,7 +249,7 @@
 	for _, client := range f.clients {
 		client.Set(memstore.Faults{LoseWrites: 3})
 	}
-	f.group.SetReach("m1", membergroup.Dead)
+	f.group.SetReach("m1", membergroup.Down)
 	f.call(1, "own").writeUntilDone("after")
 	must.Len(t, 1, f.group.Promotions())
 }
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -64,7 +64,7 @@
 // acknowledged then.
 func TestUnconfirmedGrantNeedsEveryMember(t *testing.T) {
 	b := newUnconfirmedBench(t)
-	b.group.SetReach("m2", membergroup.Dead)
+	b.group.SetReach("m2", membergroup.Down)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	a := b.run(s, statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -27,7 +27,7 @@
 // The values of Reachability.
 const (
 	Reachable Reachability = iota
-	Dead                   // new connections are refused and open ones are closed
+	Down                   // new connections are refused and open ones are closed
 	Silent                 // neither dials nor requests are answered
 )
 
@@ -140,12 +140,12 @@
 	before := m.reachability
 	m.reachability = r
 	switch {
-	case r == Dead:
+	case r == Down:
 		for c := range m.conns {
 			c.closed = true
 		}
 		clear(m.conns)
-	case r == Reachable && before == Dead:
+	case r == Reachable && before == Down:
 		g.stepDownIfReplaced(m) // a restarted member learns who is primary before it serves
 	case r == Reachable && before == Silent:
 		time.AfterFunc(stepDownDelay, func() {
@@ -322,7 +322,7 @@
 	defer g.mu.Unlock()
 	g.promotions = append(g.promotions, Promotion{Member: id, Instance: instance, FencingToken: token})
 	m := g.members[id]
-	if m == nil || m.reachability == Dead {
+	if m == nil || m.reachability == Down {
 		return fmt.Errorf("member %s is not running", id)
 	}
 	if m.primary {
@@ -361,7 +361,7 @@
 func (g *Group) Dial(ctx context.Context, m topology.Member, account string) (member.Conn, error) {
 	g.mu.Lock()
 	state := g.members[m.ID]
-	if state == nil || state.reachability == Dead {
+	if state == nil || state.reachability == Down {
 		g.mu.Unlock()
 		return nil, fmt.Errorf("dial %s: %w", m.ID, syscall.ECONNREFUSED)
 	}
@@ -394,7 +394,7 @@
 // it returns an error and leaves the group unlocked.
 func (c *conn) enter(deadline time.Time) error {
 	c.group.mu.Lock()
-	if c.closed || c.member.reachability == Dead {
+	if c.closed || c.member.reachability == Down {
 		c.group.mu.Unlock()
 		return fmt.Errorf("%w: closed", member.ErrBroken)
 	}
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -124,7 +124,7 @@
 func reachabilityFault(reachability membergroup.Reachability) func(*run, *rand.Rand, time.Duration) {
 	return onMember(func(g *databaseGroup, id string, duration time.Duration) {
 		g.members.SetReach(id, reachability)
-		if reachability == membergroup.Dead {
+		if reachability == membergroup.Down {
 			g.proxies[id].Set(faultproxy.Fault{RefuseNew: true})
 			g.proxies[id].Reset()
 		}
@@ -200,7 +200,7 @@
 	{"a member is far", false, onProxy(randomMemberProxy, highLatency)},
 	{"connections to a member are reset", false, resetConns(randomMemberProxy)},
 	{"connections to a member go silent", false, freezeConns(randomMemberProxy)},
-	{"a member crashes", false, reachabilityFault(membergroup.Dead)},
+	{"a member crashes", false, reachabilityFault(membergroup.Down)},
 	{"a member is silent", false, reachabilityFault(membergroup.Silent)},
 	{"a member receives nothing", false, onMember(func(g *databaseGroup, id string, duration time.Duration) {
 		g.members.SetLagging(id, true)
