--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestDeadPrimaryIsReplaced(t *testing.T) {
-	for name, reach := range map[string]membergroup.Reachability{"refuses": membergroup.Down, "silent": membergroup.Silent} {
+	for name, reach := range map[string]membergroup.Reachability{"refuses": membergroup.Down, "silent": membergroup.Unresponsive} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3)
 			c := f.call(0, "own")
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -77,7 +77,7 @@
 	b := newUnconfirmedBench(t)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
-	b.group.SetReach("m1", membergroup.Silent) // cut off, so that it does not hear of its successor
+	b.group.SetReach("m1", membergroup.Unresponsive) // cut off, so that it does not hear of its successor
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
 	b.group.SetReach("m1", membergroup.Reachable)
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 2 x").Err.Code, must.Sprint("the members verified the grant a moment ago"))
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -26,9 +26,9 @@
 
 // The values of Reachability.
 const (
-	Reachable Reachability = iota
-	Down                   // new connections are refused and open ones are closed
-	Silent                 // neither dials nor requests are answered
+	Reachable    Reachability = iota
+	Down                      // new connections are refused and open ones are closed
+	Unresponsive              // neither dials nor requests are answered
 )
 
 // Write is a committed write.
@@ -147,7 +147,7 @@
 		clear(m.conns)
 	case r == Reachable && before == Down:
 		g.stepDownIfReplaced(m) // a restarted member learns who is primary before it serves
-	case r == Reachable && before == Silent:
+	case r == Reachable && before == Unresponsive:
 		time.AfterFunc(stepDownDelay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
@@ -365,7 +365,7 @@
 		g.mu.Unlock()
 		return nil, fmt.Errorf("dial %s: %w", m.ID, syscall.ECONNREFUSED)
 	}
-	if state.reachability == Silent {
+	if state.reachability == Unresponsive {
 		g.mu.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -398,7 +398,7 @@
 		c.group.mu.Unlock()
 		return fmt.Errorf("%w: closed", member.ErrBroken)
 	}
-	if c.member.reachability == Silent || c.frozen {
+	if c.member.reachability == Unresponsive || c.frozen {
 		c.group.mu.Unlock()
 		return timeOut(deadline)
 	}
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -201,7 +201,7 @@
 	{"connections to a member are reset", false, resetConns(randomMemberProxy)},
 	{"connections to a member go silent", false, freezeConns(randomMemberProxy)},
 	{"a member crashes", false, reachabilityFault(membergroup.Down)},
-	{"a member is silent", false, reachabilityFault(membergroup.Silent)},
+	{"a member is silent", false, reachabilityFault(membergroup.Unresponsive)},
 	{"a member receives nothing", false, onMember(func(g *databaseGroup, id string, duration time.Duration) {
 		g.members.SetLagging(id, true)
 		time.Sleep(duration)
