--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -76,7 +76,7 @@
 			f := newFleet(t, 3)
 			c := f.call(0, "own")
 			c.writeUntilDone("before")
-			f.group.SetReach("m1", reach)
+			f.group.SetReachability("m1", reach)
 			c.writeUntilDone("after")
 			must.NotEq(t, "m1", f.group.Primary())
 			f.eventually("all use the new primary", func() bool { return f.allUse(f.group.Primary()) })
@@ -120,7 +120,7 @@
 	must.NonNegative(t, first)
 	f.clients[first].Set(memstore.Faults{Refuse: true})
 	f.store.EndLease(leaseOf(f.instances[first]))
-	f.group.SetReach("m1", membergroup.Down)
+	f.group.SetReachability("m1", membergroup.Down)
 	f.call(first, "own").writeUntilDone("after")
 	promotions := f.group.Promotions()
 	must.Len(t, 1, promotions)
@@ -221,7 +221,7 @@
 	c := f.call(0, "strict")
 	c.must("BEGIN", "T")
 	c.must("WRITE 0 x", "T")
-	f.group.SetReach("m1", membergroup.Down)
+	f.group.SetReachability("m1", membergroup.Down)
 	line, state := c.query("WRITE 1 x")
 	must.StrHasPrefix(t, "ERROR ABORTED", line)
 	must.Eq(t, "I", state)
@@ -249,7 +249,7 @@
 	for _, client := range f.clients {
 		client.Set(memstore.Faults{LoseWrites: 3})
 	}
-	f.group.SetReach("m1", membergroup.Down)
+	f.group.SetReachability("m1", membergroup.Down)
 	f.call(1, "own").writeUntilDone("after")
 	must.Len(t, 1, f.group.Promotions())
 }
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -144,7 +144,7 @@
 	s := newSession(b.relay, Start{Database: "bounded"})
 	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
 	must.Eq(t, "m2.x", b.run(s, statement.Read, "READ 1").Receipt)
-	b.group.SetReach("m2", membergroup.Down)
+	b.group.SetReachability("m2", membergroup.Down)
 	must.Eq(t, "m1.x", b.run(s, statement.Read, "READ 1").Receipt)
 }
 
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -64,7 +64,7 @@
 // acknowledged then.
 func TestUnconfirmedGrantNeedsEveryMember(t *testing.T) {
 	b := newUnconfirmedBench(t)
-	b.group.SetReach("m2", membergroup.Down)
+	b.group.SetReachability("m2", membergroup.Down)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	a := b.run(s, statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
@@ -77,9 +77,9 @@
 	b := newUnconfirmedBench(t)
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
-	b.group.SetReach("m1", membergroup.Unresponsive) // cut off, so that it does not hear of its successor
+	b.group.SetReachability("m1", membergroup.Unresponsive) // cut off, so that it does not hear of its successor
 	must.NoError(t, b.group.Promote(t.Context(), "g", "m2", "other", 2))
-	b.group.SetReach("m1", membergroup.Reachable)
+	b.group.SetReachability("m1", membergroup.Reachable)
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 2 x").Err.Code, must.Sprint("the members verified the grant a moment ago"))
 	must.NotNil(t, b.run(s, statement.Read, "READ 1").Err)
 }
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -133,7 +133,7 @@
 // SetReachability changes whether a member can be reached. A replaced primary that
 // becomes reachable again turns into a replica: at once after being down, and after
 // stepDownDelay otherwise.
-func (g *Group) SetReach(id string, r Reachability) {
+func (g *Group) SetReachability(id string, r Reachability) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
--- a/internal/standin/membergroup/membergroup_test.go
+++ b/internal/standin/membergroup/membergroup_test.go
@@ -25,7 +25,7 @@
 	write("kept")
 	g.SetLagging("b", true)
 	write("cut")
-	g.SetReach("b", Unresponsive)
+	g.SetReachability("b", Unresponsive)
 	must.NoError(t, g.Promote(t.Context(), "g", "b", "leader", 1))
 	g.mu.Lock()
 	g.members["a"].primary = true // it does not know yet that it was replaced
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -123,14 +123,14 @@
 // afterwards.
 func reachabilityFault(reachability membergroup.Reachability) func(*run, *rand.Rand, time.Duration) {
 	return onMember(func(g *databaseGroup, id string, duration time.Duration) {
-		g.members.SetReach(id, reachability)
+		g.members.SetReachability(id, reachability)
 		if reachability == membergroup.Down {
 			g.proxies[id].Set(faultproxy.Fault{RefuseNew: true})
 			g.proxies[id].Reset()
 		}
 		time.Sleep(duration)
 		g.proxies[id].Set(faultproxy.Fault{})
-		g.members.SetReach(id, membergroup.Reachable)
+		g.members.SetReachability(id, membergroup.Reachable)
 	})
 }
 
