--- a/internal/relay/departure_test.go
+++ b/internal/relay/departure_test.go
@@ -102,7 +102,7 @@
 // works on: the write leaves the queue, its right is returned, and it never runs.
 func TestCallerLeavesWhileItsStatementWaitsHere(t *testing.T) {
 	b := newBench(t)
-	reached, release := b.group.Hold("m1")
+	reached, release := b.group.BlockStatements("m1")
 	up := b.relay.upstreams.get("m1")
 	up.pool.SetCapacity(1)
 	up.pool.SetMaxActive(1)
@@ -148,7 +148,7 @@
 // the right is returned; the carrier is not taken for silent.
 func TestCallerLeavesWhileItsStatementWaitsAtACarrier(t *testing.T) {
 	b := newBench(t)
-	reached, release := b.group.Hold("m1")
+	reached, release := b.group.BlockStatements("m1")
 	up := b.relay.upstreams.get("m1")
 	up.pool.SetCapacity(1)
 	up.pool.SetMaxActive(1)
@@ -181,7 +181,7 @@
 func TestCallerLeavesWhileTheMemberIsAtWork(t *testing.T) {
 	for _, carried := range []bool{false, true} {
 		b := newBench(t)
-		reached, release := b.group.Hold("m1")
+		reached, release := b.group.BlockStatements("m1")
 		book := newTokenBook()
 		b.relay.limiter = book
 		entry := b
@@ -220,7 +220,7 @@
 		for len(c.got()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		reached, release := b.group.Hold("m1")
+		reached, release := b.group.BlockStatements("m1")
 		c.queue <- write
 		<-reached
 		c.leave()
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -158,7 +158,7 @@
 
 // BlockStatements makes the statements that reach a member from now on wait until
 // release is called. reached receives an item for each waiting statement.
-func (g *Group) Hold(id string) (reached <-chan struct{}, release func()) {
+func (g *Group) BlockStatements(id string) (reached <-chan struct{}, release func()) {
 	h := &block{reached: make(chan struct{}, maxRuns), released: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
