--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -23,7 +23,7 @@
 func TestSilentConnectionCostsOneStatement(t *testing.T) {
 	b := newBench(t)
 	openTwo(t, b)
-	b.group.SilenceOpen("m1")
+	b.group.FreezeOpenConns("m1")
 	s := newSession(b.relay, Start{Database: "hurried"})
 	must.Eq(t, statement.Unknown, b.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
 	must.Eq(t, 0, b.relay.upstreams.get("m1").pool.Open())
@@ -33,7 +33,7 @@
 func TestReadOnSilentConnectionIsNotAnswered(t *testing.T) {
 	b := newBench(t)
 	openTwo(t, b)
-	b.group.SilenceOpen("m1")
+	b.group.FreezeOpenConns("m1")
 	a := b.run(newSession(b.relay, Start{Database: "hurried"}), statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("it reads, so that nothing is kept"))
 	must.Nil(t, b.run(newSession(b.relay, Start{Database: "strict"}), statement.Read, "READ 1").Err)
@@ -56,7 +56,7 @@
 			if c.wrote {
 				must.Nil(t, b.run(s, statement.Write, "WRITE 1 x").Err)
 			}
-			b.group.SilenceOpen("m1")
+			b.group.FreezeOpenConns("m1")
 			a := b.run(s, c.kind, "COMMIT")
 			must.Eq(t, c.want, a.Err.Code)
 			must.Eq(t, statement.Idle, a.State)
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -173,7 +173,7 @@
 
 // FreezeOpenConns makes a member stop answering on the connections that are open now.
 // They stay open; new connections work.
-func (g *Group) SilenceOpen(id string) {
+func (g *Group) FreezeOpenConns(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.members[id].conns {
