--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -102,9 +102,9 @@
 // Commit describes a committed write and what happened to it since.
 type Commit struct {
 	Write
-	Times int  // how often it was committed
-	Stale bool // it was committed by a primary that had already been replaced
-	Cut   bool // it is missing from the log of a later promoted member, or was committed by a replaced primary
+	Times   int  // how often it was committed
+	Stale   bool // it was committed by a primary that had already been replaced
+	Dropped bool // it is missing from the log of a later promoted member, or was committed by a replaced primary
 }
 
 // Promotion is a received promotion call.
@@ -351,7 +351,7 @@
 	}
 	for id, c := range g.commits {
 		if !kept[id] {
-			c.Cut = true
+			c.Dropped = true
 			g.commits[id] = c
 		}
 	}
@@ -511,7 +511,7 @@
 		w.Position = group.Position{Term: c.member.term, Index: uint64(len(c.member.log) + 1)}
 		c.member.log = append(c.member.log, w)
 		stale := c.group.currentPrimary() != c.member
-		c.group.commits[w.ID] = Commit{Write: w, Times: c.group.commits[w.ID].Times + 1, Stale: stale, Cut: stale}
+		c.group.commits[w.ID] = Commit{Write: w, Times: c.group.commits[w.ID].Times + 1, Stale: stale, Dropped: stale}
 	}
 	c.group.replicate()
 }
--- a/internal/standin/membergroup/membergroup_test.go
+++ b/internal/standin/membergroup/membergroup_test.go
@@ -32,8 +32,8 @@
 	g.mu.Unlock()
 	write("stale")
 	commits := g.Commits()
-	must.False(t, commits["kept"].Cut || commits["kept"].Stale)
-	must.True(t, commits["cut"].Cut)
+	must.False(t, commits["kept"].Dropped || commits["kept"].Stale)
+	must.True(t, commits["cut"].Dropped)
 	must.False(t, commits["cut"].Stale)
 	must.True(t, commits["stale"].Stale)
 }
--- a/internal/standin/soak/outcomes.go
+++ b/internal/standin/soak/outcomes.go
@@ -72,7 +72,7 @@
 	g.outcomes.mu.Lock()
 	defer g.outcomes.mu.Unlock()
 	for id := range g.outcomes.acknowledged {
-		if !kept[id] && !commits[id].Cut {
+		if !kept[id] && !commits[id].Dropped {
 			r.finding("group %s: write %s was acknowledged and is gone, though no promotion has dropped it", g.name, id)
 		}
 	}
