--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -389,7 +389,7 @@
 		c.must("WRITE 1 x", "T")
 	}
 	for n := range f.carriers() {
-		f.peers[n].SilenceOpen()
+		f.peers[n].FreezeOpenConns()
 	}
 	f.eventually("no connection is held", func() bool {
 		for n := range f.carriers() {
--- a/internal/relay/streams_test.go
+++ b/internal/relay/streams_test.go
@@ -91,7 +91,7 @@
 	c, carrier, proxy := newEcho(t)
 	close(carrier.hold)
 	stream := openSoon(t, c, proxy.Addr())
-	proxy.SilenceOpen()
+	proxy.FreezeOpenConns()
 	_, err := stream.ask(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
 	reply, err := openSoon(t, c, proxy.Addr()).ask(t.Context(), &relaypb.CarryRequest{Text: "again"}, long)
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -86,7 +86,7 @@
 
 // FreezeOpenConns stops forwarding on the connections that are open now without
 // closing them. New connections work.
-func (p *Proxy) SilenceOpen() {
+func (p *Proxy) FreezeOpenConns() {
 	for _, l := range p.openLinks() {
 		l.freezeOnce.Do(func() { close(l.frozen) })
 	}
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -158,7 +158,7 @@
 // freezeConns returns a fault that stops all traffic on the open connections of a proxy
 // without closing them.
 func freezeConns(pick func(*run, *rand.Rand) *faultproxy.Proxy) func(*run, *rand.Rand, time.Duration) {
-	return func(r *run, rnd *rand.Rand, _ time.Duration) { pick(r, rnd).SilenceOpen() }
+	return func(r *run, rnd *rand.Rand, _ time.Duration) { pick(r, rnd).FreezeOpenConns() }
 }
 
 // allFaults has all faults. They may occur at any time and overlap.
