--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -145,7 +145,7 @@
 }
 
 var (
-	partition       = faultproxy.Fault{HoldTo: true, HoldBack: true, HoldsOpens: true}
+	partition       = faultproxy.Fault{BlockToTarget: true, HoldBack: true, HoldsOpens: true}
 	oneWayPartition = faultproxy.Fault{HoldBack: true}
 	highLatency     = faultproxy.Fault{Delay: linkDelay}
 )
