--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -12,11 +12,11 @@
 
 // Fault is the fault injected into all connections, open and new ones.
 type Fault struct {
-	Delay         time.Duration // added to each read of up to 16 KiB, in each direction
-	BlockToTarget bool          // data to the target is kept back until the fault is cleared
-	HoldBack      bool          // data from the target is kept back until the fault is cleared
-	RefuseNew     bool          // new connections are reset at once
-	HoldsOpens    bool          // new connections are accepted, and the target is dialled only when the fault is cleared
+	Delay           time.Duration // added to each read of up to 16 KiB, in each direction
+	BlockToTarget   bool          // data to the target is kept back until the fault is cleared
+	BlockFromTarget bool          // data from the target is kept back until the fault is cleared
+	RefuseNew       bool          // new connections are reset at once
+	HoldsOpens      bool          // new connections are accepted, and the target is dialled only when the fault is cleared
 }
 
 // Proxy forwards connections to one target. It is safe for concurrent use.
@@ -169,7 +169,7 @@
 	var done sync.WaitGroup
 	done.Add(2)
 	go func() { defer done.Done(); p.pump(l, from, to, func(f Fault) bool { return f.BlockToTarget }) }()
-	go func() { defer done.Done(); p.pump(l, to, from, func(f Fault) bool { return f.HoldBack }) }()
+	go func() { defer done.Done(); p.pump(l, to, from, func(f Fault) bool { return f.BlockFromTarget }) }()
 	done.Wait()
 	p.mu.Lock()
 	delete(p.links, l)
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -145,8 +145,8 @@
 }
 
 var (
-	partition       = faultproxy.Fault{BlockToTarget: true, HoldBack: true, HoldsOpens: true}
-	oneWayPartition = faultproxy.Fault{HoldBack: true}
+	partition       = faultproxy.Fault{BlockToTarget: true, BlockFromTarget: true, HoldsOpens: true}
+	oneWayPartition = faultproxy.Fault{BlockFromTarget: true}
 	highLatency     = faultproxy.Fault{Delay: linkDelay}
 )
 
