--- a/internal/relay/streams_test.go
+++ b/internal/relay/streams_test.go
@@ -77,7 +77,7 @@
 	reply, err := stream.ask(t.Context(), &relaypb.CarryRequest{Text: "before"}, long)
 	must.NoError(t, err)
 	must.Eq(t, "before", reply.Receipt)
-	proxy.Set(faultproxy.Fault{BlockToTarget: true, BlockFromTarget: true, HoldsOpens: true})
+	proxy.Set(faultproxy.Fault{BlockToTarget: true, BlockFromTarget: true, StallNew: true})
 	_, err = stream.ask(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
 	other := lead.Instance{Name: "other", Address: "other"}
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -16,7 +16,7 @@
 	BlockToTarget   bool          // data to the target is kept back until the fault is cleared
 	BlockFromTarget bool          // data from the target is kept back until the fault is cleared
 	RefuseNew       bool          // new connections are reset at once
-	HoldsOpens      bool          // new connections are accepted, and the target is dialled only when the fault is cleared
+	StallNew        bool          // new connections are accepted, and the target is dialled only when the fault is cleared
 }
 
 // Proxy forwards connections to one target. It is safe for concurrent use.
@@ -139,7 +139,7 @@
 		if fault.RefuseNew {
 			return "", false
 		}
-		if !fault.HoldsOpens && target != "" {
+		if !fault.StallNew && target != "" {
 			return target, true
 		}
 		<-changed
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -145,7 +145,7 @@
 }
 
 var (
-	partition       = faultproxy.Fault{BlockToTarget: true, BlockFromTarget: true, HoldsOpens: true}
+	partition       = faultproxy.Fault{BlockToTarget: true, BlockFromTarget: true, StallNew: true}
 	oneWayPartition = faultproxy.Fault{BlockFromTarget: true}
 	highLatency     = faultproxy.Fault{Delay: linkDelay}
 )
