--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -257,7 +257,7 @@
 func TestForgottenHistoryIsReadAnew(t *testing.T) {
 	f := newFleet(t, 1)
 	f.store.Delete("members/m3")
-	f.store.Forget()
+	f.store.Compact()
 	config := testConfig()
 	config.Version = 2
 	config.Routes = config.Routes[:1]
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -69,7 +69,7 @@
 
 // Compact drops the event history. Watches from earlier revisions fail with
 // kv.ErrCompacted.
-func (s *Store) Forget() {
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.revision
--- a/internal/standin/soak/faults.go
+++ b/internal/standin/soak/faults.go
@@ -215,7 +215,7 @@
 		time.Sleep(duration)
 		r.platform.SetSlow(0)
 	}},
-	{"the store forgets its history", false, func(r *run, _ *rand.Rand, _ time.Duration) { r.store.Forget() }},
+	{"the store forgets its history", false, func(r *run, _ *rand.Rand, _ time.Duration) { r.store.Compact() }},
 	{"the store ends all leases", false, func(r *run, _ *rand.Rand, _ time.Duration) { r.platform.EndLeases() }},
 	{"the configuration changes", true, func(r *run, _ *rand.Rand, _ time.Duration) { r.putConfig() }},
 	{"a member drains and comes back", true, func(r *run, rnd *rand.Rand, duration time.Duration) {
