--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -15,7 +15,7 @@
 )
 
 // ErrAnswerLost is returned by a call that took effect but whose answer is lost.
-var ErrLost = errors.New("memstore: the answer was lost")
+var ErrAnswerLost = errors.New("memstore: the answer was lost")
 
 // Store is the state that all clients share. Leases do not expire by themselves;
 // EndLease ends one.
@@ -245,7 +245,7 @@
 	}
 	revision, err := c.store.commit(txn)
 	if c.losesAnswer() {
-		return 0, ErrLost
+		return 0, ErrAnswerLost
 	}
 	return revision, err
 }
--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -265,7 +265,7 @@
 		w.WriteHeader(http.StatusGone)
 	case errors.Is(err, kv.ErrNoLease):
 		w.WriteHeader(http.StatusNotFound)
-	case errors.Is(err, memstore.ErrLost):
+	case errors.Is(err, memstore.ErrAnswerLost):
 		panic(http.ErrAbortHandler)
 	default:
 		w.WriteHeader(http.StatusServiceUnavailable)
