--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -83,7 +83,7 @@
 	}
 	return soak.Run(ctx, soak.Options{
 		Binary: binary, Dir: folder, Seed: seed, Faults: cmd.Duration("faults"),
-		Instances: cmd.Int("instances"), Callers: cmd.Int("callers"), Planned: seed%plannedEvery == 0,
+		Instances: cmd.Int("instances"), Clients: cmd.Int("callers"), Planned: seed%plannedEvery == 0,
 	})
 }
 
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -31,7 +31,7 @@
 	Seed      uint64
 	Faults    time.Duration // how long faults are injected
 	Instances int
-	Callers   int
+	Clients   int
 	// Planned restricts the faults to planned work: stops, reloads, configuration
 	// changes and draining members. No request may be cut off then.
 	Planned bool
@@ -101,7 +101,7 @@
 	clientsCtx, stopClients := context.WithCancel(ctx)
 	defer stopClients()
 	var clients sync.WaitGroup
-	for n := range opts.Callers {
+	for n := range opts.Clients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
--- a/internal/standin/soak/soak_test.go
+++ b/internal/standin/soak/soak_test.go
@@ -33,7 +33,7 @@
 	for seed, cause := range failedSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			report, err := Run(t.Context(), Options{
-				Binary: binary, Dir: t.TempDir(), Seed: seed, Faults: faultsInTests, Instances: 4, Callers: 8,
+				Binary: binary, Dir: t.TempDir(), Seed: seed, Faults: faultsInTests, Instances: 4, Clients: 8,
 			})
 			must.NoError(t, err)
 			must.SliceEmpty(t, report.Findings, must.Sprintf("once: %s; faults: %v", cause, report.Faults))
