--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -47,7 +47,7 @@
 type Fleet struct {
 	Group     *pggroup.Group
 	Store     *kvservice.Service
-	Instances []*instance.Instance // nil entries: killed
+	Instances []*instance.Instance // nil entries: killed or not started yet
 	opts      Options
 	seeds     []membership.Instance
 	closeOnce sync.Once
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -14,7 +14,8 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// ErrAnswerLost is returned by a call that took effect but whose answer is lost.
+// ErrAnswerLost is returned by a commit whose answer is lost. The commit may have taken
+// effect.
 var ErrAnswerLost = errors.New("memstore: the answer was lost")
 
 // Store is the state that all clients share. Leases do not expire by themselves;
@@ -125,7 +126,7 @@
 // Faults are the faults injected into the calls of one client.
 type Faults struct {
 	Refuse     bool // every call fails without effect
-	LoseWrites int  // number of next commits that take effect but whose answer is lost
+	LoseWrites int  // number of next commits that run but whose answer is lost
 }
 
 // Client is one instance's client of the store, with its own faults. It implements
--- a/internal/standin/soak/client.go
+++ b/internal/standin/soak/client.go
@@ -16,9 +16,11 @@
 
 // Limits of the clients.
 const (
-	connectTimeout  = time.Second
-	answerTimeout   = 5 * time.Second // several times the statement timeout of the routes, after which no instance still works on the statement
-	maxTxStatements = 4               // statements per transaction
+	connectTimeout = time.Second
+	// answerTimeout is several times the statement timeout of the routes. After it no
+	// instance waits for the statement any more.
+	answerTimeout   = 5 * time.Second
+	maxTxStatements = 4 // statements per transaction
 	// minCutOffTime distinguishes a request that was cut off from one that was sent while
 	// the instance was closing the session in an orderly way: only a request that ran
 	// this long without an answer counts as cut.
