--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -71,12 +71,12 @@
 }
 
 func TestDeadPrimaryIsReplaced(t *testing.T) {
-	for name, reach := range map[string]membergroup.Reach{"refuses": membergroup.Dead, "silent": membergroup.Silent} {
+	for name, reach := range map[string]membergroup.Reachability{"refuses": membergroup.Down, "silent": membergroup.Unresponsive} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3)
 			c := f.startSession(0, "own")
 			c.writeUntilDone("before")
-			f.group.SetReach("m1", reach)
+			f.group.SetReachability("m1", reach)
 			c.writeUntilDone("after")
 			must.NotEq(t, "m1", f.group.Primary())
 			f.eventually("all use the new primary", func() bool { return f.allUsePrimary(f.group.Primary()) })
@@ -120,7 +120,7 @@
 	must.NonNegative(t, first)
 	f.storeClients[first].Set(memstore.Faults{Refuse: true})
 	f.store.EndLease(leaseOf(f.instances[first]))
-	f.group.SetReach("m1", membergroup.Dead)
+	f.group.SetReachability("m1", membergroup.Down)
 	f.startSession(first, "own").writeUntilDone("after")
 	promotions := f.group.Promotions()
 	must.Len(t, 1, promotions)
@@ -222,7 +222,7 @@
 	c := f.startSession(0, "strict")
 	c.must("BEGIN", "T")
 	c.must("WRITE 0 x", "T")
-	f.group.SetReach("m1", membergroup.Dead)
+	f.group.SetReachability("m1", membergroup.Down)
 	line, state := c.query("WRITE 1 x")
 	must.StrHasPrefix(t, "ERROR ABORTED", line)
 	must.Eq(t, "I", state)
@@ -250,7 +250,7 @@
 	for _, client := range f.storeClients {
 		client.Set(memstore.Faults{LoseWrites: 3})
 	}
-	f.group.SetReach("m1", membergroup.Dead)
+	f.group.SetReachability("m1", membergroup.Down)
 	f.startSession(1, "own").writeUntilDone("after")
 	must.Len(t, 1, f.group.Promotions())
 }
@@ -258,7 +258,7 @@
 func TestCompactedHistoryIsReadAgain(t *testing.T) {
 	f := newFleet(t, 1)
 	f.store.Delete("members/m3")
-	f.store.Forget()
+	f.store.Compact()
 	config := testConfig()
 	config.Version = 2
 	config.Routes = config.Routes[:1]
@@ -391,7 +391,7 @@
 		c.must("WRITE 1 x", "T")
 	}
 	for n := range f.carriers() {
-		f.peerProxies[n].SilenceOpen()
+		f.peerProxies[n].FreezeOpenConns()
 	}
 	f.eventually("no connection is held", func() bool {
 		for n := range f.carriers() {
--- a/internal/relay/carrier_streams_test.go
+++ b/internal/relay/carrier_streams_test.go
@@ -77,7 +77,7 @@
 	reply, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "before"}, long)
 	must.NoError(t, err)
 	must.Eq(t, "before", reply.Receipt)
-	proxy.Set(faultproxy.Fault{HoldTo: true, HoldBack: true, HoldsOpens: true})
+	proxy.Set(faultproxy.Fault{BlockToTarget: true, BlockFromTarget: true, StallNew: true})
 	_, err = stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
 	other := lead.Instance{Name: "other", Address: "other"}
@@ -90,7 +90,7 @@
 	c, carrier, proxy := newEchoCarrier(t)
 	close(carrier.release)
 	stream := openWithRetries(t, c, proxy.Addr())
-	proxy.SilenceOpen()
+	proxy.FreezeOpenConns()
 	_, err := stream.roundTrip(t.Context(), &relaypb.CarryRequest{Text: "lost"}, long)
 	must.Error(t, err)
 	reply, err := openWithRetries(t, c, proxy.Addr()).roundTrip(t.Context(), &relaypb.CarryRequest{Text: "again"}, long)
--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -102,7 +102,7 @@
 // leave the queue, its token must be returned, and it must never run.
 func TestClientDisconnectsWhileStatementIsQueued(t *testing.T) {
 	f := newFixture(t)
-	reached, release := f.group.Hold("m1")
+	reached, release := f.group.BlockStatements("m1")
 	upstream := f.relay.upstreams.get("m1")
 	upstream.pool.SetCapacity(1)
 	upstream.pool.SetMaxActive(1)
@@ -148,7 +148,7 @@
 // queue, its token must be returned, and the carrier must not count as unresponsive.
 func TestClientDisconnectsWhileStatementIsQueuedAtCarrier(t *testing.T) {
 	f := newFixture(t)
-	reached, release := f.group.Hold("m1")
+	reached, release := f.group.BlockStatements("m1")
 	upstream := f.relay.upstreams.get("m1")
 	upstream.pool.SetCapacity(1)
 	upstream.pool.SetMaxActive(1)
@@ -181,7 +181,7 @@
 func TestClientDisconnectsWhileMemberRunsStatement(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
 		f := newFixture(t)
-		reached, release := f.group.Hold("m1")
+		reached, release := f.group.BlockStatements("m1")
 		limiter := newRecordingLimiter()
 		f.relay.limiter = limiter
 		ingress := f
@@ -220,7 +220,7 @@
 		for len(c.receivedAnswers()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		reached, release := f.group.Hold("m1")
+		reached, release := f.group.BlockStatements("m1")
 		c.queue <- write
 		<-reached
 		c.disconnect()
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -144,7 +144,7 @@
 	s := newSession(f.relay, StartupRequest{Database: "bounded"})
 	must.Eq(t, "m1.x", f.run(s, statement.Read, "READ 1").Receipt, must.Sprint("no sample yet"))
 	must.Eq(t, "m2.x", f.run(s, statement.Read, "READ 1").Receipt)
-	f.group.SetReach("m2", membergroup.Dead)
+	f.group.SetReachability("m2", membergroup.Down)
 	must.Eq(t, "m1.x", f.run(s, statement.Read, "READ 1").Receipt)
 }
 
--- a/internal/relay/unresponsive_test.go
+++ b/internal/relay/unresponsive_test.go
@@ -23,7 +23,7 @@
 func TestUnresponsiveConnectionsCostOneStatement(t *testing.T) {
 	f := newFixture(t)
 	openTwoConns(t, f)
-	f.group.SilenceOpen("m1")
+	f.group.FreezeOpenConns("m1")
 	s := newSession(f.relay, StartupRequest{Database: "hurried"})
 	must.Eq(t, statement.OutcomeUnknown, f.run(s, statement.Write, "WRITE 1 x").Err.Code, must.Sprint("it may have run"))
 	must.Eq(t, 0, f.relay.upstreams.get("m1").pool.NumOpen())
@@ -33,7 +33,7 @@
 func TestReadOnUnresponsiveConnectionIsRefused(t *testing.T) {
 	f := newFixture(t)
 	openTwoConns(t, f)
-	f.group.SilenceOpen("m1")
+	f.group.FreezeOpenConns("m1")
 	a := f.run(newSession(f.relay, StartupRequest{Database: "hurried"}), statement.Read, "READ 1")
 	must.Eq(t, statement.Busy, a.Err.Code, must.Sprint("a read has no effect, so its outcome is not unknown"))
 	must.Nil(t, f.run(newSession(f.relay, StartupRequest{Database: "strict"}), statement.Read, "READ 1").Err)
@@ -56,7 +56,7 @@
 			if c.wrote {
 				must.Nil(t, f.run(s, statement.Write, "WRITE 1 x").Err)
 			}
-			f.group.SilenceOpen("m1")
+			f.group.FreezeOpenConns("m1")
 			a := f.run(s, c.kind, "COMMIT")
 			must.Eq(t, c.want, a.Err.Code)
 			must.Eq(t, statement.Idle, a.State)
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -64,7 +64,7 @@
 // then.
 func TestUnconfirmedGrantNeedsEveryMember(t *testing.T) {
 	f := newUnconfirmedFixture(t)
-	f.group.SetReach("m2", membergroup.Dead)
+	f.group.SetReachability("m2", membergroup.Down)
 	s := newSession(f.relay, StartupRequest{Database: "hurried"})
 	a := f.run(s, statement.Write, "WRITE 1 x")
 	must.Eq(t, statement.Busy, a.Err.Code)
@@ -77,9 +77,9 @@
 	f := newUnconfirmedFixture(t)
 	s := newSession(f.relay, StartupRequest{Database: "hurried"})
 	must.Nil(t, f.run(s, statement.Write, "WRITE 1 x").Err)
-	f.group.SetReach("m1", membergroup.Silent) // partitioned, so that it doesn't learn of its successor
+	f.group.SetReachability("m1", membergroup.Unresponsive) // partitioned, so that it doesn't learn of its successor
 	must.NoError(t, f.group.Promote(t.Context(), "g", "m2", "other", 2))
-	f.group.SetReach("m1", membergroup.Open)
+	f.group.SetReachability("m1", membergroup.Reachable)
 	must.Eq(t, statement.OutcomeUnknown, f.run(s, statement.Write, "WRITE 2 x").Err.Code, must.Sprint("the members verified the grant a moment ago"))
 	must.NotNil(t, f.run(s, statement.Read, "READ 1").Err)
 }
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy is a TCP proxy on loopback that harms what passes through it:
-// connections that are delayed, reset, cut one way or both, or silenced.
+// Package faultproxy is a TCP proxy on loopback that injects network faults: delays,
+// resets, partitions in one or both directions, and connections that stay open without
+// passing data.
 package faultproxy
 
 import (
@@ -9,37 +10,38 @@
 	"time"
 )
 
-// Fault is what happens to the bytes of all connections, old and new ones.
+// Fault is the fault injected into all connections, open and new ones.
 type Fault struct {
-	Delay      time.Duration // of each piece, in each direction
-	HoldTo     bool          // nothing reaches the target; it is held back until that ends
-	HoldBack   bool          // nothing comes back from it
-	RefuseNew  bool          // new connections are closed at once
-	HoldsOpens bool          // new connections are accepted and lead nowhere until that ends
+	Delay           time.Duration // added to each read of up to 16 KiB, in each direction
+	BlockToTarget   bool          // data to the target is kept back until the fault is cleared
+	BlockFromTarget bool          // data from the target is kept back until the fault is cleared
+	RefuseNew       bool          // new connections are reset at once
+	StallNew        bool          // new connections are accepted, and the target is dialled only when the fault is cleared
 }
 
-// Proxy passes connections on to one target. It is safe for concurrent use.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 
 	mu      sync.Mutex // guards the rest
-	target  string     // empty: it is not known yet
+	target  string     // empty: not set yet
 	fault   Fault
-	changed chan struct{} // closed, and replaced, when the fault changes
+	changed chan struct{} // closed and replaced when the fault or the target changes
 	links   map[*link]struct{}
 	closed  bool
 }
 
-// link is one connection through the proxy.
+// link is one proxied connection.
 type link struct {
-	from, to net.Conn
-	silent   chan struct{} // closed: nothing passes any more, in either direction
-	silence  sync.Once
-	ended    chan struct{} // closed: both ends are reset
-	end      sync.Once
+	from, to   net.Conn
+	frozen     chan struct{} // closed: no more data is forwarded in either direction
+	freezeOnce sync.Once
+	resetDone  chan struct{} // closed: both connections are reset
+	resetOnce  sync.Once
 }
 
-// New starts a proxy before a target. Without one connections wait for SetTarget.
+// New starts a proxy for a target. If the target is empty, connections wait for
+// SetTarget.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,47 +52,48 @@
 	return p, nil
 }
 
-// Addr returns the address under which the target is reached through the proxy.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections lead.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
-	p.wake()
+	p.notifyWaiters()
 }
 
-// wake has those that wait look again. The caller holds mu.
-func (p *Proxy) wake() {
+// notifyWaiters makes all waiters check the fault and the target again. The caller holds mu.
+func (p *Proxy) notifyWaiters() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Set changes what happens to all connections.
+// Set replaces the injected fault. The zero Fault clears it.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
-	p.wake()
+	p.notifyWaiters()
 }
 
-// Reset breaks all open connections.
+// Reset resets all open connections at both ends.
 func (p *Proxy) Reset() {
-	for _, l := range p.open() {
+	for _, l := range p.openLinks() {
 		l.reset()
 	}
 }
 
-// SilenceOpen lets nothing pass any more on the connections that are open now. New
-// ones work.
-func (p *Proxy) SilenceOpen() {
-	for _, l := range p.open() {
-		l.silence.Do(func() { close(l.silent) })
+// FreezeOpenConns stops forwarding on the connections that are open now without
+// closing them. New connections work.
+func (p *Proxy) FreezeOpenConns() {
+	for _, l := range p.openLinks() {
+		l.freezeOnce.Do(func() { close(l.frozen) })
 	}
 }
 
-func (p *Proxy) open() []*link {
+// openLinks returns the open links.
+func (p *Proxy) openLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var links []*link
@@ -100,16 +103,18 @@
 	return links
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed, p.fault = true, Fault{RefuseNew: true}
-	p.wake()
+	p.notifyWaiters()
 	p.mu.Unlock()
 	_ = p.listener.Close()
 	p.Reset()
 }
 
+// state returns the fault, the target, and a channel that is closed when either
+// changes.
 func (p *Proxy) state() (Fault, string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,22 +131,24 @@
 	}
 }
 
-// admit waits until a new connection may lead somewhere, and returns where.
-func (p *Proxy) admit() (string, bool) {
+// awaitTarget waits until a new connection may be forwarded and returns its target, or false
+// if new connections are refused.
+func (p *Proxy) awaitTarget() (string, bool) {
 	for {
 		fault, target, changed := p.state()
 		if fault.RefuseNew {
 			return "", false
 		}
-		if !fault.HoldsOpens && target != "" {
+		if !fault.StallNew && target != "" {
 			return target, true
 		}
 		<-changed
 	}
 }
 
+// serve forwards one connection in both directions until both have ended.
 func (p *Proxy) serve(from net.Conn) {
-	target, ok := p.admit()
+	target, ok := p.awaitTarget()
 	if !ok {
 		resetConn(from)
 		return
@@ -151,7 +158,7 @@
 		resetConn(from)
 		return
 	}
-	l := &link{from: from, to: to, silent: make(chan struct{}), ended: make(chan struct{})}
+	l := &link{from: from, to: to, frozen: make(chan struct{}), resetDone: make(chan struct{})}
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	closed := p.closed
@@ -161,24 +168,25 @@
 	}
 	var done sync.WaitGroup
 	done.Add(2)
-	go func() { defer done.Done(); p.pump(l, from, to, func(f Fault) bool { return f.HoldTo }) }()
-	go func() { defer done.Done(); p.pump(l, to, from, func(f Fault) bool { return f.HoldBack }) }()
+	go func() { defer done.Done(); p.pump(l, from, to, func(f Fault) bool { return f.BlockToTarget }) }()
+	go func() { defer done.Done(); p.pump(l, to, from, func(f Fault) bool { return f.BlockFromTarget }) }()
 	done.Wait()
 	p.mu.Lock()
 	delete(p.links, l)
 	p.mu.Unlock()
-	_, _ = from.Close(), to.Close() // both directions have ended
+	_, _ = from.Close(), to.Close() // nothing is left to forward
 }
 
-// pieceSize is how much passes at once.
-const pieceSize = 16 << 10
+// bufferSize is the largest amount of data forwarded at once, in bytes.
+const bufferSize = 16 << 10
 
-// pump passes bytes on in one direction until an end breaks.
-func (p *Proxy) pump(l *link, from, to net.Conn, holds func(Fault) bool) {
-	buf := make([]byte, pieceSize)
+// pump forwards data in one direction until a connection ends. blocked reports whether a
+// fault keeps data of this direction back.
+func (p *Proxy) pump(l *link, from, to net.Conn, blocked func(Fault) bool) {
+	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
-		if !p.pass(l, holds) {
+		if !p.awaitForwarding(l, blocked) {
 			return
 		}
 		if n > 0 {
@@ -189,26 +197,27 @@
 		}
 		if err != nil {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // the other direction may go on
+				_ = tcp.CloseWrite() // the other direction may continue
 			}
 			return
 		}
 	}
 }
 
-// pass waits until something may pass, and reports false when nothing will.
-func (p *Proxy) pass(l *link, holds func(Fault) bool) bool {
+// awaitForwarding waits until data may be forwarded, including the fault's delay. It returns
+// false when the link forwards no more data.
+func (p *Proxy) awaitForwarding(l *link, blocked func(Fault) bool) bool {
 	for {
 		fault, _, changed := p.state()
 		select {
-		case <-l.silent:
-			<-l.ended // the far end learns nothing
+		case <-l.frozen:
+			<-l.resetDone // until then the peers see neither data nor an end of the connection
 			return false
-		case <-l.ended:
+		case <-l.resetDone:
 			return false
 		default:
 		}
-		if !holds(fault) {
+		if !blocked(fault) {
 			if fault.Delay > 0 {
 				time.Sleep(fault.Delay)
 			}
@@ -216,22 +225,22 @@
 		}
 		select {
 		case <-changed:
-		case <-l.silent:
-		case <-l.ended:
+		case <-l.frozen:
+		case <-l.resetDone:
 		}
 	}
 }
 
-// reset breaks a link at both ends.
+// reset resets both connections of a link.
 func (l *link) reset() {
-	l.end.Do(func() {
-		close(l.ended)
+	l.resetOnce.Do(func() {
+		close(l.resetDone)
 		resetConn(l.from)
 		resetConn(l.to)
 	})
 }
 
-// resetConn closes a connection so that its far end sees a reset.
+// resetConn closes a connection with a TCP RST.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -1,7 +1,8 @@
-// Package membergroup is a stand-in for database groups as the users' platform
-// runs them: members with logs and terms, of which a promotion makes one the
-// primary while the old one goes on until it is told. It implements the ports
-// member.Dialer and lead.Promoter in memory.
+// Package membergroup is an in-memory stand-in for a database group of the platform.
+// Its members have a replicated log and a term. A promotion makes one of them the
+// primary; the previous primary keeps accepting writes until it can reach the new one.
+// The group implements member.Dialer and lead.Promoter for tests and the soak test,
+// injects faults, and records what became of every committed write.
 package membergroup
 
 import (
@@ -20,14 +21,14 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// Reach is how a member can be reached.
-type Reach int
+// Reachability says whether a member can be reached.
+type Reachability int
 
-// The ways.
+// The values of Reachability.
 const (
-	Open   Reach = iota
-	Dead         // connections are refused, and those that were open have ended
-	Silent       // nothing is heard
+	Reachable    Reachability = iota
+	Down                      // new connections are refused and open ones are closed
+	Unresponsive              // neither dials nor requests are answered
 )
 
 // Write is a committed write.
@@ -38,50 +39,50 @@
 	Text     string
 }
 
-// Run is a statement that reached a member on a connection of an account.
+// Run is a statement that reached a member, and the client account of its connection.
 type Run struct {
 	ID      string // of the statement
 	Member  string
 	Account string
 }
 
-// keptRuns bounds the runs that are kept.
-const keptRuns = 1 << 16
+// maxRuns bounds the runs that a group records.
+const maxRuns = 1 << 16
 
-// noteRun remembers a run. The caller holds mu.
-func (g *Group) noteRun(r Run) {
-	if len(g.runs) < keptRuns {
+// recordRun records a run, up to maxRuns of them. The caller holds mu.
+func (g *Group) recordRun(r Run) {
+	if len(g.runs) < maxRuns {
 		g.runs = append(g.runs, r)
 	}
 }
 
-// Runs returns the statements that reached the members, in order; the first 65,536.
+// Runs returns the first 65,536 statements that reached the members, in order.
 func (g *Group) Runs() []Run {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.runs)
 }
 
-// memberState is one member.
+// memberState is the state of one member. It is guarded by the group's mu.
 type memberState struct {
-	id      string
-	primary bool
-	term    uint64
-	log     []Write        // received
-	applied group.Position // end of what reads see; of a primary its whole log
-	reach   Reach
-	lagging bool // receives nothing
-	lose    int  // answers to lose after the work was done
-	fail    int  // statements to fail
-	ran     []string
-	conns   map[*conn]struct{}
-	held    *held // statements that reach it; nil: none
-}
-
-// held is how long the statements of a member take.
-type held struct {
-	reached chan struct{} // has an item for each that has come
-	ended   chan struct{} // closed when they may run
+	id             string
+	primary        bool
+	term           uint64
+	log            []Write        // received writes
+	applied        group.Position // log position that reads at a replica see; a primary's reads see its whole log
+	reachability   Reachability
+	lagging        bool // replication to it is stopped
+	loseAnswers    int  // number of next statements that run but are not answered
+	failStatements int  // number of next statements that fail
+	ran            []string
+	conns          map[*conn]struct{}
+	block          *block // blocks its statements; nil: they run
+}
+
+// block makes the statements of a member wait before they run.
+type block struct {
+	reached  chan struct{} // receives an item for each statement that waits
+	released chan struct{} // closed when the statements may run
 }
 
 // Group is one group. It is safe for concurrent use.
@@ -93,27 +94,27 @@
 	order      []string
 	nextTerm   uint64
 	promotions []Promotion
-	lag        time.Duration     // of the replicas, until they apply what they received
-	commits    map[string]Commit // all that ever took effect, by the statement's ID
-	runs       []Run             // bounded by keptRuns
+	lag        time.Duration     // delay until replicas apply received writes
+	commits    map[string]Commit // every write ever committed, by statement ID
+	runs       []Run             // at most maxRuns
 }
 
-// Commit is what became of a committed write.
+// Commit describes a committed write and what happened to it since.
 type Commit struct {
 	Write
-	Times int  // it was committed so often
-	Stale bool // it was committed by a member after another one had been promoted
-	Cut   bool // a promotion has dropped it
+	Times   int  // how often it was committed
+	Stale   bool // it was committed by a primary that had already been replaced
+	Dropped bool // it is missing from the log of a later promoted member, or was committed by a replaced primary
 }
 
-// Promotion is a call that was made to promote a member.
+// Promotion is a received promotion call.
 type Promotion struct {
 	Member       string
 	Instance     string
 	FencingToken uint64
 }
 
-// New returns a group whose first member leads.
+// New returns a group whose first member is the primary, in term 1.
 func New(name string, ids ...string) *Group {
 	g := &Group{name: name, members: make(map[string]*memberState), order: ids, nextTerm: 2, commits: make(map[string]Commit)}
 	for i, id := range ids {
@@ -122,82 +123,85 @@
 	return g
 }
 
-// Entry returns a member's entry as it would describe itself.
+// Entry returns a member's entry in the topology, with its current role.
 func (g *Group) Entry(id string) topology.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return topology.Member{ID: id, Group: g.name, Address: id, Primary: g.members[id].primary, Slots: 3}
 }
 
-// SetReach changes how a member can be reached.
-func (g *Group) SetReach(id string, r Reach) {
+// SetReachability changes whether a member can be reached. A replaced primary that
+// becomes reachable again turns into a replica: at once after being down, and after
+// stepDownDelay otherwise.
+func (g *Group) SetReachability(id string, r Reachability) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[id]
-	before := m.reach
-	m.reach = r
+	before := m.reachability
+	m.reachability = r
 	switch {
-	case r == Dead:
+	case r == Down:
 		for c := range m.conns {
 			c.closed = true
 		}
 		clear(m.conns)
-	case r == Open && before == Dead:
-		g.yield(m) // it starts, and finds out who leads
-	case r == Open && before == Silent:
-		time.AfterFunc(yieldAfter, func() {
+	case r == Reachable && before == Down:
+		g.stepDownIfReplaced(m) // a restarted member learns who is primary before it serves
+	case r == Reachable && before == Unresponsive:
+		time.AfterFunc(stepDownDelay, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			g.yield(m)
+			g.stepDownIfReplaced(m)
 		})
 	}
 }
 
-// Hold has the statements that reach a member from now on run only once release is
-// called. reached has an item for each that has come.
-func (g *Group) Hold(id string) (reached <-chan struct{}, release func()) {
-	h := &held{reached: make(chan struct{}, keptRuns), ended: make(chan struct{})}
+// BlockStatements makes the statements that reach a member from now on wait until
+// release is called. reached receives an item for each waiting statement.
+func (g *Group) BlockStatements(id string) (reached <-chan struct{}, release func()) {
+	h := &block{reached: make(chan struct{}, maxRuns), released: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].held = h
+	g.members[id].block = h
 	return h.reached, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.members[id].held = nil
-		close(h.ended)
+		g.members[id].block = nil
+		close(h.released)
 	}
 }
 
-// SilenceOpen lets nothing be heard any more on a member's open connections. New ones
-// work.
-func (g *Group) SilenceOpen(id string) {
+// FreezeOpenConns makes a member stop answering on the connections that are open now.
+// They stay open; new connections work.
+func (g *Group) FreezeOpenConns(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.members[id].conns {
-		c.silent = true
+		c.frozen = true
 	}
 }
 
-// yieldAfter is for how long an old primary carries on once it can reach the new one.
-const yieldAfter = time.Second
+// stepDownDelay is how long a replaced primary keeps acting as primary after it can
+// reach the new one again.
+const stepDownDelay = time.Second
 
-// yield makes a member a replica if another was promoted. The caller holds mu.
-func (g *Group) yield(m *memberState) {
-	if m.reach == Open && m.primary && g.leader() != m {
+// stepDownIfReplaced makes a primary a replica if another member has been promoted.
+// The caller holds mu.
+func (g *Group) stepDownIfReplaced(m *memberState) {
+	if m.reachability == Reachable && m.primary && g.currentPrimary() != m {
 		m.primary = false
 	}
 	g.replicate()
 }
 
-// Commits returns what became of every write that was committed, by the ID of its
-// statement.
+// Commits returns all writes that were ever committed, by statement ID.
 func (g *Group) Commits() map[string]Commit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return maps.Clone(g.commits)
 }
 
-// Committed returns what became of one write.
+// Committed returns the commit of one statement, and whether there is one.
 func (g *Group) Committed(id string) (Commit, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,14 +209,14 @@
 	return c, ok
 }
 
-// SetLag has replicas apply what they received that much later.
+// SetLag sets the delay between receiving and applying writes at replicas.
 func (g *Group) SetLag(lag time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lag = lag
 }
 
-// SetLagging stops a replica from receiving, or lets it catch up.
+// SetLagging stops replication to a replica, or resumes it and lets it catch up.
 func (g *Group) SetLagging(id string, lagging bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -220,78 +224,82 @@
 	g.replicate()
 }
 
-// LoseAnswers has a member do the work of its next n statements in silence.
+// LoseAnswers makes a member run its next n statements without answering them.
 func (g *Group) LoseAnswers(id string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].lose = n
+	g.members[id].loseAnswers = n
 }
 
-// FailStatements has a member fail its next n statements.
+// FailStatements makes the next n statements at a member fail without effect.
 func (g *Group) FailStatements(id string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].fail = n
+	g.members[id].failStatements = n
 }
 
-// Primary returns the member that leads in the newest term.
+// Primary returns the primary with the highest term.
 func (g *Group) Primary() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leader().id
+	return g.currentPrimary().id
 }
 
 // Log returns the log of the primary.
 func (g *Group) Log() []Write {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Write(nil), g.leader().log...)
+	return append([]Write(nil), g.currentPrimary().log...)
 }
 
-// Ran returns the texts that a member ran, configuration included.
+// Ran returns the texts of the statements that a member ran, each followed by the
+// number of session values and the values.
 func (g *Group) Ran(id string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]string(nil), g.members[id].ran...)
 }
 
-// Promotions returns the calls that were made.
+// Promotions returns the promotion calls received so far.
 func (g *Group) Promotions() []Promotion {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Promotion(nil), g.promotions...)
 }
 
-func (g *Group) leader() *memberState {
-	var leader *memberState
+// currentPrimary returns the primary with the highest term, or the first member if there is
+// no primary. The caller holds mu.
+func (g *Group) currentPrimary() *memberState {
+	var primary *memberState
 	for _, id := range g.order {
-		if m := g.members[id]; m.primary && (leader == nil || leader.term < m.term) {
-			leader = m
+		if m := g.members[id]; m.primary && (primary == nil || primary.term < m.term) {
+			primary = m
 		}
 	}
-	if leader == nil {
+	if primary == nil {
 		return g.members[g.order[0]]
 	}
-	return leader
+	return primary
 }
 
-// replicate brings the replicas up to date. The caller holds mu.
+// replicate copies the primary's log to the reachable replicas, unless the primary
+// itself cannot be reached. The caller holds mu.
 func (g *Group) replicate() {
-	leader := g.leader()
-	if leader.reach != Open || !leader.primary {
+	primary := g.currentPrimary()
+	if primary.reachability != Reachable || !primary.primary {
 		return
 	}
 	for _, m := range g.members {
-		if !m.primary && !m.lagging && m.reach == Open {
-			m.log = append([]Write(nil), leader.log...)
-			m.term = leader.term
+		if !m.primary && !m.lagging && m.reachability == Reachable {
+			m.log = append([]Write(nil), primary.log...)
+			m.term = primary.term
 			g.apply(m)
 		}
 	}
 }
 
-// apply has a replica's reads see what it has received, once the lag is over. The
-// caller holds mu.
+// apply makes received writes visible to reads at a replica once the lag has passed.
+// The caller holds mu.
 func (g *Group) apply(m *memberState) {
 	end := group.Position{Term: m.term, Index: uint64(len(m.log))}
 	if g.lag == 0 {
@@ -307,24 +315,26 @@
 	})
 }
 
-// Promote implements lead.Promoter.
+// Promote implements lead.Promoter. It succeeds without effect if the member is a
+// primary already.
 func (g *Group) Promote(_ context.Context, _, id, instance string, token uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.promotions = append(g.promotions, Promotion{Member: id, Instance: instance, FencingToken: token})
 	m := g.members[id]
-	if m == nil || m.reach == Dead {
+	if m == nil || m.reachability == Down {
 		return fmt.Errorf("member %s is not running", id)
 	}
 	if m.primary {
 		return nil
 	}
-	g.cutAllBut(m.log)
+	g.dropAllBut(m.log)
 	m.primary, m.term = true, g.nextTerm
 	g.nextTerm++
 	for _, other := range g.members {
-		// The old primary stops once it reaches the new one.
-		if other != m && other.primary && other.reach == Open {
+		// A reachable old primary steps down; an unreachable one keeps its role until
+		// it is reachable again.
+		if other != m && other.primary && other.reachability == Reachable {
 			other.primary = false
 		}
 	}
@@ -332,15 +342,16 @@
 	return nil
 }
 
-// cutAllBut notes what a promotion of a member with a log drops. The caller holds mu.
-func (g *Group) cutAllBut(log []Write) {
+// dropAllBut marks the commits that are missing from the log of a promoted member as
+// dropped. The caller holds mu.
+func (g *Group) dropAllBut(log []Write) {
 	kept := make(map[string]bool, len(log))
 	for _, w := range log {
 		kept[w.ID] = true
 	}
 	for id, c := range g.commits {
 		if !kept[id] {
-			c.Cut = true
+			c.Dropped = true
 			g.commits[id] = c
 		}
 	}
@@ -350,52 +361,53 @@
 func (g *Group) Dial(ctx context.Context, m topology.Member, account string) (member.Conn, error) {
 	g.mu.Lock()
 	state := g.members[m.ID]
-	if state == nil || state.reach == Dead {
+	if state == nil || state.reachability == Down {
 		g.mu.Unlock()
 		return nil, fmt.Errorf("dial %s: %w", m.ID, syscall.ECONNREFUSED)
 	}
-	if state.reach == Silent {
+	if state.reachability == Unresponsive {
 		g.mu.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	defer g.mu.Unlock()
-	c := &conn{group: g, member: state, account: account, state: statement.Idle, values: make(map[string]string), names: make(map[string]member.Prepared)}
+	c := &conn{group: g, member: state, account: account, state: statement.Idle, values: make(map[string]string), prepared: make(map[string]member.Prepared)}
 	state.conns[c] = struct{}{}
 	return c, nil
 }
 
 // conn implements member.Conn. Its fields are guarded by the group's mu.
 type conn struct {
-	group   *Group
-	member  *memberState
-	account string // that it was opened for
-	closed  bool
-	silent  bool // nothing is heard on it any more, while new ones work
-	state   statement.State
-	writes  []Write // of the open transaction
-	reads   bool    // the transaction only reads
-	values  map[string]string
-	names   map[string]member.Prepared
-}
-
-// enter locks the group for a call. An error means that the connection broke, and
-// the group is not locked.
+	group    *Group
+	member   *memberState
+	account  string // the client account that it was opened for
+	closed   bool
+	frozen   bool // requests on it get no answer; new connections work
+	state    statement.State
+	writes   []Write // of the open transaction
+	readOnly bool    // the transaction is read-only
+	values   map[string]string
+	prepared map[string]member.Prepared
+}
+
+// enter locks the group for a request. If the connection is broken or gets no answers
+// it returns an error and leaves the group unlocked.
 func (c *conn) enter(deadline time.Time) error {
 	c.group.mu.Lock()
-	if c.closed || c.member.reach == Dead {
+	if c.closed || c.member.reachability == Down {
 		c.group.mu.Unlock()
 		return fmt.Errorf("%w: closed", member.ErrBroken)
 	}
-	if c.member.reach == Silent || c.silent {
+	if c.member.reachability == Unresponsive || c.frozen {
 		c.group.mu.Unlock()
-		return silence(deadline)
+		return timeOut(deadline)
 	}
 	return nil
 }
 
-// silence waits for the deadline, as a read from a silent far end does.
-func silence(deadline time.Time) error {
+// timeOut waits until the deadline, like a read from an unresponsive member, and
+// returns the resulting error.
+func timeOut(deadline time.Time) error {
 	time.Sleep(time.Until(deadline))
 	return fmt.Errorf("%w: %w", member.ErrBroken, context.DeadlineExceeded)
 }
@@ -405,42 +417,43 @@
 	if err := c.enter(req.Deadline); err != nil {
 		return statement.Answer{}, err
 	}
-	if h := c.member.held; h != nil {
+	if h := c.member.block; h != nil {
 		c.group.mu.Unlock()
 		h.reached <- struct{}{}
-		<-h.ended
+		<-h.released
 		c.group.mu.Lock()
 	}
 	answer := c.run(req)
-	c.group.noteRun(Run{ID: req.Statement.ID, Member: c.member.id, Account: c.account})
-	lost := c.member.lose > 0
+	c.group.recordRun(Run{ID: req.Statement.ID, Member: c.member.id, Account: c.account})
+	lost := c.member.loseAnswers > 0
 	if lost {
-		c.member.lose--
+		c.member.loseAnswers--
 	}
 	c.group.mu.Unlock()
 	if lost {
-		return statement.Answer{}, silence(req.Deadline)
+		return statement.Answer{}, timeOut(req.Deadline)
 	}
 	return answer, nil
 }
 
+// run executes a statement and returns its answer. The caller holds the group's mu.
 func (c *conn) run(req member.Request) statement.Answer {
 	st, m := req.Statement, c.member
-	if m.fail > 0 {
-		m.fail--
+	if m.failStatements > 0 {
+		m.failStatements--
 		return c.answer(statement.StatementFailed, m.id)
 	}
 	text := st.Text
 	writes := st.Kind == statement.Write
 	if st.Kind == statement.Execute {
-		prepared, ok := c.names[req.Name]
+		prepared, ok := c.prepared[req.Name]
 		if !ok {
 			return c.answer(statement.Unprepared, "")
 		}
 		writes = prepared.Writes
 		text = prepared.Shape + " " + st.Args
 	}
-	if c.end().Less(req.After) {
+	if c.visiblePosition().Less(req.After) {
 		return c.answer(statement.Lagging, "")
 	}
 	switch st.Kind {
@@ -448,7 +461,7 @@
 		if st.Kind == statement.Begin && !m.primary {
 			return c.answer(statement.ReadOnly, m.id)
 		}
-		c.state, c.reads, c.writes = statement.InTransaction, st.Kind == statement.BeginRead, nil
+		c.state, c.readOnly, c.writes = statement.InTransaction, st.Kind == statement.BeginRead, nil
 	case statement.Commit, statement.Rollback:
 		if st.Kind == statement.Commit && c.state == statement.InTransaction {
 			if len(c.writes) > 0 && !m.primary {
@@ -491,31 +504,35 @@
 	return strings.Join(parts, ",")
 }
 
+// commit appends writes to the member's log. A write that a replaced primary commits is
+// marked as stale and dropped. The caller holds the group's mu.
 func (c *conn) commit(writes []Write) {
 	for _, w := range writes {
 		w.Position = group.Position{Term: c.member.term, Index: uint64(len(c.member.log) + 1)}
 		c.member.log = append(c.member.log, w)
-		stale := c.group.leader() != c.member
-		c.group.commits[w.ID] = Commit{Write: w, Times: c.group.commits[w.ID].Times + 1, Stale: stale, Cut: stale}
+		stale := c.group.currentPrimary() != c.member
+		c.group.commits[w.ID] = Commit{Write: w, Times: c.group.commits[w.ID].Times + 1, Stale: stale, Dropped: stale}
 	}
 	c.group.replicate()
 }
 
-// end returns the end of the log that reads of the member see.
-func (c *conn) end() group.Position {
+// visiblePosition returns the log position that reads at the member see.
+func (c *conn) visiblePosition() group.Position {
 	if c.member.primary {
-		return c.received()
+		return c.receivedPosition()
 	}
 	return c.member.applied
 }
 
-// received returns the end of the member's log.
-func (c *conn) received() group.Position {
+// receivedPosition returns the log position of the last write that the member received.
+func (c *conn) receivedPosition() group.Position {
 	return group.Position{Term: c.member.term, Index: uint64(len(c.member.log))}
 }
 
+// answer returns an answer with the connection's state and position, and with an error
+// unless code is 0.
 func (c *conn) answer(code statement.Code, detail string) statement.Answer {
-	a := statement.Answer{State: c.state, Position: c.end()}
+	a := statement.Answer{State: c.state, Position: c.visiblePosition()}
 	if code != 0 {
 		a.Err = &statement.Error{Code: code, Detail: detail}
 	}
@@ -530,13 +547,13 @@
 	defer c.group.mu.Unlock()
 	if reset {
 		clear(c.values)
-		clear(c.names)
+		clear(c.prepared)
 	}
 	for _, v := range values {
 		c.values[v.Name] = v.Value
 	}
 	for _, p := range prepared {
-		c.names[p.Name] = p
+		c.prepared[p.Name] = p
 	}
 	return nil
 }
@@ -557,7 +574,7 @@
 		return member.Status{}, err
 	}
 	defer c.group.mu.Unlock()
-	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.received()}, nil
+	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.receivedPosition()}, nil
 }
 
 // StepDown implements member.Conn.
@@ -569,10 +586,10 @@
 	if c.member.primary && c.member.term < term {
 		c.member.primary = false
 	}
-	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.received()}, nil
+	return member.Status{Primary: c.member.primary, Term: c.member.term, Received: c.receivedPosition()}, nil
 }
 
-// Silent implements member.Conn.
+// IsIdle implements member.Conn.
 func (c *conn) IsIdle() bool {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
--- a/internal/standin/membergroup/membergroup_test.go
+++ b/internal/standin/membergroup/membergroup_test.go
@@ -12,8 +12,9 @@
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
-// What is committed by a replaced primary, and what a promotion drops, is told.
-func TestStaleAndCutCommits(t *testing.T) {
+// Commits by a replaced primary are reported as stale, and commits that a promotion
+// loses as dropped.
+func TestStaleAndDroppedCommits(t *testing.T) {
 	g := New("g", "a", "b")
 	conn, err := g.Dial(t.Context(), topology.Member{ID: "a"}, account.Anonymous)
 	must.NoError(t, err)
@@ -24,15 +25,15 @@
 	write("kept")
 	g.SetLagging("b", true)
 	write("cut")
-	g.SetReach("b", Silent)
+	g.SetReachability("b", Unresponsive)
 	must.NoError(t, g.Promote(t.Context(), "g", "b", "leader", 1))
 	g.mu.Lock()
-	g.members["a"].primary = true // it has not heard of its successor
+	g.members["a"].primary = true // it does not know yet that it was replaced
 	g.mu.Unlock()
 	write("stale")
 	commits := g.Commits()
-	must.False(t, commits["kept"].Cut || commits["kept"].Stale)
-	must.True(t, commits["cut"].Cut)
+	must.False(t, commits["kept"].Dropped || commits["kept"].Stale)
+	must.True(t, commits["cut"].Dropped)
 	must.False(t, commits["cut"].Stale)
 	must.True(t, commits["stale"].Stale)
 }
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -1,6 +1,6 @@
-// Package memstore is a stand-in for the platform's store, in memory, with the
-// faults that the platform's page names: calls that are refused, calls whose
-// answer is lost, history that is forgotten, and leases that end.
+// Package memstore is an in-memory stand-in for the platform's store. It injects the
+// faults that the platform documents: rejected calls, writes whose answer is lost,
+// compacted history and ended leases.
 package memstore
 
 import (
@@ -14,20 +14,22 @@
 	"github.com/stackspindle/stackspindle/internal/kv"
 )
 
-// ErrLost is what a call gets whose answer is lost.
-var ErrLost = errors.New("memstore: the answer was lost")
+// ErrAnswerLost is returned by a commit whose answer is lost. The commit may have taken
+// effect.
+var ErrAnswerLost = errors.New("memstore: the answer was lost")
 
-// Store holds the items. Leases do not run out by themselves: EndLease ends one.
+// Store is the state that all clients share. Leases do not expire by themselves;
+// EndLease ends one.
 type Store struct {
-	mu        sync.Mutex // guards all below
-	revision  int64
-	compacted int64 // events up to this revision are forgotten
-	items     map[string]kv.Item
-	events    []kv.Event
-	leases    map[kv.LeaseID]bool
-	nextLease kv.LeaseID
-	watching  int // watches that wait
-	changed   chan struct{}
+	mu             sync.Mutex // guards all below
+	revision       int64
+	compacted      int64 // events up to this revision are gone
+	items          map[string]kv.Item
+	events         []kv.Event
+	leases         map[kv.LeaseID]bool
+	nextLease      kv.LeaseID
+	pendingWatches int           // number of pending watch calls
+	changed        chan struct{} // closed and replaced at each change
 }
 
 // New returns an empty store.
@@ -35,53 +37,55 @@
 	return &Store{items: make(map[string]kv.Item), leases: make(map[kv.LeaseID]bool), changed: make(chan struct{})}
 }
 
-// Put writes a key from outside, as operators and members do.
+// Put writes a key directly, as operators and members do. No fault applies.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.put(kv.Put{Key: key, Value: value})
-	s.wake()
+	s.notifyWatches()
 }
 
-// Delete removes a key from outside.
+// Delete removes a key directly. No fault applies.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Watching returns how many watches wait for a change.
+// Watching returns the number of pending watch calls.
 func (s *Store) Watching() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.watching
+	return s.pendingWatches
 }
 
-func (s *Store) addWatching(n int) {
+func (s *Store) addPendingWatches(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watching += n
+	s.pendingWatches += n
 }
 
-// Forget drops the history.
-func (s *Store) Forget() {
+// Compact drops the event history. Watches from earlier revisions fail with
+// kv.ErrCompacted.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.revision
 	s.events = nil
-	s.wake()
+	s.notifyWatches()
 }
 
-// EndLease ends a lease with its keys, as when it was not renewed.
+// EndLease ends a lease and removes its keys, as when it expires.
 func (s *Store) EndLease(id kv.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLease(id)
 }
 
+// endLease is EndLease for callers that hold mu.
 func (s *Store) endLease(id kv.LeaseID) {
 	if !s.leases[id] {
 		return
@@ -93,16 +97,18 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// put, remove and wake are called with mu held, after the revision was raised.
+// put writes an item at the current revision. Callers of put, remove and notifyWatches
+// hold mu and have incremented the revision.
 func (s *Store) put(p kv.Put) {
 	item := kv.Item{Key: p.Key, Value: slices.Clone(p.Value), Revision: s.revision, Lease: p.Lease}
 	s.items[p.Key] = item
 	s.events = append(s.events, kv.Event{Item: item})
 }
 
+// remove deletes an item, if it exists, at the current revision.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -111,18 +117,20 @@
 	s.events = append(s.events, kv.Event{Item: kv.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Store) wake() {
+// notifyWatches notifies pending watches of a change.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Faults are what goes wrong between one client and the store.
+// Faults are the faults injected into the calls of one client.
 type Faults struct {
-	Refuse     bool // every call is refused and does nothing
-	LoseWrites int  // so many writes take effect and their answer is lost
+	Refuse     bool // every call fails without effect
+	LoseWrites int  // number of next commits that run but whose answer is lost
 }
 
-// Client is one instance's way to the store. It implements kv.Store.
+// Client is one instance's client of the store, with its own faults. It implements
+// kv.Store.
 type Client struct {
 	store *Store
 
@@ -130,17 +138,17 @@
 	faults Faults
 }
 
-// Client returns a way to the store with faults of its own.
+// Client returns a new client without faults.
 func (s *Store) Client() *Client { return &Client{store: s} }
 
-// Set changes what goes wrong.
+// Set replaces the injected faults.
 func (c *Client) Set(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = f
 }
 
-func (c *Client) refused() error {
+func (c *Client) unavailable() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.Refuse {
@@ -149,8 +157,8 @@
 	return nil
 }
 
-// loses reports whether the answer of this write is to be lost.
-func (c *Client) loses() bool {
+// losesAnswer reports whether the answer to this commit is lost, and counts it.
+func (c *Client) losesAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.LoseWrites == 0 {
@@ -162,7 +170,7 @@
 
 // List implements kv.Store.
 func (c *Client) List(_ context.Context, prefix string) ([]kv.Item, int64, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return nil, 0, err
 	}
 	s := c.store
@@ -181,13 +189,13 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]kv.Event, int64, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	c.store.addWatching(1)
-	defer c.store.addWatching(-1)
+	c.store.addPendingWatches(1)
+	defer c.store.addPendingWatches(-1)
 	for {
-		if err := c.refused(); err != nil {
+		if err := c.unavailable(); err != nil {
 			return nil, 0, err
 		}
-		events, revision, changed, err := c.store.since(prefix, after)
+		events, revision, changed, err := c.store.eventsSince(prefix, after)
 		if err != nil || len(events) > 0 {
 			return events, revision, err
 		}
@@ -201,7 +209,9 @@
 	}
 }
 
-func (s *Store) since(prefix string, after int64) ([]kv.Event, int64, chan struct{}, error) {
+// eventsSince returns the events under a prefix after a revision, the current revision, and
+// a channel that is closed at the next change.
+func (s *Store) eventsSince(prefix string, after int64) ([]kv.Event, int64, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compacted {
@@ -218,7 +228,7 @@
 
 // Get implements kv.Store.
 func (c *Client) Get(_ context.Context, key string) (kv.Item, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return kv.Item{}, err
 	}
 	c.store.mu.Lock()
@@ -231,16 +241,17 @@
 
 // Commit implements kv.Store.
 func (c *Client) Commit(_ context.Context, txn kv.Txn) (int64, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return 0, err
 	}
 	revision, err := c.store.commit(txn)
-	if c.loses() {
-		return 0, ErrLost
+	if c.losesAnswer() {
+		return 0, ErrAnswerLost
 	}
 	return revision, err
 }
 
+// commit applies a transaction if all its preconditions hold and its leases exist.
 func (s *Store) commit(txn kv.Txn) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,13 +276,13 @@
 	for _, key := range txn.Delete {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	return s.revision, nil
 }
 
 // Grant implements kv.Store.
 func (c *Client) Grant(_ context.Context, ttl time.Duration) (kv.Lease, error) {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return kv.Lease{}, err
 	}
 	c.store.mu.Lock()
@@ -283,7 +294,7 @@
 
 // Renew implements kv.Store.
 func (c *Client) Renew(_ context.Context, id kv.LeaseID) error {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return err
 	}
 	c.store.mu.Lock()
@@ -296,7 +307,7 @@
 
 // Revoke implements kv.Store.
 func (c *Client) Revoke(_ context.Context, id kv.LeaseID) error {
-	if err := c.refused(); err != nil {
+	if err := c.unavailable(); err != nil {
 		return err
 	}
 	c.store.EndLease(id)
--- a/internal/standin/pggroup/eval.go
+++ b/internal/standin/pggroup/eval.go
@@ -9,7 +9,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// Type identifiers of PostgreSQL's catalogue.
+// Type OIDs of PostgreSQL's catalogue.
 const (
 	oidBool = 16
 	oidInt8 = 20
@@ -17,7 +17,7 @@
 	oidText = 25
 )
 
-// pgError is an error with its SQLSTATE.
+// pgError is an error with an SQLSTATE code.
 type pgError struct {
 	code    string
 	message string
@@ -32,15 +32,16 @@
 	return &pgError{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// env is what an expression may refer to.
-type env struct {
+// evalContext is the context in which an expression is evaluated.
+type evalContext struct {
 	table  *table
 	row    []any
 	params []any
 	sess   *session
 }
 
-func (e *env) eval(node *pgquery.Node) (any, error) {
+// eval returns the value of an expression: int64, bool, string or nil for NULL.
+func (e *evalContext) eval(node *pgquery.Node) (any, error) {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AConst:
 		return constValue(n.AConst), nil
@@ -84,7 +85,8 @@
 	return nil
 }
 
-func (e *env) column(ref *pgquery.ColumnRef) (any, error) {
+// column returns the value of a column in the current row, or nil without a row.
+func (e *evalContext) column(ref *pgquery.ColumnRef) (any, error) {
 	name := ref.Fields[len(ref.Fields)-1].GetString_().GetSval()
 	if e.table == nil {
 		return nil, sqlError("42703", "column %q does not exist", name)
@@ -99,7 +101,7 @@
 	return e.row[i], nil
 }
 
-func (e *env) operator(expr *pgquery.A_Expr) (any, error) {
+func (e *evalContext) operator(expr *pgquery.A_Expr) (any, error) {
 	left, err := e.eval(expr.Lexpr)
 	if err != nil {
 		return nil, err
@@ -111,10 +113,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return operate(expr.Name[0].GetString_().GetSval(), left, right)
+	return applyOperator(expr.Name[0].GetString_().GetSval(), left, right)
 }
 
-func (e *env) in(left any, items []*pgquery.Node) (any, error) {
+func (e *evalContext) in(left any, items []*pgquery.Node) (any, error) {
 	for _, item := range items {
 		v, err := e.eval(item)
 		if err != nil {
@@ -127,7 +129,8 @@
 	return false, nil
 }
 
-func operate(op string, left, right any) (any, error) {
+// applyOperator applies a binary operator. It returns nil if an operand is nil.
+func applyOperator(op string, left, right any) (any, error) {
 	if left == nil || right == nil {
 		return nil, nil
 	}
@@ -156,28 +159,28 @@
 	case "*":
 		return a * b, nil
 	case "%":
-		return remainder(a, b)
+		return modulo(a, b)
 	case "/":
-		return quotient(a, b)
+		return divide(a, b)
 	}
 	return nil, sqlError("42883", "operator does not exist: %s", op)
 }
 
-func remainder(a, b int64) (any, error) {
+func modulo(a, b int64) (any, error) {
 	if b == 0 {
 		return nil, sqlError("22012", "division by zero")
 	}
 	return a % b, nil
 }
 
-func quotient(a, b int64) (any, error) {
+func divide(a, b int64) (any, error) {
 	if b == 0 {
 		return nil, sqlError("22012", "division by zero")
 	}
 	return a / b, nil
 }
 
-func (e *env) boolean(expr *pgquery.BoolExpr) (any, error) {
+func (e *evalContext) boolean(expr *pgquery.BoolExpr) (any, error) {
 	for _, arg := range expr.Args {
 		v, err := e.eval(arg)
 		if err != nil {
@@ -196,7 +199,7 @@
 	return expr.Boolop == pgquery.BoolExprType_AND_EXPR, nil
 }
 
-func (e *env) cast(c *pgquery.TypeCast) (any, error) {
+func (e *evalContext) cast(c *pgquery.TypeCast) (any, error) {
 	v, err := e.eval(c.Arg)
 	if err != nil || v == nil {
 		return v, err
@@ -204,7 +207,8 @@
 	return convert(v, typeOID(c.TypeName))
 }
 
-func (e *env) call(call *pgquery.FuncCall) (any, error) {
+// call evaluates a function call.
+func (e *evalContext) call(call *pgquery.FuncCall) (any, error) {
 	name := call.Funcname[len(call.Funcname)-1].GetString_().GetSval()
 	args := make([]any, 0, len(call.Args))
 	for _, arg := range call.Args {
@@ -242,6 +246,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
+// text returns a value in PostgreSQL's text format.
 func text(v any) string {
 	switch x := v.(type) {
 	case nil:
@@ -259,6 +264,7 @@
 	return fmt.Sprint(v)
 }
 
+// toInt converts a value to an integer, or returns 0 if it does not have the form of one.
 func toInt(v any) int64 {
 	if n, ok := v.(int64); ok {
 		return n
@@ -270,7 +276,7 @@
 	return n
 }
 
-// compare orders two values; an integer compares as one with any text.
+// compare compares two values as strings, or as integers if one of them is an integer.
 func compare(a, b any) int {
 	x, okX := a.(int64)
 	y, okY := b.(int64)
@@ -304,7 +310,7 @@
 	return oidText
 }
 
-// convert brings a value to the Go type of a column: int64, bool or string.
+// convert converts a value to the Go type of a column: int64, bool or string.
 func convert(v any, oid uint32) (any, error) {
 	if v == nil {
 		return nil, nil
@@ -328,7 +334,7 @@
 	return text(v), nil
 }
 
-// nodeOID guesses the type of an expression's result.
+// nodeOID infers the type of an expression's result; the default is text.
 func nodeOID(node *pgquery.Node, t *table) uint32 {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AConst:
--- a/internal/standin/pggroup/exec.go
+++ b/internal/standin/pggroup/exec.go
@@ -8,7 +8,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// result receives what a statement produces.
+// result receives the columns and rows that a statement returns.
 type result struct {
 	describe func(columns []column) error
 	row      func(values []any) error
@@ -17,11 +17,11 @@
 // plan is a parsed statement.
 type plan struct {
 	sql        string
-	node       *pgquery.Node // nil: empty
-	parameters []uint32
+	node       *pgquery.Node // nil: empty statement
+	parameters []uint32      // type OIDs
 }
 
-// columns returns the shape of the rows that a statement gives, or nil.
+// columns returns the columns of a statement's result, or nil if it returns no rows.
 func (s *session) columns(p *plan) ([]column, error) {
 	switch n := p.node.GetNode().(type) {
 	case *pgquery.Node_SelectStmt:
@@ -29,16 +29,17 @@
 	case *pgquery.Node_VariableShowStmt:
 		return []column{{name: n.VariableShowStmt.Name, oid: oidText}}, nil
 	case *pgquery.Node_InsertStmt:
-		return s.returning(n.InsertStmt.Relation, n.InsertStmt.ReturningList)
+		return s.returningColumns(n.InsertStmt.Relation, n.InsertStmt.ReturningList)
 	case *pgquery.Node_UpdateStmt:
-		return s.returning(n.UpdateStmt.Relation, n.UpdateStmt.ReturningList)
+		return s.returningColumns(n.UpdateStmt.Relation, n.UpdateStmt.ReturningList)
 	case *pgquery.Node_DeleteStmt:
-		return s.returning(n.DeleteStmt.Relation, n.DeleteStmt.ReturningList)
+		return s.returningColumns(n.DeleteStmt.Relation, n.DeleteStmt.ReturningList)
 	}
 	return nil, nil
 }
 
-func (s *session) returning(rel *pgquery.RangeVar, list []*pgquery.Node) ([]column, error) {
+// returningColumns returns the columns of a RETURNING clause, or nil.
+func (s *session) returningColumns(rel *pgquery.RangeVar, list []*pgquery.Node) ([]column, error) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -49,6 +50,7 @@
 	return targetColumns(list, t), nil
 }
 
+// lookup returns a table by name.
 func (s *session) lookup(name string) (*table, error) {
 	s.member.store.mu.RLock()
 	defer s.member.store.mu.RUnlock()
@@ -62,18 +64,19 @@
 }
 
 func (s *session) selectColumns(stmt *pgquery.SelectStmt) ([]column, error) {
-	if call := controlCall(stmt); call != nil {
+	if call := groupFunctionCall(stmt); call != nil {
 		return statusColumns, nil
 	}
-	t, err := s.source(stmt)
+	t, err := s.sourceTable(stmt)
 	if err != nil {
 		return nil, err
 	}
 	return targetColumns(stmt.TargetList, t), nil
 }
 
-// source returns the table that a SELECT reads, or nil without FROM.
-func (s *session) source(stmt *pgquery.SelectStmt) (*table, error) {
+// sourceTable returns the table that a SELECT reads, or nil if it has no FROM clause. A
+// function in FROM is always generate_series.
+func (s *session) sourceTable(stmt *pgquery.SelectStmt) (*table, error) {
 	if len(stmt.FromClause) == 0 {
 		return nil, nil
 	}
@@ -87,6 +90,7 @@
 	return s.lookup(rel.Relname)
 }
 
+// targetColumns returns the columns of a select list.
 func targetColumns(list []*pgquery.Node, t *table) []column {
 	var columns []column
 	for _, node := range list {
@@ -105,6 +109,7 @@
 	return ref != nil && ref.Fields[len(ref.Fields)-1].GetAStar() != nil
 }
 
+// targetName returns the column name of a select list entry, as PostgreSQL names it.
 func targetName(target *pgquery.ResTarget) string {
 	if target.Name != "" {
 		return target.Name
@@ -118,7 +123,7 @@
 	return "?column?"
 }
 
-// execute runs a statement within s.tx and returns its command tag.
+// execute runs a statement in s.tx and returns its command tag.
 func (s *session) execute(p *plan, params []any, out result) (string, error) {
 	switch n := p.node.GetNode().(type) {
 	case *pgquery.Node_SelectStmt:
@@ -128,7 +133,7 @@
 	case *pgquery.Node_UpdateStmt:
 		return s.update(n.UpdateStmt, params, out)
 	case *pgquery.Node_DeleteStmt:
-		return s.remove(n.DeleteStmt, params, out)
+		return s.deleteRows(n.DeleteStmt, params, out)
 	case *pgquery.Node_CreateStmt:
 		return "CREATE TABLE", s.createTable(n.CreateStmt)
 	case *pgquery.Node_DropStmt:
@@ -151,6 +156,7 @@
 	return "SHOW", out.row([]any{s.settings[name]})
 }
 
+// setVariable runs SET, SET LOCAL, RESET and RESET ALL.
 func (s *session) setVariable(stmt *pgquery.VariableSetStmt) (string, error) {
 	switch stmt.Kind {
 	case pgquery.VariableSetKind_VAR_SET_VALUE:
@@ -159,7 +165,7 @@
 			parts = append(parts, text(constValue(arg.GetAConst())))
 		}
 		if stmt.IsLocal {
-			s.rememberLocal(stmt.Name)
+			s.saveBeforeLocal(stmt.Name)
 		}
 		s.settings[stmt.Name] = strings.Join(parts, ", ")
 		return "SET", nil
@@ -171,8 +177,9 @@
 	return "RESET", nil
 }
 
-// writable refuses writes on anything but the primary.
-func (s *session) writable() error {
+// checkWritable returns an error in a read-only transaction, and if the member is not the
+// primary.
+func (s *session) checkWritable() error {
 	if s.readOnly || !s.member.isPrimary() {
 		return sqlError("25006", "cannot execute statement in a read-only transaction")
 	}
@@ -180,7 +187,7 @@
 }
 
 func (s *session) createTable(stmt *pgquery.CreateStmt) error {
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	t := &table{name: stmt.Relation.Relname, key: -1, rows: make(map[string][]any)}
@@ -205,12 +212,12 @@
 		return sqlError("42P07", "relation %q already exists", t.name)
 	}
 	s.tx.created[t.name] = t
-	s.tx.order = append(s.tx.order, change{table: t.name, schema: t})
+	s.tx.changes = append(s.tx.changes, change{table: t.name, schema: t})
 	return nil
 }
 
 func (s *session) dropTable(stmt *pgquery.DropStmt) error {
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	for _, object := range stmt.Objects {
@@ -222,23 +229,24 @@
 			}
 			return err
 		}
-		s.tx.order = append(s.tx.order, change{table: name, schema: &table{name: name}})
+		s.tx.changes = append(s.tx.changes, change{table: name, schema: &table{name: name}})
 	}
 	return nil
 }
 
+// selectRows runs a SELECT and returns its command tag.
 func (s *session) selectRows(stmt *pgquery.SelectStmt, params []any, out result) (string, error) {
-	if call := controlCall(stmt); call != nil {
-		return s.control(call, out)
+	if call := groupFunctionCall(stmt); call != nil {
+		return s.runGroupFunction(call, out)
 	}
-	t, err := s.source(stmt)
+	t, err := s.sourceTable(stmt)
 	if err != nil {
 		return "", err
 	}
 	if err := out.describe(targetColumns(stmt.TargetList, t)); err != nil {
 		return "", err
 	}
-	e := &env{table: t, params: params, sess: s}
+	e := &evalContext{table: t, params: params, sess: s}
 	if len(stmt.FromClause) > 0 && stmt.FromClause[0].GetRangeFunction() != nil {
 		return s.series(stmt, e, out)
 	}
@@ -258,7 +266,8 @@
 	return fmt.Sprintf("SELECT %d", len(rows)), nil
 }
 
-func project(list []*pgquery.Node, e *env, out result) error {
+// project evaluates a select list for the current row and returns the values as a row.
+func project(list []*pgquery.Node, e *evalContext, out result) error {
 	var values []any
 	for _, node := range list {
 		target := node.GetResTarget()
@@ -275,8 +284,9 @@
 	return out.row(values)
 }
 
-// series serves SELECT ... FROM generate_series(a, b), row by row.
-func (s *session) series(stmt *pgquery.SelectStmt, e *env, out result) (string, error) {
+// series runs SELECT ... FROM generate_series(a, b). It computes and returns
+// one row at a time.
+func (s *session) series(stmt *pgquery.SelectStmt, e *evalContext, out result) (string, error) {
 	call := stmt.FromClause[0].GetRangeFunction().Functions[0].GetList().Items[0].GetFuncCall()
 	first, err := e.eval(call.Args[0])
 	if err != nil {
@@ -300,8 +310,9 @@
 	return fmt.Sprintf("SELECT %d", n), nil
 }
 
-// scan returns the rows that WHERE, ORDER BY and LIMIT leave.
-func (s *session) scan(stmt *pgquery.SelectStmt, e *env) ([][]any, error) {
+// scan returns the rows of a SELECT with WHERE, ORDER BY and LIMIT applied. With FOR
+// UPDATE it locks them. Without a table it returns a single empty row.
+func (s *session) scan(stmt *pgquery.SelectStmt, e *evalContext) ([][]any, error) {
 	if e.table == nil {
 		return [][]any{nil}, nil
 	}
@@ -324,18 +335,20 @@
 	return limitRows(stmt, e, rows)
 }
 
+// match is a row that satisfies a WHERE clause, with its key.
 type match struct {
 	key string
 	row []any
 }
 
-func (s *session) match(e *env, where *pgquery.Node) ([]match, error) {
+// match returns the rows that satisfy a WHERE clause.
+func (s *session) match(e *evalContext, where *pgquery.Node) ([]match, error) {
 	s.member.store.mu.RLock()
 	defer s.member.store.mu.RUnlock()
 	return s.matchLocked(e, where)
 }
 
-func (s *session) matchLocked(e *env, where *pgquery.Node) ([]match, error) {
+func (s *session) matchLocked(e *evalContext, where *pgquery.Node) ([]match, error) {
 	if key, ok := pointLookup(e, where); ok {
 		row := s.tx.rowLocked(e.table, key)
 		if row == nil {
@@ -346,7 +359,7 @@
 	var matches []match
 	for _, key := range s.tx.keysLocked(e.table) {
 		row := s.tx.rowLocked(e.table, key)
-		ok, err := e.holds(where, row)
+		ok, err := e.matches(where, row)
 		if err != nil {
 			return nil, err
 		}
@@ -357,7 +370,8 @@
 	return matches, nil
 }
 
-func (e *env) holds(where *pgquery.Node, row []any) (bool, error) {
+// matches reports whether a row satisfies a WHERE clause.
+func (e *evalContext) matches(where *pgquery.Node, row []any) (bool, error) {
 	if where == nil {
 		return true, nil
 	}
@@ -367,8 +381,9 @@
 	return truth, err
 }
 
-// pointLookup recognises WHERE key = value.
-func pointLookup(e *env, where *pgquery.Node) (string, bool) {
+// pointLookup returns the row key for a condition of the form primary key = value, and
+// false for any other condition.
+func pointLookup(e *evalContext, where *pgquery.Node) (string, bool) {
 	expr := where.GetAExpr()
 	if expr == nil || e.table.key < 0 || expr.Name[0].GetString_().GetSval() != "=" {
 		return "", false
@@ -390,7 +405,8 @@
 	return rowKey(v), true
 }
 
-func sortRows(clause []*pgquery.Node, e *env, rows [][]any) error {
+// sortRows sorts by the first ORDER BY expression; further ones are ignored.
+func sortRows(clause []*pgquery.Node, e *evalContext, rows [][]any) error {
 	if len(clause) == 0 {
 		return nil
 	}
@@ -413,7 +429,7 @@
 	return failed
 }
 
-func limitRows(stmt *pgquery.SelectStmt, e *env, rows [][]any) ([][]any, error) {
+func limitRows(stmt *pgquery.SelectStmt, e *evalContext, rows [][]any) ([][]any, error) {
 	if stmt.LimitCount == nil {
 		return rows, nil
 	}
@@ -424,6 +440,7 @@
 	return rows[:min(len(rows), int(toInt(v)))], nil
 }
 
+// aggregateName returns the aggregate function that a select list entry calls, or "".
 func aggregateName(node *pgquery.Node) string {
 	call := node.GetResTarget().GetVal().GetFuncCall()
 	if call == nil {
@@ -446,10 +463,10 @@
 	return false
 }
 
-func (s *session) aggregate(stmt *pgquery.SelectStmt, e *env, rows [][]any, out result) (string, error) {
+func (s *session) aggregate(stmt *pgquery.SelectStmt, e *evalContext, rows [][]any, out result) (string, error) {
 	values := make([]any, 0, len(stmt.TargetList))
 	for _, target := range stmt.TargetList {
-		v, err := fold(aggregateName(target), target.GetResTarget().GetVal().GetFuncCall(), e, rows)
+		v, err := computeAggregate(aggregateName(target), target.GetResTarget().GetVal().GetFuncCall(), e, rows)
 		if err != nil {
 			return "", err
 		}
@@ -458,7 +475,8 @@
 	return "SELECT 1", out.row(values)
 }
 
-func fold(name string, call *pgquery.FuncCall, e *env, rows [][]any) (any, error) {
+// computeAggregate computes one aggregate over rows.
+func computeAggregate(name string, call *pgquery.FuncCall, e *evalContext, rows [][]any) (any, error) {
 	if name == "count" {
 		return int64(len(rows)), nil
 	}
--- a/internal/standin/pggroup/extended.go
+++ b/internal/standin/pggroup/extended.go
@@ -6,10 +6,11 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// flushBytes is how much of a result is collected before it is sent.
+// flushBytes is the amount of result data buffered before it is sent, in bytes.
 const flushBytes = 32 << 10
 
-func (s *session) extended(msg pgproto3.FrontendMessage) error {
+// extendedQuery handles one message of the extended query protocol.
+func (s *session) extendedQuery(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
 		return s.parse(m)
@@ -75,6 +76,8 @@
 	return nil
 }
 
+// formatOf returns the format code of parameter or column i: no codes mean text, and a
+// single code applies to all.
 func formatOf(codes []int16, i int) int16 {
 	switch len(codes) {
 	case 0:
@@ -88,6 +91,7 @@
 	return 0
 }
 
+// decodeParameter converts a bound parameter to int64, bool, string or nil.
 func decodeParameter(raw []byte, oid uint32, format int16) (any, error) {
 	if raw == nil {
 		return nil, nil
@@ -176,6 +180,7 @@
 	return d
 }
 
+// sendRow buffers a row, and sends the buffer once it has flushBytes.
 func (s *session) sendRow(values []any, shape []column, formats []int16) error {
 	row := &pgproto3.DataRow{Values: make([][]byte, len(values))}
 	for i, v := range values {
@@ -187,13 +192,13 @@
 		} else {
 			row.Values[i] = []byte(text(v))
 		}
-		s.pending += len(row.Values[i]) + 4
+		s.unflushedBytes += len(row.Values[i]) + 4
 	}
 	s.backend.Send(row)
-	if s.pending < flushBytes {
+	if s.unflushedBytes < flushBytes {
 		return nil
 	}
-	s.pending = 0
+	s.unflushedBytes = 0
 	if err := s.backend.Flush(); err != nil {
 		s.end()
 		return err
--- a/internal/standin/pggroup/faults.go
+++ b/internal/standin/pggroup/faults.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// gate lets traffic through while it is open.
+// gate blocks traffic while it is closed. The zero value is open.
 type gate struct {
-	mu   sync.Mutex
-	shut chan struct{} // non-nil while closed; closing it lets waiters on
+	mu       sync.Mutex
+	reopened chan struct{} // non-nil while the gate is closed; the channel is closed when the gate opens
 }
 
-// wait blocks while the gate is closed, or until done.
+// wait blocks while the gate is closed, at most until done is closed.
 func (g *gate) wait(done <-chan struct{}) {
 	for {
 		g.mu.Lock()
-		shut := g.shut
+		reopened := g.reopened
 		g.mu.Unlock()
-		if shut == nil {
+		if reopened == nil {
 			return
 		}
 		select {
-		case <-shut:
+		case <-reopened:
 		case <-done:
 			return
 		}
@@ -32,85 +32,86 @@
 func (g *gate) closed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shut != nil
+	return g.reopened != nil
 }
 
 func (g *gate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut == nil {
-		g.shut = make(chan struct{})
+	if g.reopened == nil {
+		g.reopened = make(chan struct{})
 	}
 }
 
 func (g *gate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut != nil {
-		close(g.shut)
-		g.shut = nil
+	if g.reopened != nil {
+		close(g.reopened)
+		g.reopened = nil
 	}
 }
 
-// faults are the switches of one member.
+// faults are the faults injected into one member.
 type faults struct {
-	pause *gate
-	stuck *atomic.Bool  // a replica stops applying
-	drop  *atomic.Int32 // answers to writes that are lost, with their connection
-	delay *atomic.Int64 // nanoseconds by which each answer is late
-	mu    *sync.Mutex
-	cuts  map[string]*gate // by the application_name of the other side
+	pause              *gate            // closed while the member is paused
+	replicationStopped *atomic.Bool     // replication of this member is stopped
+	answersToDrop      *atomic.Int32    // number of next committed writes whose answer and connection are lost
+	delay              *atomic.Int64    // delay of each answer, in nanoseconds
+	mu                 *sync.Mutex      // guards instanceGates
+	instanceGates      map[string]*gate // gate of each instance, by application_name; closed while it is cut off
 }
 
 func newFaults() faults {
 	return faults{
-		pause: &gate{},
-		stuck: &atomic.Bool{},
-		drop:  &atomic.Int32{},
-		delay: &atomic.Int64{},
-		mu:    &sync.Mutex{},
-		cuts:  make(map[string]*gate),
+		pause:              &gate{},
+		replicationStopped: &atomic.Bool{},
+		answersToDrop:      &atomic.Int32{},
+		delay:              &atomic.Int64{},
+		mu:                 &sync.Mutex{},
+		instanceGates:      make(map[string]*gate),
 	}
 }
 
-func (f *faults) cut(instance string) *gate {
+// instanceGate returns the gate of an instance.
+func (f *faults) instanceGate(instance string) *gate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cuts[instance] == nil {
-		f.cuts[instance] = &gate{}
+	if f.instanceGates[instance] == nil {
+		f.instanceGates[instance] = &gate{}
 	}
-	return f.cuts[instance]
+	return f.instanceGates[instance]
 }
 
-// Pause freezes the member: connections stay open and nothing answers.
+// Pause makes the member unresponsive: connections stay open but get no answers.
 func (m *Member) Pause() { m.faults.pause.close() }
 
 // Resume ends a pause.
 func (m *Member) Resume() { m.faults.pause.open() }
 
-// CutFrom silences all traffic with the instance of that name.
-func (m *Member) CutFrom(instance string) { m.faults.cut(instance).close() }
+// CutFrom blocks all traffic between the member and an instance.
+func (m *Member) CutFrom(instance string) { m.faults.instanceGate(instance).close() }
 
-// Heal ends CutFrom.
-func (m *Member) Heal(instance string) { m.faults.cut(instance).open() }
+// Heal undoes CutFrom.
+func (m *Member) Heal(instance string) { m.faults.instanceGate(instance).open() }
 
 // SetStuck stops or resumes the replication of this member.
-func (m *Member) SetStuck(stuck bool) { m.faults.stuck.Store(stuck) }
+func (m *Member) SetStuck(stuck bool) { m.faults.replicationStopped.Store(stuck) }
 
-// DropAnswers makes the next n committed writes lose their answer.
-func (m *Member) DropAnswers(n int) { m.faults.drop.Store(int32(n)) }
+// DropAnswers makes the next n committed writes lose their answer and their connection.
+func (m *Member) DropAnswers(n int) { m.faults.answersToDrop.Store(int32(n)) }
 
-// DelayAnswers makes every answer late by d.
+// DelayAnswers delays every answer by d.
 func (m *Member) DelayAnswers(d time.Duration) { m.faults.delay.Store(int64(d)) }
 
-// takeDrop uses up one lost answer.
-func (f *faults) takeDrop() bool {
+// dropsAnswer reports whether the answer to a committed write is lost, and counts it.
+func (f *faults) dropsAnswer() bool {
 	for {
-		n := f.drop.Load()
+		n := f.answersToDrop.Load()
 		if n <= 0 {
 			return false
 		}
-		if f.drop.CompareAndSwap(n, n-1) {
+		if f.answersToDrop.CompareAndSwap(n, n-1) {
 			return true
 		}
 	}
--- a/internal/standin/pggroup/member.go
+++ b/internal/standin/pggroup/member.go
@@ -14,7 +14,7 @@
 	"github.com/stackspindle/stackspindle/internal/group"
 )
 
-// Member is one server of the group.
+// Member is one database server of the group.
 type Member struct {
 	Name string
 
@@ -23,28 +23,29 @@
 	index int
 	plans *lru.Cache[string, []*pgquery.RawStmt]
 
-	// mu guards what follows. A commit holds it for reading, so that nothing is
-	// committed once a fence has returned. It is taken before store.mu.
+	// mu guards the fields up to nextPID. A commit holds it for reading, so that no
+	// commit of an earlier term can happen after fence has returned. Lock order: mu
+	// before store.mu.
 	mu        sync.RWMutex
 	listener  net.Listener
 	addr      string
 	term      uint64
 	role      group.Role
-	owner     string    // of the term
-	ownerSeen time.Time // its last fence or heartbeat
-	holder    string    // who sent the last heartbeat
-	heartbeat time.Time
-	released  bool // by the holder
-	acked     group.Position
-	leader    int // member index that is followed, -1: none
+	owner     string         // instance that owns the current term
+	ownerSeen time.Time      // time of the owner's last fence or heartbeat
+	holder    string         // instance that sent the last heartbeat
+	heartbeat time.Time      // of the holder
+	released  bool           // the holder has released the group
+	acked     group.Position // highest acknowledged position that a heartbeat reported
+	leader    int            // index of the member to replicate from; -1: none
 	sessions  map[uint32]*session
 	nextPID   uint32
 
 	running atomic.Bool
 	traffic atomic.Int64 // bytes in and out
 
-	faults faults
-	reset  chan struct{} // closed and replaced when replication must look again
+	faults             faults
+	replicationChanged chan struct{} // closed and replaced when replication must read role, term and leader again
 }
 
 func newMember(g *Group, index int, name string) *Member {
@@ -53,53 +54,53 @@
 		panic(err) // the size is a positive constant
 	}
 	return &Member{
-		Name:     name,
-		group:    g,
-		store:    newStore(),
-		index:    index,
-		plans:    plans,
-		role:     group.RoleReplica,
-		leader:   -1,
-		sessions: make(map[uint32]*session),
-		nextPID:  uint32(index+1) * 1_000_000,
-		reset:    make(chan struct{}),
-		faults:   newFaults(),
+		Name:               name,
+		group:              g,
+		store:              newStore(),
+		index:              index,
+		plans:              plans,
+		role:               group.RoleReplica,
+		leader:             -1,
+		sessions:           make(map[uint32]*session),
+		nextPID:            uint32(index+1) * 1_000_000,
+		replicationChanged: make(chan struct{}),
+		faults:             newFaults(),
 	}
 }
 
-// planCacheSize is how many parsed texts a member remembers.
+// planCacheSize is the number of parsed SQL texts that a member caches.
 const planCacheSize = 4096
 
-// Addr returns the address callers and owners connect to.
+// Addr returns the address that the member listens on.
 func (m *Member) Addr() string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.addr
 }
 
-// Position returns the last entry of the member's log.
+// Position returns the position of the last entry in the member's log.
 func (m *Member) Position() group.Position {
 	return m.store.position()
 }
 
-// Traffic returns the bytes received and sent.
+// Traffic returns the number of bytes received and sent.
 func (m *Member) Traffic() int64 { return m.traffic.Load() }
 
-// Role returns the member's role and term.
+// Role returns the member's current role and term.
 func (m *Member) Role() (group.Role, uint64) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.role, m.term
 }
 
-// Owner returns the instance that the member last heard a heartbeat of.
+// Owner returns the name of the instance that sent the last heartbeat.
 func (m *Member) Owner() string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.holder
 }
 
-// Connections returns how many sessions are open.
+// Connections returns the number of open sessions.
 func (m *Member) Connections() int {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -115,6 +116,7 @@
 	return m.running.Load()
 }
 
+// parse parses SQL and caches the result.
 func (m *Member) parse(sql string) ([]*pgquery.RawStmt, error) {
 	if stmts, ok := m.plans.Get(sql); ok {
 		return stmts, nil
@@ -127,13 +129,14 @@
 	return tree.Stmts, nil
 }
 
-// commit makes a session's writes durable if its term still holds.
+// commit appends a transaction to the log. It rejects writes if the member is not the
+// primary or the session is of an earlier term.
 func (m *Member) commit(s *session, tx *transaction) error {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	m.store.mu.Lock()
 	defer m.store.mu.Unlock()
-	if len(tx.order) > 0 && (m.role != group.RolePrimary || s.staleLocked()) {
+	if len(tx.changes) > 0 && (m.role != group.RolePrimary || s.staleLocked()) {
 		tx.releaseLocked()
 		return sqlError("57P01", "terminating connection: the term has passed")
 	}
@@ -147,18 +150,18 @@
 	tx.releaseLocked()
 }
 
-// status renders group.Status in the order that parseStatus of the upstream
-// package reads.
+// status encodes group.Status in the field order that parseStatus in package upstream
+// expects.
 func (m *Member) status() string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	p := m.store.position()
 	return fmt.Sprintf("%d %s %d %d %s %d %s %d %t %t %d %d", m.term, m.role, p.Term, p.Index,
 		cmp.Or(m.owner, "-"), age(m.ownerSeen), cmp.Or(m.holder, "-"), age(m.heartbeat),
-		m.released, m.linkedLocked(), m.acked.Term, m.acked.Index)
+		m.released, m.canReplicateLocked(), m.acked.Term, m.acked.Index)
 }
 
-// age returns microseconds since a time, or -1 when it never was.
+// age returns the microseconds since t, or -1 if t is zero.
 func age(t time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -166,16 +169,19 @@
 	return time.Since(t).Microseconds()
 }
 
-func (m *Member) linkedLocked() bool {
-	return m.role == group.RoleReplica && m.leader >= 0 && m.group.linked(m.index, m.leader)
+// canReplicateLocked reports whether the member is a replica that can reach its leader. The
+// caller holds mu.
+func (m *Member) canReplicateLocked() bool {
+	return m.role == group.RoleReplica && m.leader >= 0 && m.group.canReplicate(m.index, m.leader)
 }
 
-// control runs one of the functions that direct the group.
-func (s *session) control(call *pgquery.FuncCall, out result) (string, error) {
+// runGroupFunction runs a SELECT of one of the group_ functions, which instances use to control
+// the group.
+func (s *session) runGroupFunction(call *pgquery.FuncCall, out result) (string, error) {
 	if err := out.describe(statusColumns); err != nil {
 		return "", err
 	}
-	e := &env{sess: s}
+	e := &evalContext{sess: s}
 	var args []any
 	for _, node := range call.Args {
 		v, err := e.eval(node)
@@ -184,7 +190,7 @@
 		}
 		args = append(args, v)
 	}
-	reply, err := s.member.direct(call.Funcname[0].GetString_().GetSval(), args)
+	reply, err := s.member.callGroupFunction(call.Funcname[0].GetString_().GetSval(), args)
 	if err != nil {
 		return "", err
 	}
@@ -193,7 +199,8 @@
 
 var statusColumns = []column{{name: "status", oid: oidText}}
 
-func controlCall(stmt *pgquery.SelectStmt) *pgquery.FuncCall {
+// groupFunctionCall returns the call of a group_ function in the FROM clause, or nil.
+func groupFunctionCall(stmt *pgquery.SelectStmt) *pgquery.FuncCall {
 	if len(stmt.FromClause) != 1 {
 		return nil
 	}
@@ -208,7 +215,8 @@
 	return call
 }
 
-func (m *Member) direct(name string, args []any) (string, error) {
+// callGroupFunction runs a group_ function.
+func (m *Member) callGroupFunction(name string, args []any) (string, error) {
 	arg := func(i int) any {
 		if i < len(args) {
 			return args[i]
@@ -223,7 +231,7 @@
 		return fmt.Sprintf("%d %d", p.Term, p.Index), nil
 	case "group_heartbeat":
 		acked := group.Position{Term: uint64(toInt(arg(2))), Index: uint64(toInt(arg(3)))}
-		return m.takeHeartbeat(uint64(toInt(arg(0))), text(arg(1)), acked)
+		return m.recordHeartbeat(uint64(toInt(arg(0))), text(arg(1)), acked)
 	case "group_fence":
 		return m.fence(uint64(toInt(arg(0))), text(arg(1)))
 	case "group_promote":
@@ -236,16 +244,18 @@
 	return "", sqlError("42883", "function %s does not exist", name)
 }
 
-// errTerm is raised for a request of a term that has passed.
-func errTerm(have, got uint64) error {
+// staleTermError returns the error for a request of another term than the member's: have is
+// the member's term, got the requested one.
+func staleTermError(have, got uint64) error {
 	return sqlError("55000", "term %d has passed, the member is at %d", got, have)
 }
 
-func (m *Member) takeHeartbeat(term uint64, owner string, acked group.Position) (string, error) {
+// recordHeartbeat handles a heartbeat of the owner of the current term.
+func (m *Member) recordHeartbeat(term uint64, owner string, acked group.Position) (string, error) {
 	m.mu.Lock()
 	if term != m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.owner, m.holder = owner, owner
 	m.heartbeat = time.Now()
@@ -256,14 +266,14 @@
 	return m.status(), nil
 }
 
-// fence moves the member to a higher term: what it served before ends, and it
-// neither writes nor replicates until it is promoted or told whom to follow.
-// The reply still names the former owner; the last heartbeat stays known.
+// fence moves the member to a higher term and ends the sessions of earlier terms. The
+// member neither accepts writes nor replicates until promote or follow. The reply still
+// names the former owner, and the last heartbeat is kept.
 func (m *Member) fence(term uint64, owner string) (string, error) {
 	m.mu.Lock()
 	if term <= m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.term = term
 	m.role = group.RoleFenced
@@ -286,24 +296,26 @@
 	return reply, nil
 }
 
+// promote makes the member the primary of the current term. The reply also has the
+// history of terms.
 func (m *Member) promote(term uint64) (string, error) {
 	m.mu.Lock()
 	if term != m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.role = group.RolePrimary
 	m.leader = -1
 	m.mu.Unlock()
-	m.group.wake()
+	m.group.notifyReplication()
 	return m.status() + " " + m.history(), nil
 }
 
-// maxHistory bounds the terms that a promotion reports.
+// maxHistory is the maximum number of terms in the reply to a promotion.
 const maxHistory = 32
 
-// history renders where each term of the log began, as PostgreSQL's time line
-// history does.
+// history encodes the log index at which each term began, like PostgreSQL's timeline
+// history files.
 func (m *Member) history() string {
 	m.store.mu.RLock()
 	defer m.store.mu.RUnlock()
@@ -316,15 +328,17 @@
 	return strings.Join(starts[max(0, len(starts)-maxHistory):], ",")
 }
 
+// follow makes the member a replica of leader, in the given term or its current one, and
+// ends the sessions of earlier terms.
 func (m *Member) follow(term uint64, leader string) (string, error) {
-	index := m.group.byName(leader)
+	index := m.group.indexOf(leader)
 	if index < 0 || index == m.index {
 		return "", sqlError("22023", "no other member %q", leader)
 	}
 	m.mu.Lock()
 	if term < m.term {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	changed := term != m.term || m.role != group.RoleReplica || m.leader != index
 	m.term = term
@@ -341,27 +355,28 @@
 		s.end()
 	}
 	if changed {
-		m.group.wake()
+		m.group.notifyReplication()
 	}
 	return m.status(), nil
 }
 
+// release records that the holder gives up the current term.
 func (m *Member) release(term uint64, owner string) (string, error) {
 	m.mu.Lock()
 	if term != m.term || owner != m.holder {
 		defer m.mu.Unlock()
-		return "", errTerm(m.term, term)
+		return "", staleTermError(m.term, term)
 	}
 	m.released = true
 	m.mu.Unlock()
 	return m.status(), nil
 }
 
-// replicate pulls the leader's log until the group closes.
+// replicate copies the leader's log until the group is closed.
 func (m *Member) replicate() {
 	defer m.group.workers.Done()
 	for {
-		wait := m.pull()
+		wait := m.replicateOnce()
 		select {
 		case <-m.group.done:
 			return
@@ -370,32 +385,33 @@
 	}
 }
 
-// pull applies what is due and returns a channel that tells when to look again.
-func (m *Member) pull() <-chan struct{} {
+// replicateOnce applies the entries that are due and returns a channel that is closed when it
+// should run again.
+func (m *Member) replicateOnce() <-chan struct{} {
 	m.mu.RLock()
-	leader, role, reset, term := m.leader, m.role, m.reset, m.term
+	leader, role, replicationChanged, term := m.leader, m.role, m.replicationChanged, m.term
 	m.mu.RUnlock()
 	if role != group.RoleReplica || leader < 0 {
-		return reset
+		return replicationChanged
 	}
-	if !m.group.linked(m.index, leader) || !m.isRunning() || m.faults.stuck.Load() || m.faults.pause.closed() {
+	if !m.group.canReplicate(m.index, leader) || !m.isRunning() || m.faults.replicationStopped.Load() || m.faults.pause.closed() {
 		return after(10 * time.Millisecond)
 	}
 	source := m.group.members[leader]
 	source.store.mu.RLock()
-	entries, grown := source.store.log, source.store.grown
+	entries, logChanged := source.store.log, source.store.logChanged
 	source.store.mu.RUnlock()
 	if sourceRole, sourceTerm := source.Role(); sourceRole != group.RolePrimary || sourceTerm != term {
 		return after(10 * time.Millisecond)
 	}
-	due, next := m.apply(entries, leader)
-	if due {
+	applied, next := m.apply(entries, leader)
+	if applied {
 		return closedChannel
 	}
 	if next > 0 {
 		return after(next)
 	}
-	return either(grown, reset)
+	return firstOf(logChanged, replicationChanged)
 }
 
 var closedChannel = func() chan struct{} {
@@ -404,8 +420,9 @@
 	return ch
 }()
 
-// apply brings the log to the leader's, as far as the lag allows. It reports
-// whether entries were applied, and else when the next one is due.
+// apply replicates the entries that are older than the lag, after truncating a log that
+// diverges from the leader's. It returns whether it applied entries, and how long until
+// the next one is due (0: there is none).
 func (m *Member) apply(entries []logEntry, leader int) (bool, time.Duration) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -431,15 +448,16 @@
 	return applied, 0
 }
 
+// after returns a channel that is closed after d.
 func after(d time.Duration) <-chan struct{} {
 	ch := make(chan struct{})
 	time.AfterFunc(d, func() { close(ch) })
 	return ch
 }
 
-// either returns a channel that closes with the first of a and b, or after
-// half a second, so that no waiter is left behind.
-func either(a, b <-chan struct{}) <-chan struct{} {
+// firstOf returns a channel that is closed when a or b is, or after half a second. The
+// timeout ensures that the goroutine ends even if neither is ever closed.
+func firstOf(a, b <-chan struct{}) <-chan struct{} {
 	ch := make(chan struct{})
 	go func() {
 		defer close(ch)
--- a/internal/standin/pggroup/write.go
+++ b/internal/standin/pggroup/write.go
@@ -6,12 +6,13 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
+// insert runs an INSERT and returns its command tag.
 func (s *session) insert(stmt *pgquery.InsertStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
 		return "", err
 	}
-	rows, err := insertRows(stmt, t, &env{params: params, sess: s})
+	rows, err := insertRows(stmt, t, &evalContext{params: params, sess: s})
 	if err != nil {
 		return "", err
 	}
@@ -32,10 +33,10 @@
 	return fmt.Sprintf("INSERT 0 %d", n), nil
 }
 
-// writeTarget finds the table that a statement writes and describes what the
-// statement returns.
+// writeTarget returns the table that a statement writes to, and describes the columns of
+// its RETURNING clause.
 func (s *session) writeTarget(rel *pgquery.RangeVar, returning []*pgquery.Node, out result) (*table, error) {
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return nil, err
 	}
 	t, err := s.lookup(rel.Relname)
@@ -56,10 +57,11 @@
 	if len(list) == 0 {
 		return nil
 	}
-	return project(list, &env{table: t, row: row, params: params, sess: s}, out)
+	return project(list, &evalContext{table: t, row: row, params: params, sess: s}, out)
 }
 
-func insertRows(stmt *pgquery.InsertStmt, t *table, e *env) ([][]any, error) {
+// insertRows evaluates the VALUES lists of an INSERT.
+func insertRows(stmt *pgquery.InsertStmt, t *table, e *evalContext) ([][]any, error) {
 	var targets []int
 	for _, col := range stmt.Cols {
 		i := t.columnIndex(col.GetResTarget().Name)
@@ -84,7 +86,7 @@
 	return rows, nil
 }
 
-func insertValues(items []*pgquery.Node, targets []int, t *table, e *env) ([]any, error) {
+func insertValues(items []*pgquery.Node, targets []int, t *table, e *evalContext) ([]any, error) {
 	if len(items) > len(targets) {
 		return nil, sqlError("42601", "INSERT has more expressions than target columns")
 	}
@@ -101,7 +103,8 @@
 	return row, nil
 }
 
-// insertRow reports whether the row was inserted.
+// insertRow inserts a row and reports whether it did. On a key conflict it returns false
+// if ignoreConflict is set (ON CONFLICT), and an error otherwise.
 func (s *session) insertRow(t *table, row []any, ignoreConflict bool) (bool, error) {
 	st := s.member.store
 	st.mu.Lock()
@@ -122,6 +125,8 @@
 	return true, nil
 }
 
+// newKey returns the key of a new row: its primary key, or a generated one if the table
+// has none. The caller holds store.mu for writing.
 func (s *session) newKey(t *table, row []any) string {
 	if t.key >= 0 {
 		return rowKey(row[t.key])
@@ -130,12 +135,13 @@
 	return fmt.Sprintf("r%020d-%d", s.member.store.nextID, s.pid)
 }
 
+// update runs an UPDATE and returns its command tag.
 func (s *session) update(stmt *pgquery.UpdateStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
 		return "", err
 	}
-	e := &env{table: t, params: params, sess: s}
+	e := &evalContext{table: t, params: params, sess: s}
 	matches, err := s.matchForWrite(e, stmt.WhereClause)
 	if err != nil {
 		return "", err
@@ -153,7 +159,8 @@
 	return fmt.Sprintf("UPDATE %d", len(matches)), nil
 }
 
-func updatedRow(stmt *pgquery.UpdateStmt, t *table, e *env, old []any) ([]any, error) {
+// updatedRow returns a copy of a row with the assignments of an UPDATE applied.
+func updatedRow(stmt *pgquery.UpdateStmt, t *table, e *evalContext, old []any) ([]any, error) {
 	row := append([]any(nil), old...)
 	for _, node := range stmt.TargetList {
 		target := node.GetResTarget()
@@ -179,12 +186,13 @@
 	s.tx.put(t.name, key, row)
 }
 
-func (s *session) remove(stmt *pgquery.DeleteStmt, params []any, out result) (string, error) {
+// deleteRows runs a DELETE and returns its command tag.
+func (s *session) deleteRows(stmt *pgquery.DeleteStmt, params []any, out result) (string, error) {
 	t, err := s.writeTarget(stmt.Relation, stmt.ReturningList, out)
 	if err != nil {
 		return "", err
 	}
-	matches, err := s.matchForWrite(&env{table: t, params: params, sess: s}, stmt.WhereClause)
+	matches, err := s.matchForWrite(&evalContext{table: t, params: params, sess: s}, stmt.WhereClause)
 	if err != nil {
 		return "", err
 	}
@@ -197,7 +205,8 @@
 	return fmt.Sprintf("DELETE %d", len(matches)), nil
 }
 
-func (s *session) matchForWrite(e *env, where *pgquery.Node) ([]match, error) {
+// matchForWrite finds the rows that match a WHERE clause and locks them.
+func (s *session) matchForWrite(e *evalContext, where *pgquery.Node) ([]match, error) {
 	matches, err := s.match(e, where)
 	if err != nil {
 		return nil, err
@@ -205,8 +214,9 @@
 	return s.lockMatches(e, where, matches)
 }
 
-// lockMatches locks rows and reads them again, as READ COMMITTED does.
-func (s *session) lockMatches(e *env, where *pgquery.Node, matches []match) ([]match, error) {
+// lockMatches locks rows, reads them again and keeps those that still match, like
+// PostgreSQL does under READ COMMITTED.
+func (s *session) lockMatches(e *evalContext, where *pgquery.Node, matches []match) ([]match, error) {
 	st := s.member.store
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -219,7 +229,7 @@
 		if row == nil {
 			continue
 		}
-		ok, err := e.holds(where, row)
+		ok, err := e.matches(where, row)
 		if err != nil {
 			return nil, err
 		}
@@ -230,7 +240,8 @@
 	return locked, nil
 }
 
-// inferParameters gives the types of the parameters that the caller left open.
+// inferParameters returns the parameter types of a statement. It infers those that the
+// client has not declared from the expressions that use them; the default is text.
 func (s *session) inferParameters(p *plan, declared []uint32) []uint32 {
 	types := make(map[int]uint32)
 	visit := func(param *pgquery.Node, oid uint32) {
@@ -243,7 +254,7 @@
 	var t *table
 	switch n := p.node.GetNode().(type) {
 	case *pgquery.Node_SelectStmt:
-		t, _ = s.source(n.SelectStmt)
+		t, _ = s.sourceTable(n.SelectStmt)
 		for _, target := range n.SelectStmt.TargetList {
 			visitTypes(target.GetResTarget().GetVal(), t, visit)
 		}
@@ -272,6 +283,8 @@
 	return mergeTypes(types, declared)
 }
 
+// mergeTypes combines inferred types (by parameter number, from 1) with declared ones,
+// which take precedence.
 func mergeTypes(types map[int]uint32, declared []uint32) []uint32 {
 	n := len(declared)
 	for number := range types {
@@ -290,6 +303,7 @@
 	return merged
 }
 
+// visitInsert visits the inserted values with the types of their columns.
 func visitInsert(stmt *pgquery.InsertStmt, t *table, visit func(*pgquery.Node, uint32)) {
 	if t == nil {
 		return
@@ -307,6 +321,7 @@
 	}
 }
 
+// visitAssignment visits an assigned value with the type of its column.
 func visitAssignment(target *pgquery.ResTarget, t *table, visit func(*pgquery.Node, uint32)) {
 	if t == nil {
 		return
@@ -317,6 +332,8 @@
 	visitTypes(target.Val, t, visit)
 }
 
+// visitTypes calls visit for operands and parameters of an expression, with the type
+// that the context suggests.
 func visitTypes(node *pgquery.Node, t *table, visit func(*pgquery.Node, uint32)) {
 	switch n := node.GetNode().(type) {
 	case *pgquery.Node_AExpr:
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -1,8 +1,10 @@
-// Package soak runs instances as separate processes before stand-ins of the users'
-// platform, injects faults from outside them for a while, and checks what callers
-// and members see against the project's promises. All choices come from a seed.
-// What the processes make of their time does not, so that a seed that failed may
-// have to be run several times.
+// Package soak runs stackspindle instances as separate processes against stand-ins of
+// the platform's store and database members, injects faults from outside of the
+// processes, and checks the answers that clients and members get against the
+// project's guarantees. A guarantee that does not hold is reported as a finding.
+//
+// The seed determines which faults and operations are chosen. It does not determine
+// their timing, so a seed that failed may have to run several times to fail again.
 package soak
 
 import (
@@ -22,41 +24,41 @@
 	"github.com/stackspindle/stackspindle/internal/standin/platformstore"
 )
 
-// Options say what is run.
+// Options configure a run.
 type Options struct {
-	Binary    string // the program
-	Dir       string // for settings and logs of the processes
+	Binary    string // path of the stackspindle program
+	Dir       string // where the settings and logs of the processes are written
 	Seed      uint64
-	Faults    time.Duration // for how long faults are injected
+	Faults    time.Duration // how long faults are injected
 	Instances int
-	Callers   int
-	// Planned leaves only planned work among the faults: stops, reloads, changes of
-	// configuration, members that drain. Then no request may be cut either.
+	Clients   int
+	// Planned restricts the faults to planned work: stops, reloads, configuration
+	// changes and draining members. No request may be cut off then.
 	Planned bool
 }
 
-// Settings of the surroundings.
+// Properties of the database groups, their routes and the clients.
 const (
-	membersPerGroup = 3
-	memberWork      = 5 * time.Millisecond  // of a statement
-	memberLag       = 40 * time.Millisecond // of replicas
-	plenty          = 40                    // connections of a member: each instance has some
-	scarce          = 10                    // two instances have some, for all others
-	staleness       = 2 * time.Second       // that bounded routes allow
-	statementTime   = time.Second           // of the routes
-	recovery        = 40 * time.Second      // until all must serve once faults are over; grants last 15 to 31 s
-	callerPause     = 10 * time.Millisecond
+	membersPerGroup   = 3
+	statementDuration = 5 * time.Millisecond  // duration of a statement at a member
+	replicaLag        = 40 * time.Millisecond // replica lag
+	ampleConns        = 40                    // connection limit of a member: enough for every instance to have some
+	scarceConns       = 10                    // connection limit of a member: only two instances have connections and serve the others
+	maxStaleness      = 2 * time.Second       // staleness bound of the routes that are not strict
+	statementTimeout  = time.Second           // statement timeout and target latency of the routes
+	recoveryTimeout   = 40 * time.Second      // how long after the faults all instances must serve again; grants last 15 to 31 s
+	clientPause       = 10 * time.Millisecond
 )
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
-	Faults   []string // with the time since the start, in order
-	Findings []string // promises that were broken
+	Faults   []string // in order, each with the time since the start of the run
+	Findings []string // guarantees that did not hold
 	Counts   map[string]int
 }
 
-// run is one run of the soak.
+// run is the state of one run.
 type run struct {
 	opts      Options
 	started   time.Time
@@ -67,61 +69,65 @@
 
 	mu     sync.Mutex // guards report, version
 	report Report
-	// version of the configuration in force
+	// version of the configuration last written to the store
 	version int64
 }
 
-// databaseGroup is a group with the servers of its members.
+// databaseGroup is a database group whose members are served over TCP, each behind a
+// fault proxy.
 type databaseGroup struct {
-	name    string
-	limit   int // connections a member
-	members *membergroup.Group
-	ids     []string
-	proxies map[string]*faultproxy.Proxy // by member
-	ledger  *ledger
+	name      string
+	connLimit int // connection limit of each member
+	members   *membergroup.Group
+	ids       []string
+	proxies   map[string]*faultproxy.Proxy // by member ID
+	outcomes  *outcomes
 }
 
-// Run runs the soak once. An error says that it could not be run.
+// Run starts the stand-ins and instances, runs clients while it injects faults, and
+// checks that all instances serve again and that no commit was lost or repeated.
+// Guarantees that did not hold are in the report; an error means that the run could
+// not be set up or was cancelled.
 func Run(ctx context.Context, opts Options) (Report, error) {
 	r := &run{opts: opts, started: time.Now(), store: memstore.New(), report: Report{Seed: opts.Seed, Counts: make(map[string]int)}}
 	defer r.close()
-	if err := r.prepare(); err != nil {
+	if err := r.setUp(); err != nil {
 		return r.report, err
 	}
 	if !r.awaitService(ctx) {
-		r.finding("the instances did not serve %s after their start", recovery)
+		r.finding("the instances did not serve %s after their start", recoveryTimeout)
 		return r.report, ctx.Err()
 	}
-	callersCtx, stopCallers := context.WithCancel(ctx)
-	defer stopCallers()
-	var callers sync.WaitGroup
-	for n := range opts.Callers {
-		callers.Add(1)
+	clientsCtx, stopClients := context.WithCancel(ctx)
+	defer stopClients()
+	var clients sync.WaitGroup
+	for n := range opts.Clients {
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
-			newCaller(r, n).work(callersCtx)
+			defer clients.Done()
+			newClient(r, n).runOperations(clientsCtx)
 		}()
 	}
 	r.inject(ctx)
 	if !r.awaitService(ctx) {
-		r.finding("not every instance serves every group %s after the last fault ended", recovery)
+		r.finding("not every instance serves every group %s after the last fault ended", recoveryTimeout)
 	}
-	stopCallers()
-	callers.Wait()
+	stopClients()
+	clients.Wait()
 	for _, g := range r.groups {
 		r.checkCommits(g)
 	}
 	return r.report, ctx.Err()
 }
 
-// prepare starts the stand-ins and the instances.
-func (r *run) prepare() error {
+// setUp starts the stand-ins, writes the configuration and starts the instances.
+func (r *run) setUp() error {
 	var err error
 	if r.platform, err = platformstore.New(r.store, r.promote); err != nil {
 		return err
 	}
-	for _, g := range []*databaseGroup{{name: "plenty", limit: plenty}, {name: "scarce", limit: scarce}} {
-		if err := r.prepareGroup(g); err != nil {
+	for _, g := range []*databaseGroup{{name: "plenty", connLimit: ampleConns}, {name: "scarce", connLimit: scarceConns}} {
+		if err := r.setUpGroup(g); err != nil {
 			return err
 		}
 		r.groups = append(r.groups, g)
@@ -140,15 +146,16 @@
 	return nil
 }
 
-func (r *run) prepareGroup(g *databaseGroup) error {
-	g.proxies, g.ledger = make(map[string]*faultproxy.Proxy), &ledger{}
+// setUpGroup starts the members of a group and writes their entries to the store.
+func (r *run) setUpGroup(g *databaseGroup) error {
+	g.proxies, g.outcomes = make(map[string]*faultproxy.Proxy), &outcomes{}
 	for n := range membersPerGroup {
 		g.ids = append(g.ids, fmt.Sprintf("%s-%d", g.name, n))
 	}
 	g.members = membergroup.New(g.name, g.ids...)
-	g.members.SetLag(memberLag)
+	g.members.SetLag(replicaLag)
 	for _, id := range g.ids {
-		server, err := memberserver.New(id, g.members, memberWork, r.finding)
+		server, err := memberserver.New(id, g.members, statementDuration, r.finding)
 		if err != nil {
 			return err
 		}
@@ -160,6 +167,7 @@
 	return nil
 }
 
+// promote handles the platform's promotion call.
 func (r *run) promote(name, id, instance string, token uint64) error {
 	for _, g := range r.groups {
 		if g.name == name {
@@ -169,7 +177,7 @@
 	return fmt.Errorf("no group %q", name)
 }
 
-// putMember writes a member's entry as the platform has it.
+// putMember writes a member's store entry in the platform's format.
 func (r *run) putMember(g *databaseGroup, id, state string) {
 	role := "replica"
 	if g.members.Entry(id).Primary {
@@ -181,10 +189,11 @@
 	})
 }
 
-// kinds are the routes' kinds of consistency, by what a database's name begins with.
+// kinds has the consistency of the routes by the prefix of their database name.
 var kinds = map[string]string{"strict": "primary", "bounded": "bounded_staleness", "own": "read_your_writes"}
 
-// putConfig writes the next version of the configuration.
+// putConfig writes the configuration with the next version number. Its contents stay
+// the same.
 func (r *run) putConfig() {
 	r.mu.Lock()
 	r.version++
@@ -195,11 +204,11 @@
 		for prefix, kind := range kinds {
 			routes = append(routes, map[string]any{
 				"name": prefix + g.name, "host": prefix + "-" + g.name, "kind": kind, "service": g.name, "priority": 1,
-				"timeout-ms": statementTime.Milliseconds(), "target-latency-ms": statementTime.Milliseconds(),
-				"max-staleness-ms": staleness.Milliseconds(),
+				"timeout-ms": statementTimeout.Milliseconds(), "target-latency-ms": statementTimeout.Milliseconds(),
+				"max-staleness-ms": maxStaleness.Milliseconds(),
 			})
 		}
-		services = append(services, map[string]any{"name": g.name, "max-conns": g.limit, "sync-replicas": 0})
+		services = append(services, map[string]any{"name": g.name, "max-conns": g.connLimit, "sync-replicas": 0})
 	}
 	r.put("op/config", map[string]any{"version": version, "routes": routes, "services": services, "limits": map[string]any{"tx-idle-ms": 5000}})
 }
@@ -207,12 +216,12 @@
 func (r *run) put(key string, document any) {
 	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(fmt.Sprintf("soak: %T cannot be encoded: %v", document, err)) // the documents stand above
+		panic(fmt.Sprintf("soak: encode %T: %v", document, err)) // all documents are built in this file
 	}
 	r.store.Put(key, raw)
 }
 
-// finding records a broken promise.
+// finding reports a guarantee that did not hold, with the time since the start.
 func (r *run) finding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,26 +229,27 @@
 	r.report.Findings = append(r.report.Findings, fmt.Sprintf("%s: ", at)+fmt.Sprintf(format, args...))
 }
 
-func (r *run) count(what string) {
+func (r *run) count(outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Counts[what]++
+	r.report.Counts[outcome]++
 }
 
-// awaitService waits until a write through every instance succeeds in every group.
+// awaitService waits until one write to every group has succeeded through every
+// instance. It returns false after the recovery time or when the context is cancelled.
 func (r *run) awaitService(ctx context.Context) bool {
-	until := time.Now().Add(recovery)
+	until := time.Now().Add(recoveryTimeout)
 	for n, i := range r.instances {
 		for _, g := range r.groups {
-			probe := newCaller(r, -1-n)
-			probe.fixed = i
+			probe := newClient(r, -1-n)
+			probe.target = i
 			for !probe.write(ctx, g) {
 				if time.Now().After(until) || ctx.Err() != nil {
 					return false
 				}
-				time.Sleep(callerPause)
+				time.Sleep(clientPause)
 			}
-			probe.hangUp()
+			probe.disconnect()
 		}
 	}
 	return true
@@ -248,8 +258,8 @@
 func (r *run) close() {
 	for _, i := range r.instances {
 		i.kill()
-		i.store.Close()
-		i.peers.Close()
+		i.storeProxy.Close()
+		i.peerProxy.Close()
 	}
 	for _, g := range r.groups {
 		for _, p := range g.proxies {
@@ -261,10 +271,11 @@
 	}
 }
 
-// random returns a source of choices for one part of the run.
+// random returns the random number generator for one part of the run, derived from
+// the seed.
 func (r *run) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(r.opts.Seed, part)) }
 
-// logFile opens the log of a process, which goes on over its restarts.
+// logFile opens the log of an instance for appending. All its processes share it.
 func (r *run) logFile(name string) (*os.File, error) {
 	return os.OpenFile(filepath.Join(r.opts.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
