--- a/internal/bench/replica_failover_overload_test.go
+++ b/internal/bench/replica_failover_overload_test.go
@@ -74,7 +74,7 @@
 }
 
 // BenchmarkReplicaShare measures the share of reads that replicas serve, for several
-// limits of staleness and replica lags, with 10% writes. "stale" counts reads that
+// staleness limits and replica lags, with 10% writes. "stale" counts reads that
 // returned an older value than the session and the staleness limit allow. "%bound" is
 // the share that replicas could serve without waiting if the lag of each were known
 // exactly.
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -131,7 +131,7 @@
 const envConfig = "STACKSPINDLE_NODE_FILE"
 
 // serve runs an instance for PostgreSQL until SIGTERM or SIGINT, then stops it gracefully.
-// A second signal cuts the graceful stop short.
+// A second signal ends the graceful stop early.
 func serve(ctx context.Context, settings *config.Settings, log *logrus.Logger) error {
 	inst, err := instance.New(settings, log, instance.Options{})
 	if err != nil {
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -42,8 +42,8 @@
 		case <-ctx.Done():
 			inst.Stop()
 			return nil
-		case got := <-signals:
-			if got != syscall.SIGHUP {
+		case sig := <-signals:
+			if sig != syscall.SIGHUP {
 				inst.Stop()
 				return nil
 			}
@@ -59,16 +59,16 @@
 // listeners and names, which stay fixed for the life of the process. Reloading reports
 // errors in them before the next start does.
 func reload(path string, log *logrus.Logger) {
-	entry := log.WithField("part", "settings").WithField("file", path)
+	logger := log.WithField("part", "settings").WithField("file", path)
 	settings, err := config.Load(path)
 	if err != nil {
-		entry.WithError(err).Error("settings: the file is invalid; keeping the settings from the start of the process")
+		logger.WithError(err).Error("settings: the file is invalid; keeping the settings from the start of the process")
 		return
 	}
 	if level, err := logrus.ParseLevel(settings.Fleet.LogLevel); err == nil {
 		log.SetLevel(level)
 	}
-	entry.WithField("log_level", settings.Fleet.LogLevel).Info("settings: reloaded the log level; other settings apply at the next start")
+	logger.WithField("log_level", settings.Fleet.LogLevel).Info("settings: reloaded the log level; other settings apply at the next start")
 }
 
 func fleetSettings(s *config.Settings) fleet.Settings {
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -281,8 +281,8 @@
 	return err
 }
 
-// followInterval is the poll interval of timeline --follow. It is short enough for somebody
-// who watches the output.
+// followInterval is the poll interval of timeline --follow. It is short enough to
+// follow events as they happen.
 const followInterval = 500 * time.Millisecond
 
 func runTimeline(ctx context.Context, cmd *cli.Command) error {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -96,7 +96,7 @@
 	Metrics  string        // listen address of the metrics endpoint; empty: metrics are not served
 	Grace    time.Duration // delay after which the platform kills a process that it has asked to stop
 	Lease    time.Duration // time to live of the instance's lease in the store
-	Drain    time.Duration // deadline, after a member announces that it leaves, for the last statement sent to it
+	Drain    time.Duration // time after which no statement may be sent to a member that has announced that it leaves
 
 	// FirstStart is true if the whole fleet starts for the first time. No instance can
 	// then have held shares of the accounts' limits before.
@@ -268,9 +268,9 @@
 			requirement{keyRef{"operator", "listen"}, s.OperatorListen},
 			requirement{keyRef{"platform", "endpoint"}, s.PlatformEndpoint})
 	}
-	for _, required := range required {
-		if required.value == "" && p.lines[required.ref] == 0 {
-			p.list.Add(p.location(required.ref), "must be set")
+	for _, r := range required {
+		if r.value == "" && p.lines[r.ref] == 0 {
+			p.list.Add(p.location(r.ref), "must be set")
 		}
 	}
 	if s.PeerAddress == "" {
@@ -438,18 +438,18 @@
 	}
 }
 
-func number(target *int, least, most int) setter {
+func number(target *int, minimum, maximum int) setter {
 	return func(value string) error {
 		n, err := strconv.Atoi(value)
-		if err != nil || n < least || n > most {
-			return fmt.Errorf("%q is not a number between %d and %d", value, least, most)
+		if err != nil || n < minimum || n > maximum {
+			return fmt.Errorf("%q is not a number between %d and %d", value, minimum, maximum)
 		}
 		*target = n
 		return nil
 	}
 }
 
-// maxAmount is the upper bound of settings that accept fractions.
+// maxAmount is the upper bound of the [limits] settings that accept fractions.
 const maxAmount = 1e6
 
 func nonNegative(target *float64) setter {
@@ -472,11 +472,11 @@
 )
 
 // positive accepts a number above 0, which may be a fraction.
-func positive(target *float64, most float64) setter {
+func positive(target *float64, maximum float64) setter {
 	return func(value string) error {
 		n, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(n > 0 && n <= most) {
-			return fmt.Errorf("%q is not a number above 0, up to %g", value, most)
+		if err != nil || !(n > 0 && n <= maximum) {
+			return fmt.Errorf("%q is not a number above 0, up to %g", value, maximum)
 		}
 		*target = n
 		return nil
--- a/internal/e2e/client_test.go
+++ b/internal/e2e/client_test.go
@@ -110,9 +110,9 @@
 	must.Eq(t, 0, countRows(t, conn, 7))
 }
 
-// Guards against mixed-up results: 16 clients share three connections per member.
-// It happens when an answer still refers to a read buffer that the next batch on
-// the same connection overwrites.
+// Guards against mixed-up results, which occur when an answer still refers to a read
+// buffer that the next batch on the same connection overwrites. 16 clients share
+// three connections per member.
 func TestConcurrentClientsGetOwnResults(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2, Connections: 3})
 	var wg sync.WaitGroup
--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -325,7 +325,7 @@
 // lag by an hour here, so the write exists only on the primary that is killed.
 func TestLostWritesAreReportedToTheirSession(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 2})
-	eventually(t, "the replicas hold the table", func() bool {
+	eventually(t, "the replicas have the table", func() bool {
 		return fleet.Group.Member(1).Position().Index > 0 && fleet.Group.Member(2).Position().Index > 0
 	})
 	fleet.Group.SetLag(time.Hour)
--- a/internal/e2e/operator_test.go
+++ b/internal/e2e/operator_test.go
@@ -70,8 +70,8 @@
 	return last
 }
 
-// A change is in force on all instances when the watch says so, and a deletion
-// reaches all of them.
+// A change must be in force on all instances when the watch reports it, and a
+// deletion must reach all of them.
 func TestConfigurationReachesAllInstances(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 5})
 	eventually(t, "all instances are members of the fleet", func() bool {
@@ -93,7 +93,7 @@
 	}
 	must.Eq(t, http.StatusNoContent, request(t, fleet.Instances[0], http.MethodDelete, "/v1/resources/service/desk", nil, nil))
 	for _, inst := range fleet.Instances {
-		eventually(t, "the service is gone", func() bool {
+		eventually(t, "the service is deleted", func() bool {
 			return request(t, inst, http.MethodGet, "/v1/resources/service/desk", nil, nil) == http.StatusNotFound
 		})
 	}
@@ -107,13 +107,13 @@
 	version := ""
 	for round := range 5 {
 		var mu sync.Mutex
-		var wait sync.WaitGroup
+		var wg sync.WaitGroup
 		accepted := 0
 		next := ""
 		for i := range 6 {
-			wait.Add(1)
+			wg.Add(1)
 			go func() {
-				defer wait.Done()
+				defer wg.Done()
 				var raw json.RawMessage
 				status := request(t, fleet.Instances[i%3], http.MethodPut, "/v1/resources/service/desk", serviceResource("desk", version, 1+i), &raw)
 				mu.Lock()
@@ -131,7 +131,7 @@
 				must.NotEq(t, "", problem.Version)
 			}()
 		}
-		wait.Wait()
+		wg.Wait()
 		must.Eq(t, 1, accepted, must.Sprint("round", round))
 		version = next
 	}
@@ -153,8 +153,8 @@
 	must.Eq(t, "Unknown", problem.Reason)
 }
 
-// Validation must report all findings of a document at once, each with its place in
-// the document, instead of stopping at the first.
+// Validation must report all findings of a document at once, each with its location
+// in the document, instead of stopping at the first.
 func TestValidationReportsAllFindings(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 1})
 	bad := &resource.Resource{
@@ -288,22 +288,22 @@
 	}
 }
 
-// The merged time line of all instances must be a total order that has causes before
-// their effects, as logical clocks give it.
+// The merged time line of all instances must be totally ordered, with causes before
+// their effects, as the hybrid logical clock guarantees.
 func TestTimelineOrdersFailoverEvents(t *testing.T) {
 	fleet := startFleet(t, standin.Options{Instances: 3})
 	fleet.Group.ByName(primaryOf(fleet)).Kill()
 	insertUntilAcknowledged(t, fleet.Instances[0].ClientAddr(), 0)
-	var line operator.Timeline
+	var merged operator.Timeline
 	eventually(t, "the whole failover is on the time line", func() bool {
-		request(t, fleet.Instances[0], http.MethodGet, "/v1/timeline?group=roster", nil, &line)
+		request(t, fleet.Instances[0], http.MethodGet, "/v1/timeline?group=roster", nil, &merged)
 		kinds := ""
-		for _, e := range line.Events {
+		for _, e := range merged.Events {
 			kinds += e.Kind + " "
 		}
 		return bytes.Contains([]byte(kinds), []byte("primary-lost fence promote serving"))
 	})
-	for i := 1; i < len(line.Events); i++ {
-		must.Less(t, line.Events[i].Clock, line.Events[i-1].Clock, must.Sprint(fmt.Sprint(line.Events[i])))
+	for i := 1; i < len(merged.Events); i++ {
+		must.Less(t, merged.Events[i].Clock, merged.Events[i-1].Clock, must.Sprint(fmt.Sprint(merged.Events[i])))
 	}
 }
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -86,7 +86,7 @@
 
 // Runs instances as separate processes under load. The owner is stopped with
 // SIGSTOP, replaced and continued. Then the new owner is killed, or the old one if the
-// new one is the ingress instance. At last the ingress instance is shut down with
+// new one is the ingress instance. Finally the ingress instance is shut down with
 // SIGTERM. No acknowledged row may be lost, and no row that was rejected as not run
 // may exist.
 func TestSeparateProcesses(t *testing.T) {
--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -22,8 +22,8 @@
 type List []Finding
 
 // Add appends a finding.
-func (l *List) Add(place, format string, args ...any) {
-	*l = append(*l, Finding{Location: place, Message: fmt.Sprintf(format, args...)})
+func (l *List) Add(location, format string, args ...any) {
+	*l = append(*l, Finding{Location: location, Message: fmt.Sprintf(format, args...)})
 }
 
 // Err returns the list as an error, or nil when it is empty.
--- a/internal/instance/backend.go
+++ b/internal/instance/backend.go
@@ -64,8 +64,8 @@
 	return reply
 }
 
-// callProbe probes another instance. The flag is true if the instance was unreachable,
-// for example because it refused the connection.
+// callProbe probes another instance. The second result reports whether the instance was
+// unreachable, for example because it refused the connection.
 func (i *Instance) callProbe(name string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, bool, error) {
 	i.metrics.peerMessages.Inc()
 	p, err := i.peers.Peer(name)
--- a/internal/instance/catalogue.go
+++ b/internal/instance/catalogue.go
@@ -122,8 +122,8 @@
 	return nil, fmt.Errorf("service %q, database %q: %w", name, database, caller.ErrNoDatabase)
 }
 
-// groupSpec builds the specification that the owner of a group works with. Passwords are
-// by credential reference.
+// groupSpec builds the specification that the owner of a group works with. passwords maps
+// credential references to passwords.
 func groupSpec(name string, d *resource.DatabaseSpec, passwords map[string]string) owner.Spec {
 	spec := owner.Spec{
 		Name:         name,
@@ -158,7 +158,7 @@
 }
 
 // equalExceptLeaving reports whether two specs are equal except for the Leaving flags of
-// members. A running group can apply these without a restart.
+// members, whose changes a running group can apply without a restart.
 func equalExceptLeaving(a, b owner.Spec) bool {
 	strip := func(s owner.Spec) owner.Spec {
 		s.Members = slices.Clone(s.Members)
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -31,7 +31,7 @@
 // control is the control state. Only the control goroutine accesses it.
 type control struct {
 	inst               *Instance
-	members            *membership.State
+	members            *membership.State     // the known instances and their liveness
 	platformList       []membership.Instance // instances listed by the platform; initially the seeds
 	probes             map[string]*probeState
 	ownerWatches       map[string]*ownerWatch
@@ -422,18 +422,18 @@
 		req.Address, req.DataCentre = i.advertised(), i.settings.DataCentre
 	}
 	i.spawn(func() {
-		reply, refused, err := i.callProbe(name, req)
-		i.post(func(c *control) { c.handleProbeReply(name, reply, refused, err) })
+		reply, unreachable, err := i.callProbe(name, req)
+		i.post(func(c *control) { c.handleProbeReply(name, reply, unreachable, err) })
 	})
 }
 
-func (c *control) handleProbeReply(name string, reply *peerpb.ProbeReply, refused bool, err error) {
+func (c *control) handleProbeReply(name string, reply *peerpb.ProbeReply, unreachable bool, err error) {
 	now := c.inst.now()
 	if p := c.probes[name]; p != nil {
 		p.running = false
 	}
 	if err != nil {
-		c.members.RecordFailedProbe(now, name, refused)
+		c.members.RecordFailedProbe(now, name, unreachable)
 		return
 	}
 	c.inst.hlc.Observe(timeline.Stamp(reply.Clock))
--- a/internal/instance/control_test.go
+++ b/internal/instance/control_test.go
@@ -9,7 +9,7 @@
 
 // runOnControl returns false without waiting if the instance stops while the event is running,
 // so that its caller does not read what the event still writes. The race detector found such a
-// read in the check for a store that comes back with older data.
+// read in the handling of a store that was restored with older data.
 func TestRunOnControlWhileStopping(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	i := &Instance{ctx: ctx, events: make(chan event)}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -140,7 +140,7 @@
 	i.dispatcher = dispatch.New(i.settings.Name, i, i.peers)
 	options := i.settings.Client
 	options.Instance = i.settings.Name
-	options.TLS = tls.caller
+	options.TLS = tls.clientListener
 	i.clientServer, err = caller.NewServer(options, i, i.dispatcher, i.classifier, i.metrics, i.loggerFor("caller"))
 	if err != nil {
 		return err
--- a/internal/instance/metrics.go
+++ b/internal/instance/metrics.go
@@ -35,7 +35,7 @@
 }
 
 // Statement implements caller.Events.
-func (c *counters) Statement(_ string, read, primary bool, took time.Duration) {
+func (c *counters) Statement(_ string, read, primary bool, duration time.Duration) {
 	switch {
 	case !read:
 		c.writes.Inc()
@@ -44,7 +44,7 @@
 	default:
 		c.replicaReads.Inc()
 	}
-	c.latency.Update(took.Seconds())
+	c.latency.Update(duration.Seconds())
 }
 
 // Refused implements caller.Events.
--- a/internal/instance/resources.go
+++ b/internal/instance/resources.go
@@ -250,18 +250,18 @@
 
 // forEachLive runs call concurrently for every other live instance and waits for all.
 func (i *Instance) forEachLive(call func(name string)) {
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, l := range i.fleet.Load().live {
 		if l.Name == i.settings.Name {
 			continue
 		}
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			call(l.Name)
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
 // FleetTimeline implements operator.Backend. It merges the events of all live instances
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -157,13 +157,14 @@
 		return
 	}
 	c.staleStoreRecorded = true
-	var old *rollout.StaleDataError
-	if errors.As(err, &old) {
+	var stale *rollout.StaleDataError
+	if errors.As(err, &stale) {
 		c.inst.record(timeline.Event{Kind: "store-behind", Text: "the platform's service holds older data, which is not applied: " + err.Error()})
 	}
 }
 
 // setStoreReachable records whether the service is reachable, with an event on each change.
+// err is the error of the last call to the service; nil means reachable.
 func (i *Instance) setStoreReachable(err error) {
 	reachable := err == nil
 	if i.storeReachable.Swap(reachable) == reachable {
--- a/internal/instance/tls.go
+++ b/internal/instance/tls.go
@@ -17,10 +17,10 @@
 // tlsSettings holds the TLS configurations of an instance's listeners and of its client
 // for other instances. If a field is nil, that side does not use TLS.
 type tlsSettings struct {
-	caller     func() *tls.Config
-	peerClient credentials.TransportCredentials
-	peerServer credentials.TransportCredentials
-	operator   *tls.Config
+	clientListener func() *tls.Config
+	peerClient     credentials.TransportCredentials
+	peerServer     credentials.TransportCredentials
+	operator       *tls.Config
 }
 
 // reloadingCertificate is a certificate that is reloaded when its file changes.
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		t.caller = func() *tls.Config { return cfg }
+		t.clientListener = func() *tls.Config { return cfg }
 	}
 	if s.OperatorTLS.Configured() {
 		cfg, err := serverTLS(s.OperatorTLS)
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -34,19 +34,19 @@
 	return &Limiter{now: now, kinds: make(map[string]*kindState)}
 }
 
-// Allow reports whether a line of the named kind may be written, and if so how many lines of
+// Allow reports whether a line of the given kind may be written, and if so how many lines of
 // the kind were suppressed since the last allowed one.
-func (l *Limiter) Allow(name string) (suppressed int, ok bool) {
+func (l *Limiter) Allow(kind string) (suppressed int, ok bool) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.kinds[name]
+	k := l.kinds[kind]
 	if k == nil {
 		if len(l.kinds) >= limitKinds {
 			clear(l.kinds) // bounds the memory; only a fault produces more kinds than this
 		}
 		k = &kindState{windowStart: now}
-		l.kinds[name] = k
+		l.kinds[kind] = k
 	}
 	if now-k.windowStart >= limitWindow {
 		k.windowStart, k.written = now, 0
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -37,13 +37,13 @@
 	out     bytes.Buffer
 }
 
-func (s *blockedWriter) Write(line []byte) (int, error) {
+func (b *blockedWriter) Write(line []byte) (int, error) {
 	select {
-	case s.entered <- struct{}{}:
+	case b.entered <- struct{}{}:
 	default:
 	}
-	<-s.release
-	return s.out.Write(line)
+	<-b.release
+	return b.out.Write(line)
 }
 
 func TestWriterNeverBlocks(t *testing.T) {
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -197,9 +197,9 @@
 	}
 }
 
-func orDefault(n, otherwise int) int {
+func orDefault(n, fallback int) int {
 	if n == 0 {
-		return otherwise
+		return fallback
 	}
 	return n
 }
@@ -240,14 +240,14 @@
 	return map[Kind]string{KindDatabase: "database", KindService: "service", KindInstance: "instance"}[kind]
 }
 
-func checkAddress(list *findings.List, place, address string) {
+func checkAddress(list *findings.List, location, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
-		list.Add(place, "%q is not an IP address and port", address)
+		list.Add(location, "%q is not an IP address and port", address)
 		return
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		list.Add(place, "%q has no port between 1 and 65535", address)
+		list.Add(location, "%q has no port between 1 and 65535", address)
 	}
 }
 
@@ -257,18 +257,18 @@
 	}
 	names, addresses := make(map[string]bool), make(map[string]bool)
 	for i, m := range d.Members {
-		place := fmt.Sprintf("database.members[%d]", i)
+		location := fmt.Sprintf("database.members[%d]", i)
 		if !ValidName(m.Name) {
-			list.Add(place+".name", "%q is not a name", m.Name)
+			list.Add(location+".name", "%q is not a name", m.Name)
 		}
 		if names[m.Name] {
-			list.Add(place+".name", "%q stands twice", m.Name)
+			list.Add(location+".name", "%q stands twice", m.Name)
 		}
 		if addresses[m.Address] {
-			list.Add(place+".address", "%q stands twice", m.Address)
+			list.Add(location+".address", "%q stands twice", m.Address)
 		}
 		names[m.Name], addresses[m.Address] = true, true
-		checkAddress(list, place+".address", m.Address)
+		checkAddress(list, location+".address", m.Address)
 	}
 	if d.Connections < 1 {
 		list.Add("database.connections", "%d: at least 1 is needed", d.Connections)
--- a/internal/socket/options.go
+++ b/internal/socket/options.go
@@ -9,8 +9,8 @@
 
 // userTimeout is the TCP user timeout: how long sent data may stay unacknowledged by the peer's
 // kernel before the connection is closed as dead. 800 ms leave time for a few retransmissions
-// on links with latencies of milliseconds. It detects a lost peer where no answer is due
-// sooner; the application's own timeouts cover the other cases.
+// on links with latencies of milliseconds. It detects a lost peer where no request
+// timeout does so sooner; the application's own timeouts cover the other cases.
 const userTimeout = 800 * time.Millisecond
 
 // SetUserTimeout sets the TCP user timeout of a connection that is being opened. It is a Control
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -35,7 +35,7 @@
 	Ack          resource.Acknowledgement     // when a write is acknowledged; empty: AckPrimary
 	Log          *logrus.Logger               // nil: logs are discarded
 	Adjust       func(*config.Settings)       // changes the settings of each instance before it starts; may be nil
-	Pause        func(i int, _ owner.Step)    // called at each step of instance i's owner, to inject faults; may be nil
+	Pause        func(i int, _ owner.Step)    // fault injection hook, called at each step of instance i; may be nil
 	Services     []resource.Resource          // additional services to declare
 	DataCentres  func(instance int) string    // data centre of each instance; nil: dc1, dc2 and dc3 in turn
 	NoDatabase   bool                         // declare neither database nor services
@@ -204,11 +204,11 @@
 	if f.opts.Adjust != nil {
 		f.opts.Adjust(settings)
 	}
-	var pause func(owner.Step)
+	var faultHook func(owner.Step)
 	if f.opts.Pause != nil {
-		pause = func(s owner.Step) { f.opts.Pause(i, s) }
+		faultHook = func(s owner.Step) { f.opts.Pause(i, s) }
 	}
-	inst, err := instance.New(settings, f.opts.Log, instance.Options{FaultHook: pause})
+	inst, err := instance.New(settings, f.opts.Log, instance.Options{FaultHook: faultHook})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/kvservice/kvservice.go
+++ b/internal/standin/kvservice/kvservice.go
@@ -1,5 +1,5 @@
 // Package kvservice is an in-memory stand-in for the platform's key-value service. It
-// serves the part of etcd v3's HTTP/JSON gateway that package platform uses, and injects
+// serves the part of etcd v3's HTTP/JSON gateway that package etcd uses, and injects
 // outages, slow answers and answers lost after a write has taken effect.
 package kvservice
 
--- a/internal/standin/membergroup/membergroup.go
+++ b/internal/standin/membergroup/membergroup.go
@@ -159,15 +159,15 @@
 // BlockStatements makes the statements that reach a member from now on wait until
 // release is called. reached receives an item for each waiting statement.
 func (g *Group) BlockStatements(id string) (reached <-chan struct{}, release func()) {
-	h := &block{reached: make(chan struct{}, maxRuns), released: make(chan struct{})}
+	b := &block{reached: make(chan struct{}, maxRuns), released: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[id].block = h
-	return h.reached, func() {
+	g.members[id].block = b
+	return b.reached, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.members[id].block = nil
-		close(h.released)
+		close(b.released)
 	}
 }
 
@@ -417,10 +417,10 @@
 	if err := c.enter(req.Deadline); err != nil {
 		return statement.Answer{}, err
 	}
-	if h := c.member.block; h != nil {
+	if b := c.member.block; b != nil {
 		c.group.mu.Unlock()
-		h.reached <- struct{}{}
-		<-h.released
+		b.reached <- struct{}{}
+		<-b.released
 		c.group.mu.Lock()
 	}
 	answer := c.run(req)
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -23,7 +23,7 @@
 type Store struct {
 	mu             sync.Mutex // guards all below
 	revision       int64
-	compacted      int64 // events up to this revision are gone
+	compacted      int64 // events up to this revision have been dropped
 	items          map[string]kv.Item
 	events         []kv.Event
 	leases         map[kv.LeaseID]bool
@@ -256,9 +256,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conflict := &kv.ConflictError{}
-	for _, e := range txn.Conditions {
-		if s.items[e.Key].Revision != e.Revision {
-			conflict.Items = append(conflict.Items, s.items[e.Key])
+	for _, c := range txn.Conditions {
+		if s.items[c.Key].Revision != c.Revision {
+			conflict.Items = append(conflict.Items, s.items[c.Key])
 		}
 	}
 	if len(conflict.Items) > 0 {
--- a/internal/standin/pggroup/member.go
+++ b/internal/standin/pggroup/member.go
@@ -385,8 +385,8 @@
 	}
 }
 
-// replicateOnce applies the entries that are due and returns a channel that is closed when it
-// should run again.
+// replicateOnce applies the entries that are due and returns a channel that is closed
+// when it should run again.
 func (m *Member) replicateOnce() <-chan struct{} {
 	m.mu.RLock()
 	leader, role, replicationChanged, term := m.leader, m.role, m.replicationChanged, m.term
--- a/internal/standin/pggroup/session.go
+++ b/internal/standin/pggroup/session.go
@@ -163,7 +163,7 @@
 }
 
 // startup reads the startup message. It declines encryption and handles cancel requests;
-// a nil message means that the connection has served its purpose.
+// a nil message without an error means that the connection carried a cancel request.
 func (m *Member) startup(backend *pgproto3.Backend, conn *gatedConn) (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := backend.ReceiveStartupMessage()
--- a/internal/standin/pggroup/write.go
+++ b/internal/standin/pggroup/write.go
@@ -18,11 +18,11 @@
 	}
 	n := 0
 	for _, row := range rows {
-		done, err := s.insertRow(t, row, stmt.OnConflictClause != nil)
+		inserted, err := s.insertRow(t, row, stmt.OnConflictClause != nil)
 		if err != nil {
 			return "", err
 		}
-		if !done {
+		if !inserted {
 			continue
 		}
 		n++
--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -162,8 +162,8 @@
 		return
 	}
 	txn := kv.Txn{Delete: body.Delete}
-	for _, e := range body.Expect {
-		txn.Conditions = append(txn.Conditions, kv.Condition{Key: e.Key, Revision: e.ModRevision})
+	for _, c := range body.Expect {
+		txn.Conditions = append(txn.Conditions, kv.Condition{Key: c.Key, Revision: c.ModRevision})
 	}
 	for _, p := range body.Puts {
 		txn.Puts = append(txn.Puts, kv.Put{Key: p.Key, Value: p.Value, Lease: kv.LeaseID(p.Lease)})
--- a/internal/standin/soak/client.go
+++ b/internal/standin/soak/client.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// write tries one write to a group, for callers that repeat it until it succeeds.
+// write tries one write to a group, for awaitService, which repeats it until it succeeds.
 func (c *client) write(_ context.Context, g *databaseGroup) bool {
 	c.group, c.kind = g, "strict"
 	if c.conn == nil {
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -67,10 +67,9 @@
 	groups    []*databaseGroup
 	instances []*instance
 
-	mu     sync.Mutex // guards report, version
-	report Report
-	// version of the configuration last written to the store
-	version int64
+	mu      sync.Mutex // guards report, version
+	report  Report
+	version int64 // version of the configuration last written to the store
 }
 
 // databaseGroup is a database group whose members are served over TCP, each behind a
--- a/internal/standin/soak/soak_test.go
+++ b/internal/standin/soak/soak_test.go
@@ -15,8 +15,8 @@
 // failedSeeds has seeds that failed once, with the cause. The timing of a run is not
 // reproducible, so a seed only makes its cause likely; each cause has its own test.
 var failedSeeds = map[uint64]string{
-	106: "an old primary that came back, leading an earlier term, was taken for the primary (TestSelect)",
-	107: "a carrier kept connections for transactions of a silent instance (TestCarrierAbortsTransactionsOfUnresponsiveInstances)",
+	106: "a replaced primary that was reachable again, in an earlier term, was selected as the primary (TestSelect)",
+	107: "a carrier kept connections for transactions of an unresponsive instance (TestCarrierAbortsTransactionsOfUnresponsiveInstances)",
 	122: "the same as 107: no service through a carrier after the last fault",
 	146: "the same as 106, after the primary drained",
 }
