--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -17,8 +17,8 @@
 // produce hundreds.
 const maxShownFindings = 10
 
-// plannedSeedInterval is the distance between the seeds whose runs have planned operations
-// only, such as stops and reloads: the multiples of it.
+// plannedSeedInterval is the distance between the seeds whose runs have planned work only,
+// such as stops and reloads: the multiples of it.
 const plannedSeedInterval = 5
 
 func soakCommand() *cli.Command {
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -22,7 +22,7 @@
 	Calls() int64
 }
 
-// watchersPerDataCentre is how many instances of a data centre watch the platform's
+// watchersPerDataCentre is the number of instances of a data centre watch the platform's
 // key-value service. All others receive changes from their peers.
 const watchersPerDataCentre = 2
 
--- a/internal/standin/soak/client.go
+++ b/internal/standin/soak/client.go
@@ -123,12 +123,12 @@
 
 func (a answer) ok() bool { return !a.lost && a.code == "" }
 
-// noEffectCodes has the error codes that promise that the statement or transaction had no
-// effect.
+// noEffectCodes has the error codes that guarantee that the statement or transaction had
+// no effect.
 var noEffectCodes = map[string]bool{"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "MISROUTED": true, "TOOMANY": true}
 
-// query sends one statement and reads its answer. It checks the receipt, and with
-// planned work only, that the request was not cut off.
+// query sends one statement and reads its answer. It checks the receipt and, in
+// runs with planned work only, that the request was not cut off.
 func (c *client) query(id, text string) answer {
 	sent := time.Now()
 	if _, err := fmt.Fprintf(c.conn, "QUERY %s %s\r\n", id, text); err != nil {
--- a/internal/standin/soak/outcomes.go
+++ b/internal/standin/soak/outcomes.go
@@ -13,7 +13,7 @@
 type outcomes struct {
 	mu           sync.Mutex // guards all below
 	acknowledged map[string]bool
-	rejected     map[string]bool // rejected with a code that promises that the write had no effect
+	rejected     map[string]bool // rejected with one of noEffectCodes
 	watermarks   []watermark     // in order of time, with ascending positions
 }
 
