--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -52,7 +52,7 @@
 	limit, ok := directory().Limit("confirm")
 	must.True(t, ok)
 	must.Eq(t, Limit{Rate: 3, Burst: 4}, limit)
-	_, ok = directory().Limit("gone")
+	_, ok = directory().Limit("undeclared")
 	must.False(t, ok)
 	_, ok = (*Directory)(nil).Limit("confirm")
 	must.False(t, ok)
--- a/internal/caller/cancel.go
+++ b/internal/caller/cancel.go
@@ -5,8 +5,8 @@
 // CancelForwarder forwards a cancel request to the instance with the tag; see InstanceTag.
 type CancelForwarder func(tag, pid uint32, secret []byte)
 
-// SetCancelForwarder sets the function that forwards cancel requests to other instances. It must be
-// called before Serve.
+// SetCancelForwarder sets the function that forwards cancel requests to other instances. It
+// must be called before Serve.
 func (s *Server) SetCancelForwarder(f CancelForwarder) { s.cancelForwarder = f }
 
 // forwardCancel handles a cancel request. It is forwarded if the client to cancel is connected
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// markParseUncertain marks the prepared statements of a batch that a member answered with an error,
-// since any of the batch's messages may have failed.
+// markParseUncertain marks the prepared statements of a batch that a member answered with an
+// error, since any of the batch's messages may have failed.
 func (c *conn) markParseUncertain(b *batch) {
 	for _, name := range b.parsedNames {
 		if p := c.prepared[name]; p != nil {
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -44,8 +44,8 @@
 // field can make the server allocate.
 const maxFuzzMessage = 1 << 16
 
-// FuzzClientConnection sends arbitrary bytes to a connection. It must neither panic nor hang, and must
-// reject a message whose length field exceeds the limit without reading it.
+// FuzzClientConnection sends arbitrary bytes to a connection. It must neither panic nor hang,
+// and must reject a message whose length field exceeds the limit without reading it.
 func FuzzClientConnection(f *testing.F) {
 	start := &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{
 		"user": "roster", "database": "roster", "options": "-c stackspindle.session=a -c search_path=b",
--- a/internal/caller/run.go
+++ b/internal/caller/run.go
@@ -76,8 +76,8 @@
 	return "SET", c.session.setOption(st.Name, st.Value)
 }
 
-// answerFailedTransaction answers a batch within a transaction that this instance has failed: it accepts
-// only COMMIT and ROLLBACK, and both roll back.
+// answerFailedTransaction answers a batch within a transaction that this instance has failed:
+// it accepts only COMMIT and ROLLBACK, and both roll back.
 func (c *conn) answerFailedTransaction(b *batch) error {
 	ends := false
 	for _, st := range b.statements {
@@ -190,8 +190,8 @@
 	return c.flush()
 }
 
-// sendRefusal sends a refusal to the client. If part of an answer has been delivered already, the
-// connection ends with the error, since the partial answer cannot be taken back.
+// sendRefusal sends a refusal to the client. If part of an answer has been delivered already,
+// the connection ends with the error, since the partial answer cannot be taken back.
 func (c *conn) sendRefusal(result dispatch.Result, complete bool) error {
 	f := refusalFailure(result.Done)
 	c.endTx()
--- a/internal/caller/session.go
+++ b/internal/caller/session.go
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// answeredLocally reports whether a statement only concerns stackspindle and is answered without an
-// upstream. This includes DISCARD ALL and DEALLOCATE, since this package keeps all the state
-// that they discard.
+// answeredLocally reports whether a statement only concerns stackspindle and is answered
+// without an upstream. This includes DISCARD ALL and DEALLOCATE, since this package keeps all
+// the state that they discard.
 func answeredLocally(st sqlclass.Statement) bool {
 	switch st.Kind {
 	case sqlclass.KindDiscardAll, sqlclass.KindDeallocate:
--- a/internal/caller/start.go
+++ b/internal/caller/start.go
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// forwardedParameters lists the startup parameters that affect how statements run; they become settings
-// of the session.
+// forwardedParameters lists the startup parameters that affect how statements run; they
+// become settings of the session.
 var forwardedParameters = map[string]bool{
 	"bytea_output":       true,
 	"datestyle":          true,
@@ -263,8 +263,8 @@
 	return nil
 }
 
-// completeStartup registers the connection and completes the startup: it sends AuthenticationOk, the
-// server parameters, the cancel key and ReadyForQuery.
+// completeStartup registers the connection and completes the startup: it sends
+// AuthenticationOk, the server parameters, the cancel key and ReadyForQuery.
 func (c *conn) completeStartup() {
 	c.server.register(c)
 	c.registered = true
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -374,7 +374,7 @@
 		lease.Conn = conn
 		return lease, nil
 	}
-	p.makeRoom()
+	p.closeSurplusIdle()
 	conn, err := p.dial(ctx, r.Account)
 	if err != nil && p.cfg.IsFull != nil && p.cfg.IsFull(err) && p.closeOldestIdle() {
 		conn, err = p.dial(ctx, r.Account)
@@ -440,13 +440,13 @@
 // closeConn closes a connection and removes it from the pool. The caller holds mu.
 func (p *Pool[C]) closeConn(conn C) {
 	conn.Kill()
-	entry, ok := p.conns[conn]
+	owned, ok := p.conns[conn]
 	if !ok {
 		return
 	}
 	delete(p.conns, conn)
-	if p.connsByAccount[entry.account]--; p.connsByAccount[entry.account] == 0 {
-		delete(p.connsByAccount, entry.account)
+	if p.connsByAccount[owned.account]--; p.connsByAccount[owned.account] == 0 {
+		delete(p.connsByAccount, owned.account)
 	}
 }
 
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// A request held by a pause is granted at its end without any other event.
+// A request blocked by a pause is granted at its end without any other event.
 func TestPauseEndsWithoutFurtherEvents(t *testing.T) {
 	p, clock := newPool(&dialer{limit: 1}, never)
 	const pause = time.Millisecond
@@ -186,9 +186,9 @@
 	p, clock := newPool(&dialer{limit: 4}, never)
 	p.SetCapacity(4)
 	read := pool.Request{Flexible: true, Deadline: time.Hour}
-	resting, err := p.Acquire(t.Context(), read, nil)
+	parked, err := p.Acquire(t.Context(), read, nil)
 	must.NoError(t, err)
-	resting.Park()
+	parked.Park()
 	writes := []*Lease[*fakeConn]{acquire(t, p), acquire(t, p), acquire(t, p)}
 	for _, write := range writes {
 		write.Release()
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -56,10 +56,10 @@
 	return best
 }
 
-// makeRoom closes the connections that have been idle for longest until another one can be
-// opened within the capacity. Each grant counts as a connection in use, also while that is
-// being opened.
-func (p *Pool[C]) makeRoom() {
+// closeSurplusIdle closes the connections that have been idle for longest until another one
+// can be opened within the capacity. Each grant counts as a connection in use, also while
+// that is being opened.
+func (p *Pool[C]) closeSurplusIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	surplus := p.queue.InUse() + len(p.idle) - p.queue.Capacity()
@@ -76,8 +76,8 @@
 	p.closeIdleWhere(func(idleConn[C]) bool { return true })
 }
 
-// Shrink closes connections that have been idle for at least the time unused, as long as
-// more than keep connections exist.
+// Shrink closes connections that have been idle for at least minIdle, as long as more than
+// keep connections exist.
 func (p *Pool[C]) Shrink(minIdle time.Duration, keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -121,9 +121,9 @@
 // failover.
 func TestPartialFailuresKeepPrimary(t *testing.T) {
 	cases := map[string]func(h *harness){
-		"a silent replica":       func(h *harness) { h.runHeartbeats(3*time.Second, "a", "b") },
-		"both replicas silent":   func(h *harness) { h.runHeartbeats(3*time.Second, "a") },
-		"an answer every second": func(h *harness) { slowPrimary(h, time.Second) },
+		"an unresponsive replica":    func(h *harness) { h.runHeartbeats(3*time.Second, "a", "b") },
+		"both replicas unresponsive": func(h *harness) { h.runHeartbeats(3*time.Second, "a") },
+		"an answer every second":     func(h *harness) { slowPrimary(h, time.Second) },
 		"one refused connection": func(h *harness) {
 			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailConnection})
 			h.runHeartbeats(time.Second, "a", "b", "c")
@@ -151,7 +151,7 @@
 
 func TestFailedPrimaryIsReplaced(t *testing.T) {
 	cases := map[string]func(h *harness) []Action{
-		"silent": func(h *harness) []Action { return h.runHeartbeats(1500*time.Millisecond, "b", "c") },
+		"unresponsive": func(h *harness) []Action { return h.runHeartbeats(1500*time.Millisecond, "b", "c") },
 		"refusing": func(h *harness) []Action {
 			h.runHeartbeats(400*time.Millisecond, "a", "b", "c")
 			h.step(Reply{Member: "a", Op: OpHeartbeat, Term: 2, Failure: FailConnection})
@@ -314,7 +314,7 @@
 		{"others lack some", false, at(9), at(8), at(7), "a"},
 		{"others lack what no replica confirmed", true, at(9), at(8), at(7), "b"},
 		{"a replica that may have confirmed is missing", true, at(9), at(8), &member{}, "a"},
-		{"the avoided one is gone", false, &member{}, at(8), at(7), "b"},
+		{"the excluded one was not fenced", false, &member{}, at(8), at(7), "b"},
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
@@ -334,11 +334,11 @@
 	h := newHarness(t, DefaultConfig())
 	h.startServing()
 	h.runHeartbeats(time.Second, "a", "b", "c")
-	asked := h.now
+	sentAt := h.now
 	h.runHeartbeats(1500*time.Millisecond, "b", "c")
 	must.Eq(t, Fencing, h.s.Phase())
 	h.reply("b", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 12}})
-	h.step(Reply{Member: "b", Op: OpHeartbeat, Term: 2, Sent: asked, Status: replicaStatus(2, 10)})
+	h.step(Reply{Member: "b", Op: OpHeartbeat, Term: 2, Sent: sentAt, Status: replicaStatus(2, 10)})
 	actions := h.reply("c", OpFence, group.Status{Term: 3, Role: group.RoleFenced, Position: group.Position{Term: 2, Index: 11}})
 	must.Eq(t, []string{"b"}, sends(actions, OpPromote))
 }
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -406,7 +406,7 @@
 	}
 	for range 15 {
 		sim.run(sim.now + 100*time.Millisecond)
-		sim.deliver(other, Claim{Reason: "the owner is gone"})
+		sim.deliver(other, Claim{Reason: "the owner does not answer"})
 		sim.write(inst)
 		sim.write(other)
 	}
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -247,8 +247,8 @@
 			best = name
 		}
 	}
-	avoided := s.members[s.excluded]
-	if avoided == nil || !avoided.fenced || s.canExclude(avoided, best, others) {
+	excluded := s.members[s.excluded]
+	if excluded == nil || !excluded.fenced || s.canExclude(excluded, best, others) {
 		return best
 	}
 	return s.excluded
@@ -259,11 +259,11 @@
 // acknowledged, except if an acknowledgement needs a replica and all replicas
 // have been fenced. The highest acknowledged position known here cannot be used,
 // because it may be out of date.
-func (s *State) canExclude(avoided *member, best string, others int) bool {
+func (s *State) canExclude(excluded *member, best string, others int) bool {
 	if best == "" {
 		return false
 	}
-	if s.members[best].status.Position.AtLeast(avoided.status.Position) {
+	if s.members[best].status.Position.AtLeast(excluded.status.Position) {
 		return true
 	}
 	return s.cfg.ReplicaAck && others == len(s.names)-1
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -24,7 +24,7 @@
 
 const (
 	// callTimeout is the timeout of a call for tokens. An instance that has used up its
-	// CPU quota stands still for as long.
+	// CPU quota is throttled for as long.
 	callTimeout = 100 * time.Millisecond
 	// lateFactor is the multiple of the average response time after which a holder counts
 	// as late and the next holder is asked concurrently. The delay is at least minLate,
@@ -81,8 +81,8 @@
 	Metrics  *metrics.Set
 }
 
-// New returns a limiter. It holds no shares until its activation time and a store snapshot
-// are set.
+// New returns a limiter. It holds no shares until SetSettledAt, SetInstances and
+// ConfirmSnapshot have been called.
 func New(cfg Config) *Limiter {
 	return &Limiter{
 		self: cfg.Self.Name, accounts: cfg.Accounts, conns: cfg.Conns, now: cfg.Now, spawn: cfg.Spawn, log: cfg.Log,
@@ -131,9 +131,9 @@
 }
 
 // Spend uses a token of an account for one operation. It usually takes a cached token at
-// once; otherwise it waits for one for at most patience, or until ctx is done. If it gets
+// once; otherwise it waits for one for at most maxWait, or until ctx is done. If it gets
 // none it returns false and the reason.
-func (l *Limiter) Spend(ctx context.Context, name string, patience time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *Limiter) Spend(ctx context.Context, name string, maxWait time.Duration) (quota.Token, quota.Shortage, bool) {
 	if !l.isLimited(name) {
 		return quota.Token{}, quota.Shortage{}, true
 	}
@@ -149,7 +149,7 @@
 			return quota.Token{}, decision.Shortage, false
 		}
 		if deadline == nil {
-			timer := time.NewTimer(patience)
+			timer := time.NewTimer(maxWait)
 			defer timer.Stop()
 			deadline = timer.C
 		}
@@ -179,9 +179,9 @@
 	l.tokens.Return(name, t)
 }
 
-// decide returns how to proceed with an operation, which may have waited before. If tokens are needed it
-// starts to fetch some, unless a fetch for the account is in progress already. The returned
-// channel is closed when that fetch has ended.
+// decide returns how to proceed with an operation, which may have waited before. If tokens
+// are needed it starts to fetch some, unless a fetch for the account is in progress already.
+// The returned channel is closed when that fetch has ended.
 func (l *Limiter) decide(name string, waited bool) (quota.Decision, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -152,13 +152,13 @@
 
 // holdersExcept returns the indexes of the holders of an account except for one.
 func (f *fleet) holdersExcept(name, not string) []int {
-	var held []int
+	var indexes []int
 	for i, l := range f.limiters {
 		if l.self != not && slices.Contains(l.holders.Of(name), l.self) {
-			held = append(held, i)
+			indexes = append(indexes, i)
 		}
 	}
-	return held
+	return indexes
 }
 
 // makeUnresponsive makes a holder leave all calls unanswered.
@@ -181,18 +181,18 @@
 // gets its token from the sixth while the calls to the others are still pending.
 func TestLateHoldersDoNotDelayOperations(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 50, Burst: 50})
-	var asker *Limiter
+	var requester *Limiter
 	for _, l := range f.limiters {
 		if !slices.Contains(l.holders.Of("a"), l.self) {
-			asker = l
+			requester = l
 		}
 	}
-	asker.timeout = time.Hour
-	for _, i := range f.holdersExcept("a", asker.holders.Of("a")[5]) {
+	requester.timeout = time.Hour
+	for _, i := range f.holdersExcept("a", requester.holders.Of("a")[5]) {
 		f.makeUnresponsive(t, i)
 	}
 	for range 3 {
-		_, _, ok := asker.Spend(t.Context(), "a", generous)
+		_, _, ok := requester.Spend(t.Context(), "a", generous)
 		must.True(t, ok)
 	}
 }
@@ -205,8 +205,8 @@
 	for _, i := range f.holdersExcept("a", "") {
 		f.makeUnresponsive(t, i)
 	}
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnect()
 	if slices.Contains(l.holders.Of("a"), l.self) {
 		l.SetSettledAt(2 * time.Hour) // makes its own share unavailable
 	}
@@ -216,27 +216,27 @@
 }
 
 // An account is at its limit and one of its holders does not answer. Once another holder
-// has reported having no token, operations are rejected rather than held until the late
-// one answers.
+// has reported having no token, operations are rejected rather than queued until the
+// late one answers.
 func TestLateHolderDoesNotDelayRejections(t *testing.T) {
 	f := newFleet(t, 7, account.Limit{Rate: 10, Burst: 10})
-	var asker *Limiter
+	var requester *Limiter
 	for _, l := range f.limiters {
 		if !slices.Contains(l.holders.Of("a"), l.self) {
-			asker = l
+			requester = l
 		}
 	}
-	asker.timeout = time.Hour
+	requester.timeout = time.Hour
 	f.makeUnresponsive(t, f.holdersExcept("a", "")[0])
 	var refused int
 	var work sync.WaitGroup
 	for range 20 {
 		work.Go(func() {
 			for range 20 {
-				if _, _, ok := asker.Spend(t.Context(), "a", time.Hour); !ok {
-					asker.mu.Lock()
+				if _, _, ok := requester.Spend(t.Context(), "a", time.Hour); !ok {
+					requester.mu.Lock()
 					refused++
-					asker.mu.Unlock()
+					requester.mu.Unlock()
 				}
 			}
 		})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -126,8 +126,8 @@
 }
 
 // RecordFailedProbe records a failed probe. A refused connection is stronger
-// evidence than a timeout, because the network works and the process is gone. It
-// shortens the time after which the instance counts as down.
+// evidence than a timeout, because the host is reachable but the process does not
+// run. It shortens the time after which the instance counts as down.
 func (s *State) RecordFailedProbe(now time.Duration, name string, refused bool) {
 	r := s.records[name]
 	if r == nil {
--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -93,8 +93,8 @@
 }
 
 // requiredPosition returns the log position that a member must have reached to run
-// a read of the session: the session's floor, and the highest position that was
-// acknowledged before the permitted staleness.
+// a read of the session: the maximum of the session's floor and the highest position
+// acknowledged up to the permitted staleness ago.
 func (g *Group) requiredPosition(h *peerpb.Header) (group.Position, error) {
 	g.ackMu.Lock()
 	defer g.ackMu.Unlock()
--- a/internal/owner/journal.go
+++ b/internal/owner/journal.go
@@ -71,17 +71,17 @@
 		return s.refuseNotRun(err)
 	}
 	_, err := conn.ExecParams(insertKey, j.key)
-	var refused *pgconn.PgError
+	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &refused) && refused.Code == uniqueViolation:
+	case errors.As(err, &pgErr) && pgErr.Code == uniqueViolation:
 		return s.loadJournal()
 	}
 	return s.refuseNotRun(err)
 }
 
-// refuseNotRun returns a refusal for a failure by which the request took no
+// refuseNotRun returns a refusal for a failure after which the request has had no
 // effect, so that it can be retried.
 func (s *Stream) refuseNotRun(err error) error {
 	return &refusal{kind: peerpb.Refusal_REFUSAL_UPSTREAM, detail: fmt.Sprintf("request key: %v", err), retryAfter: noPrimaryRetryAfter}
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -19,39 +19,39 @@
 
 const baseline = 10 * time.Millisecond
 
-func recordAnswers(w *Throttle, n int, took time.Duration) (pause time.Duration) {
+func recordAnswers(throttle *Throttle, n int, took time.Duration) (pause time.Duration) {
 	for range n {
-		pause = w.RecordAnswer(took, baseline)
+		pause = throttle.RecordAnswer(took, baseline)
 	}
 	return pause
 }
 
 func TestThrottleFollowsResponseTimes(t *testing.T) {
-	var w Throttle
-	must.Eq(t, 0, recordAnswers(&w, 100, baseline))
-	must.Eq(t, 1, w.Share())
-	must.Positive(t, recordAnswers(&w, 100, 5*baseline), must.Sprint("the member is overloaded"))
-	must.Less(t, 0.2, w.Share())
-	must.Eq(t, 0, recordAnswers(&w, 200, baseline))
-	must.Eq(t, 1, w.Share())
+	var throttle Throttle
+	must.Eq(t, 0, recordAnswers(&throttle, 100, baseline))
+	must.Eq(t, 1, throttle.Share())
+	must.Positive(t, recordAnswers(&throttle, 100, 5*baseline), must.Sprint("the member is overloaded"))
+	must.Less(t, 0.2, throttle.Share())
+	must.Eq(t, 0, recordAnswers(&throttle, 200, baseline))
+	must.Eq(t, 1, throttle.Share())
 }
 
 func TestThrottleWithoutBaseline(t *testing.T) {
-	var w Throttle
-	must.Eq(t, 0, w.RecordAnswer(time.Hour, 0))
-	must.Eq(t, 1, w.Share())
+	var throttle Throttle
+	must.Eq(t, 0, throttle.RecordAnswer(time.Hour, 0))
+	must.Eq(t, 1, throttle.Share())
 }
 
 // For any response times the share stays within its bounds, and no pause is longer than
 // the minimum share implies.
 func TestThrottleBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Throttle
+		var throttle Throttle
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			took := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took"))
-			pause := w.RecordAnswer(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "usual")))
-			if w.Share() < minShare || w.Share() > 1 {
-				t.Fatalf("share %f", w.Share())
+			pause := throttle.RecordAnswer(took, time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "baseline")))
+			if throttle.Share() < minShare || throttle.Share() > 1 {
+				t.Fatalf("share %f", throttle.Share())
 			}
 			if pause < 0 || pause > time.Duration(float64(took)*(1/minShare-1))+1 {
 				t.Fatalf("a pause of %s after %s", pause, took)
@@ -61,22 +61,22 @@
 }
 
 func TestBaselineIsUncontendedLatency(t *testing.T) {
-	var w Baseline
-	took := func(n int, d time.Duration) {
+	var b Baseline
+	record := func(n int, d time.Duration) {
 		for range n {
-			w.Record(d)
+			b.Record(d)
 		}
 	}
-	took(averageSpan-1, baseline)
-	must.Eq(t, 0, w.Latency(), must.Sprint("too few answers"))
-	took(1, baseline)
-	must.Eq(t, baseline, w.Latency())
-	took(10*averageSpan, 5*baseline)
-	must.Less(t, baseline+baseline/8, w.Latency(), must.Sprint("saturation does not raise the baseline at once"))
-	took(averageSpan, baseline/2)
-	must.Eq(t, baseline/2, w.Latency())
-	took(1000*averageSpan, 3*baseline)
-	must.Eq(t, 3*baseline, w.Latency().Round(baseline), must.Sprint("the baseline adapts to heavier statements"))
+	record(averageSpan-1, baseline)
+	must.Eq(t, 0, b.Latency(), must.Sprint("too few answers"))
+	record(1, baseline)
+	must.Eq(t, baseline, b.Latency())
+	record(10*averageSpan, 5*baseline)
+	must.Less(t, baseline+baseline/8, b.Latency(), must.Sprint("saturation does not raise the baseline at once"))
+	record(averageSpan, baseline/2)
+	must.Eq(t, baseline/2, b.Latency())
+	record(1000*averageSpan, 3*baseline)
+	must.Eq(t, 3*baseline, b.Latency().Round(baseline), must.Sprint("the baseline adapts to heavier statements"))
 }
 
 func TestPauseLevel(t *testing.T) {
--- a/internal/pacing/spare_capacity.go
+++ b/internal/pacing/spare_capacity.go
@@ -1,14 +1,14 @@
 package pacing
 
-// spareDecrease is the factor applied to the spare capacity with each answer of an overloaded
-// member. The instance is back to its share after a few answers.
+// spareDecrease is the factor applied to the spare capacity with each answer of an
+// overloaded member. The instance is back to its share after a few answers.
 const spareDecrease = 0.8
 
-// SpareCapacity is the number of statements that an instance may run at a member at once beyond its
-// share of the member's slots. Shares assume that all instances reach the member. If those
-// close to it have failed or are partitioned from it, the other instances have work for the
-// member while some of its slots stay unused. The zero SpareCapacity allows none. It is not safe for
-// concurrent use.
+// SpareCapacity is the number of statements that an instance may run at a member at once
+// beyond its share of the member's slots. Shares assume that all instances reach the member.
+// If those close to it have failed or are partitioned from it, the other instances have work
+// for the member while some of its slots stay unused. The zero SpareCapacity allows none. It
+// is not safe for concurrent use.
 type SpareCapacity struct{ extra float64 }
 
 // RecordAnswer adjusts the spare capacity after an answer that the throttle t has recorded, and
--- a/internal/pacing/spare_capacity_test.go
+++ b/internal/pacing/spare_capacity_test.go
@@ -14,42 +14,42 @@
 // one instance that has a small share. That instance uses the slots that the others leave
 // unused, and gives them up within some answers once the others are back.
 func TestUnusedSlotsOfOthersAreUsed(t *testing.T) {
-	var w Throttle
-	var r SpareCapacity
-	answered := func(n int, took time.Duration, wanted bool) (room int) {
+	var throttle Throttle
+	var spare SpareCapacity
+	extraAfter := func(n int, took time.Duration, queued bool) (extra int) {
 		for range n {
-			w.RecordAnswer(took, baseline)
-			room = r.RecordAnswer(&w, wanted, share, maxRunning)
+			throttle.RecordAnswer(took, baseline)
+			extra = spare.RecordAnswer(&throttle, queued, share, maxRunning)
 		}
-		return room
+		return extra
 	}
-	must.Zero(t, answered(100, baseline, false), must.Sprint("no statements are queued"))
-	must.Positive(t, answered(2*share, baseline, true))
-	must.Eq(t, maxRunning-share, answered(maxRunning*maxRunning, baseline, true))
-	must.Eq(t, maxRunning-share, answered(10, baseline, false), must.Sprint("the spare capacity stays without queued statements"))
-	must.Zero(t, answered(3*ratioSpan, 5*baseline, true), must.Sprint("the others are back, and the member is overloaded"))
+	must.Zero(t, extraAfter(100, baseline, false), must.Sprint("no statements are queued"))
+	must.Positive(t, extraAfter(2*share, baseline, true))
+	must.Eq(t, maxRunning-share, extraAfter(maxRunning*maxRunning, baseline, true))
+	must.Eq(t, maxRunning-share, extraAfter(10, baseline, false), must.Sprint("the spare capacity stays without queued statements"))
+	must.Zero(t, extraAfter(3*ratioSpan, 5*baseline, true), must.Sprint("the others are back, and the member is overloaded"))
 }
 
 // While no baseline is known, as after a start, no instance exceeds its share.
 func TestNoSpareCapacityWithoutBaseline(t *testing.T) {
-	var w Throttle
-	var r SpareCapacity
+	var throttle Throttle
+	var spare SpareCapacity
 	for range 100 {
-		w.RecordAnswer(time.Millisecond, 0)
-		must.Zero(t, r.RecordAnswer(&w, true, share, maxRunning))
+		throttle.RecordAnswer(time.Millisecond, 0)
+		must.Zero(t, spare.RecordAnswer(&throttle, true, share, maxRunning))
 	}
 }
 
 func TestSpareCapacityBoundsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Throttle
-		var r SpareCapacity
+		var throttle Throttle
+		var spare SpareCapacity
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
-			share, most := rapid.IntRange(0, 10).Draw(t, "share"), rapid.IntRange(0, 20).Draw(t, "most")
-			w.RecordAnswer(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")), baseline)
-			room := r.RecordAnswer(&w, rapid.Bool().Draw(t, "wanted"), share, most)
-			if room < 0 || share+room > max(share, most) {
-				t.Fatalf("room of %d beyond %d of %d", room, share, most)
+			share, limit := rapid.IntRange(0, 10).Draw(t, "share"), rapid.IntRange(0, 20).Draw(t, "limit")
+			throttle.RecordAnswer(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "took")), baseline)
+			extra := spare.RecordAnswer(&throttle, rapid.Bool().Draw(t, "queued"), share, limit)
+			if extra < 0 || share+extra > max(share, limit) {
+				t.Fatalf("spare capacity %d, share %d and limit %d", extra, share, limit)
 			}
 		}
 	})
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -21,9 +21,9 @@
 	Handle(ctx context.Context, req *peerpb.RunRequest, deliver func(*peerpb.RunReply) error) error
 	// Cancel cancels the batch in flight.
 	Cancel()
-	// Abort ends the batch in flight because the ingress instance is gone.
+	// Abort ends the batch in flight because the ingress instance has disconnected.
 	Abort()
-	// Close ends the use of the runner.
+	// Close rolls back an open transaction and ends the use of the runner.
 	Close()
 }
 
@@ -190,9 +190,9 @@
 	}
 }
 
-// nextRequest returns the next request, or false when the stream ends. Once the server stops, the
-// stream is ended in order between transactions, which tells the ingress instance that a
-// request that it has sent meanwhile was not run.
+// nextRequest returns the next request, or false when the stream ends. Once the server stops,
+// the stream is ended in order between transactions, from which the ingress instance
+// concludes that a request that it has sent meanwhile was not run.
 func (r *runStream) nextRequest() (*peerpb.RunRequest, bool) {
 	if r.inTransaction {
 		req, ok := <-r.requests
--- a/internal/pool/flow.go
+++ b/internal/pool/flow.go
@@ -10,7 +10,7 @@
 type entry struct {
 	Request
 	subqueue       *subqueue
-	arrivalNumber  uint64        // arrival number
+	arrivalNumber  uint64        // position in the order of arrival
 	cost           float64       // expected work in seconds, divided by the weight of its flow
 	arrivalVirtual float64       // virtual time of its arrival
 	latestStart    time.Duration // latest time of a grant that still meets the objective
@@ -125,8 +125,8 @@
 	return work.Seconds() / f.weight
 }
 
-// addDemand adds a request to the flow's demand. The weight of a flow changes only while it has
-// no demand.
+// addDemand adds a request to the flow's demand. The weight of a flow changes only while
+// it has no demand.
 func (f *flow) addDemand(r *Request) {
 	if f.fluidIndex == notInHeap {
 		f.weight = float64(max(r.Weight, 1))
--- a/internal/pool/order_test.go
+++ b/internal/pool/order_test.go
@@ -110,8 +110,8 @@
 }
 
 // For any sequence of arrivals, cancellations and returned connections, also when none are
-// returned, the counters match the queued and running requests, and once all requests are
-// gone the queue holds no state of them.
+// returned, the counters match the queued and running requests, and once all requests
+// have ended the queue keeps no state of them.
 func TestCountersMatchAndStateIsDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), MaxQueue: 20, KeepUntilDeadline: true})
@@ -134,7 +134,7 @@
 			default:
 				r := Request{
 					ID: id, Account: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "account")), Priority: rapid.IntRange(0, 2).Draw(t, "priority"),
-					Work: time.Duration(rapid.IntRange(0, 20).Draw(t, "work")) * ms, Flexible: rapid.Bool().Draw(t, "elsewhere"),
+					Work: time.Duration(rapid.IntRange(0, 20).Draw(t, "work")) * ms, Flexible: rapid.Bool().Draw(t, "flexible"),
 					Objective: now + time.Duration(rapid.IntRange(0, 100).Draw(t, "objective"))*ms,
 					Deadline:  now + time.Duration(rapid.IntRange(0, 300).Draw(t, "left"))*ms,
 				}
@@ -249,7 +249,7 @@
 }
 
 // Of two pinned requests one is active and one parked. The backlog for a new flexible
-// request shows the slots that remain for it and the pause that holds it.
+// request shows the slots that remain for it and the pause that applies to it.
 func TestBacklogShowsFlexibleSlotsAndPause(t *testing.T) {
 	q := New(Config{Capacity: 4, MaxActive: 3, MaxQueue: 10})
 	must.Eq(t, Granted, q.Offer(0, Request{ID: 1, Work: ms, Deadline: time.Second}))
--- a/internal/pool/priority_class.go
+++ b/internal/pool/priority_class.go
@@ -55,7 +55,7 @@
 	c := &class{priority: priority, flows: make(map[flowKey]*flow), fluid: newFluid()}
 	for s := range c.subqueues {
 		for l := range c.subqueues[s] {
-			c.subqueues[s][l] = indexedHeap[*subqueue]{less: finishesBefore, indexOf: func(l *subqueue) *int { return &l.classIndex }}
+			c.subqueues[s][l] = indexedHeap[*subqueue]{less: finishesBefore, indexOf: func(sq *subqueue) *int { return &sq.classIndex }}
 		}
 	}
 	return c
--- a/internal/pool/queue.go
+++ b/internal/pool/queue.go
@@ -92,8 +92,8 @@
 	meanHoldTime time.Duration         // moving average of the time a connection is in use
 }
 
-// requestCounts counts requests that hold a connection, those of them that are parked, and queued
-// requests.
+// requestCounts counts requests that hold a connection, those of them that are parked, and
+// queued requests.
 type requestCounts struct{ inUse, parked, waiting int }
 
 // New returns an empty queue.
@@ -412,8 +412,8 @@
 	return nil
 }
 
-// pickStarved returns a request of the highest priority that is starved, nil if none is. Such
-// a request may take the slots reserved for pinned requests.
+// pickStarved returns a request of the highest priority that is starved, nil if none is.
+// Such a request may take the slots reserved for pinned requests.
 func (q *Queue) pickStarved(free [lanes]bool) *entry {
 	free[flexible] = free[pinnedRead]
 	for _, c := range q.classes {
--- a/internal/pool/queue_test.go
+++ b/internal/pool/queue_test.go
@@ -197,16 +197,16 @@
 	must.Len(t, 1, granted)
 }
 
-// A patient queue keeps a request that it would otherwise reject on arrival because it is
-// not expected to be granted in time.
+// With KeepUntilDeadline the queue keeps a request that it would otherwise reject on
+// arrival because it is not expected to be granted in time.
 func TestKeepUntilDeadline(t *testing.T) {
-	for _, patient := range []bool{false, true} {
-		q := New(Config{Capacity: 1, MaxQueue: 4, KeepUntilDeadline: patient})
+	for _, keep := range []bool{false, true} {
+		q := New(Config{Capacity: 1, MaxQueue: 4, KeepUntilDeadline: keep})
 		must.Eq(t, Granted, q.Offer(0, Request{ID: 1, Service: "s", Deadline: time.Second}))
 		q.Done(Request{ID: 1, Service: "s"}, time.Second)
 		must.Eq(t, Granted, q.Offer(0, Request{ID: 2, Service: "s", Deadline: time.Second}))
 		want := TooLate
-		if patient {
+		if keep {
 			want = Queued
 		}
 		must.Eq(t, want, q.Offer(0, Request{ID: 3, Service: "s", Deadline: time.Millisecond}))
@@ -214,7 +214,7 @@
 	}
 }
 
-// A pause holds flexible requests of its priority and lower ones until its end. It holds
+// A pause blocks flexible requests of its priority and lower ones until its end. It blocks
 // neither higher priorities nor requests that only this member can run.
 func TestPauseHoldsFlexibleRequestsOfLowerPriority(t *testing.T) {
 	q := New(Config{Capacity: 6, MaxQueue: 4, KeepUntilDeadline: true})
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -45,7 +45,7 @@
 
 // SetHolders sets the limit holders after the list of registered instances has changed. The
 // bucket of an account that has moved to other holders is dropped, so that it starts empty
-// if the account comes back.
+// if the account moves back.
 func (bs *Buckets) SetHolders(now time.Duration, h *Holders) {
 	bs.holders, bs.holdersChangedAt = h, now
 	for name := range bs.buckets {
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -209,7 +209,7 @@
 
 func (w *world) step() {
 	n := rapid.SampledFrom(w.instances).Draw(w.t, "instance")
-	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "pass", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "event") {
+	switch rapid.SampledFrom([]string{"greed", "greed", "surge", "advance", "leap", "sync", "sync", "cut", "kill", "restart", "join"}).Draw(w.t, "event") {
 	case "greed": // an instance fetches tokens from all, and uses them at once or later
 		for _, holder := range w.instances {
 			w.reserve(n, holder)
@@ -220,7 +220,7 @@
 		w.spend(n)
 	case "surge": // an instance uses all tokens of all instances for longer than a window
 		w.surge(n)
-	case "pass":
+	case "advance":
 		w.advance(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}).Draw(w.t, "for"))
 	case "leap": // longer than snapshots stay valid and registrations last, while the instances that reach the store sync
 		for range 8 {
@@ -241,10 +241,10 @@
 		w.sync(n)
 	case "join":
 		if len(w.instances) < 14 {
-			fresh := &instance{name: fmt.Sprint("n", len(w.instances))}
-			w.instances = append(w.instances, fresh)
-			w.start(fresh)
-			w.sync(fresh)
+			joined := &instance{name: fmt.Sprint("n", len(w.instances))}
+			w.instances = append(w.instances, joined)
+			w.start(joined)
+			w.sync(joined)
 		}
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -18,9 +18,9 @@
 // enough for one token per holder unless the limit is very small.
 func TestBudget(t *testing.T) {
 	for name, c := range map[string]struct {
-		rules Rules
-		limit account.Limit
-		life  time.Duration
+		rules    Rules
+		limit    account.Limit
+		lifetime time.Duration
 	}{
 		"large":                {rules, account.Limit{Rate: 112, Burst: 112}, 274 * time.Millisecond},
 		"small":                {rules, account.Limit{Rate: 3, Burst: 3}, 2978 * time.Millisecond},
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := c.rules.Budget(c.limit)
-			must.Less(t, float64(time.Millisecond), math.Abs(float64(b.Lifetime-c.life)))
+			must.Less(t, float64(time.Millisecond), math.Abs(float64(b.Lifetime-c.lifetime)))
 			allowed := (c.limit.Rate*c.rules.Window.Seconds()+c.limit.Burst)*(1+c.rules.Tolerance) + c.rules.Slack
 			must.LessEq(t, allowed, b.Depth+b.Refill*(c.rules.Window+b.Lifetime).Seconds())
 			must.GreaterEq(t, min(allowed/2, holdersPerAccount), b.Depth)
@@ -73,34 +73,34 @@
 
 // fleetOf returns a token cache and the buckets of n holders, all of which are alive.
 func fleetOf(n int) (*TokenCache, map[string]*Buckets) {
-	m := NewTokenCache("front-000", "dc")
+	cache := NewTokenCache("front-000", "dc")
 	holders := NewHolders(names(n))
-	centres, ledgers := make(map[string]string), make(map[string]*Buckets)
+	centres, buckets := make(map[string]string), make(map[string]*Buckets)
 	for _, name := range names(n) {
 		centres[name] = "dc"
-		ledgers[name] = NewBuckets(name, rules)
-		ledgers[name].SetSettledAt(0)
-		ledgers[name].SetHolders(0, holders)
+		buckets[name] = NewBuckets(name, rules)
+		buckets[name].SetSettledAt(0)
+		buckets[name].SetHolders(0, holders)
 	}
-	m.SetHolders(holders, centres)
-	return m, ledgers
+	cache.SetHolders(holders, centres)
+	return cache, buckets
 }
 
 // operate simulates operations of one account at regular intervals, with a latency of one
 // millisecond to the holders. It returns how many ran at once, how many had to fetch a
 // token first, and how many were rejected.
-func operate(m *TokenCache, ledgers map[string]*Buckets, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
+func operate(cache *TokenCache, buckets map[string]*Buckets, limit account.Limit, pause, length time.Duration) (immediate, fetched, refused int) {
 	const latency = time.Millisecond
-	ask := func(now time.Duration, d Decision) {
-		m.ApplyGrant(now, now+latency, "a", d.Holder, ledgers[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
+	fetch := func(now time.Duration, d Decision) {
+		cache.ApplyGrant(now, now+latency, "a", d.Holder, buckets[d.Holder].Reserve(now+latency, now, "a", limit, d.Wanted))
 	}
 	for now := time.Minute; now < time.Minute+length; now += pause {
 		waited := false
 		for {
-			d := m.Take(now, "a")
+			d := cache.Take(now, "a")
 			if d.Verdict == Fetch {
 				waited = true
-				ask(now, d)
+				fetch(now, d)
 				continue
 			}
 			switch {
@@ -112,8 +112,8 @@
 				immediate++
 			}
 			for d.Verdict == Run && d.Holder != "" {
-				ask(now, d)
-				d.Holder, d.Wanted = m.Prefetch(now, "a")
+				fetch(now, d)
+				d.Holder, d.Wanted = cache.Prefetch(now, "a")
 			}
 			break
 		}
@@ -125,8 +125,8 @@
 // instance find prefetched tokens: almost none waits for a round trip.
 func TestOperationsWithinTheLimitDoNotWait(t *testing.T) {
 	for _, rate := range []float64{2, 20, 200} {
-		m, ledgers := fleetOf(71)
-		immediate, fetched, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
+		cache, buckets := fleetOf(71)
+		immediate, fetched, refused := operate(cache, buckets, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
 		must.Zero(t, refused)
 		must.LessEq(t, 3, fetched)
 		must.Positive(t, immediate)
@@ -135,10 +135,10 @@
 
 // An account that demands ten times its limit gets its limit.
 func TestOperationsBeyondTheLimitGetTheLimit(t *testing.T) {
-	m, ledgers := fleetOf(71)
+	cache, buckets := fleetOf(71)
 	limit := account.Limit{Rate: 50, Burst: 50}
 	const length = time.Minute
-	immediate, fetched, _ := operate(m, ledgers, limit, time.Millisecond*2, length)
+	immediate, fetched, _ := operate(cache, buckets, limit, time.Millisecond*2, length)
 	ran := float64(immediate + fetched)
 	allowed := limit.Rate + limit.Burst/rules.Window.Seconds() // operations per second, sustained
 	must.GreaterEq(t, 0.95*allowed*length.Seconds(), ran)
@@ -147,93 +147,93 @@
 
 // Under the usual load no operation is rejected while two of the six holders are down.
 func TestTwoHoldersMayBeDown(t *testing.T) {
-	m, ledgers := fleetOf(71)
-	for _, holder := range m.holders.Of("a")[:2] {
-		delete(m.dataCentres, holder)
+	cache, buckets := fleetOf(71)
+	for _, holder := range cache.holders.Of("a")[:2] {
+		delete(cache.dataCentres, holder)
 	}
 	const rate = 50
-	_, _, refused := operate(m, ledgers, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
+	_, _, refused := operate(cache, buckets, account.Limit{Rate: rate, Burst: rate}, seconds(1/(0.62*rate)), time.Minute)
 	must.Zero(t, refused)
 }
 
 // A rejection advises a retry delay, after which a token is available if no other instance
 // has fetched it.
 func TestRefusalAdvisesRetryDelay(t *testing.T) {
-	m, ledgers := fleetOf(1)
+	cache, buckets := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 0}
 	now := time.Minute
 	var refusal Decision
 	for refusal.Verdict != Refuse {
-		refusal = m.Take(now, "a")
+		refusal = cache.Take(now, "a")
 		if refusal.Verdict == Fetch {
-			m.ApplyGrant(now, now, "a", refusal.Holder, ledgers[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
+			cache.ApplyGrant(now, now, "a", refusal.Holder, buckets[refusal.Holder].Reserve(now, now, "a", limit, refusal.Wanted))
 		}
 	}
 	must.Positive(t, refusal.Shortage.RetryAfter)
-	d := m.Take(now+refusal.Shortage.RetryAfter, "a")
+	d := cache.Take(now+refusal.Shortage.RetryAfter, "a")
 	must.Eq(t, Fetch, d.Verdict)
-	must.Positive(t, ledgers[d.Holder].Reserve(now+refusal.Shortage.RetryAfter, now, "a", limit, 1).Tokens)
+	must.Positive(t, buckets[d.Holder].Reserve(now+refusal.Shortage.RetryAfter, now, "a", limit, 1).Tokens)
 }
 
 // An instance whose registration was removed while it was partitioned, and that registers
 // again, holds no share until it has settled, and then starts with an empty bucket: other
 // instances may have held its shares meanwhile.
 func TestBucketStartsEmptyAfterNewRegistration(t *testing.T) {
-	l := NewBuckets("front-000", rules)
-	l.SetSettledAt(0)
+	b := NewBuckets("front-000", rules)
+	b.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	l.SetHolders(0, NewHolders(names(1)))
-	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Tokens)
-	l.SetHolders(time.Minute, NewHolders([]string{"front-001"}))
-	must.False(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Holder)
-	l.SetSettledAt(2 * time.Minute)
-	l.SetHolders(time.Minute, NewHolders(names(1)))
-	must.False(t, l.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).Holder)
-	must.Zero(t, l.Reserve(2*time.Minute, 2*time.Minute, "a", limit, 1).Tokens)
-	must.Positive(t, l.Reserve(2*time.Minute+time.Second, 2*time.Minute+time.Second, "a", limit, 1).Tokens)
+	b.SetHolders(0, NewHolders(names(1)))
+	must.Positive(t, b.Reserve(time.Minute, time.Minute, "a", limit, 1).Tokens)
+	b.SetHolders(time.Minute, NewHolders([]string{"front-001"}))
+	must.False(t, b.Reserve(time.Minute, time.Minute, "a", limit, 1).Holder)
+	b.SetSettledAt(2 * time.Minute)
+	b.SetHolders(time.Minute, NewHolders(names(1)))
+	must.False(t, b.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).Holder)
+	must.Zero(t, b.Reserve(2*time.Minute, 2*time.Minute, "a", limit, 1).Tokens)
+	must.Positive(t, b.Reserve(2*time.Minute+time.Second, 2*time.Minute+time.Second, "a", limit, 1).Tokens)
 }
 
 // Renewing a registration, as after the loss of a lease, does not refill any bucket.
 func TestRenewedRegistrationRefillsNothing(t *testing.T) {
-	l := NewBuckets("front-000", rules)
-	l.SetSettledAt(0)
+	b := NewBuckets("front-000", rules)
+	b.SetSettledAt(0)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	l.SetHolders(0, NewHolders(names(1)))
-	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
-	l.SetSettledAt(0)
-	must.Zero(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
+	b.SetHolders(0, NewHolders(names(1)))
+	must.Positive(t, b.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
+	b.SetSettledAt(0)
+	must.Zero(t, b.Reserve(time.Minute, time.Minute, "a", limit, 1000).Tokens)
 }
 
 // A holder that does not answer is asked again with exponential backoff, which starts short
 // since the holder may have just started. It does not count as having no token.
 func TestUnresponsiveHolderIsAskedAgainWithBackoff(t *testing.T) {
-	m, _ := fleetOf(1)
+	cache, _ := fleetOf(1)
 	now, pause := time.Minute, minBackoff
 	for range 5 {
-		m.RecordFailure(now, "front-000")
-		d := m.Take(now, "a")
+		cache.RecordFailure(now, "front-000")
+		d := cache.Take(now, "a")
 		must.Eq(t, Refuse, d.Verdict)
 		must.False(t, d.Shortage.AtLimit())
 		must.Eq(t, pause, d.Shortage.RetryAfter)
 		now += pause
-		must.Eq(t, Fetch, m.Take(now, "a").Verdict)
+		must.Eq(t, Fetch, cache.Take(now, "a").Verdict)
 		pause = min(2*pause, maxBackoff)
 	}
-	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
-	m.RecordFailure(now, "front-000")
-	must.Eq(t, Fetch, m.Take(now+time.Second, "a").Verdict)
+	cache.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
+	cache.RecordFailure(now, "front-000")
+	must.Eq(t, Fetch, cache.Take(now+time.Second, "a").Verdict)
 }
 
 // After a restart of all instances, holders without a store snapshot cannot serve accounts
 // yet. They are asked again soon, and the account does not count as being at its limit.
 func TestRestartedHolderDoesNotCountAsOutOfTokens(t *testing.T) {
-	m, ledgers := fleetOf(1)
+	cache, buckets := fleetOf(1)
 	limit := account.Limit{Rate: 10, Burst: 10}
-	m.ApplyGrant(0, 0, "a", "front-000", ledgers["front-000"].Reserve(time.Minute, time.Minute-MaxSnapshotAge-1, "a", limit, 1))
-	d := m.Take(minBackoff-1, "a")
+	cache.ApplyGrant(0, 0, "a", "front-000", buckets["front-000"].Reserve(time.Minute, time.Minute-MaxSnapshotAge-1, "a", limit, 1))
+	d := cache.Take(minBackoff-1, "a")
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.AtLimit())
-	must.Eq(t, Fetch, m.Take(minBackoff, "a").Verdict)
-	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
-	must.True(t, m.Take(0, "a").Shortage.AtLimit())
+	must.Eq(t, Fetch, cache.Take(minBackoff, "a").Verdict)
+	cache.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
+	must.True(t, cache.Take(0, "a").Shortage.AtLimit())
 }
--- a/internal/quota/rejection_cache.go
+++ b/internal/quota/rejection_cache.go
@@ -23,13 +23,13 @@
 	retryPrecedence = 0.25
 )
 
-// RejectionCache is the rejection cache of an ingress instance, to which clients are connected. It
-// rejects operations of accounts that are at their limit, based on recent rejections by the
-// carriers that would have run them, which saves forwarding them. While an account is at
-// its limit, one operation per interval is admitted. The interval doubles with each carrier
-// rejection and halves with each operation that got a token, so that an instance gets part
-// of the remaining limit without knowing how many other instances compete for it. It is
-// not safe for concurrent use.
+// RejectionCache is the rejection cache of an ingress instance, to which clients are
+// connected. It rejects operations of accounts that are at their limit, based on recent
+// rejections by the carriers that would have run them, which saves forwarding them. While
+// an account is at its limit, one operation per interval is admitted. The interval doubles
+// with each carrier rejection and halves with each operation that got a token, so that an
+// instance gets part of the remaining limit without knowing how many other instances
+// compete for it. It is not safe for concurrent use.
 type RejectionCache struct {
 	accounts map[string]*rejectedAccount
 }
@@ -96,12 +96,12 @@
 	return retryAt - now
 }
 
-// RecordRejection records that a carrier rejected an operation that was forwarded at time sent,
-// because the account has no tokens for the time empty. It returns the delay after which
-// the client should retry. Implausible values of empty are ignored and yield 0. Apart from
-// that the value is unused: the rejection time follows from the account's limit, because
-// other instances wait for the same time and an account slightly above its limit gets
-// tokens sooner.
+// RecordRejection records that a carrier rejected an operation that was forwarded at time
+// sent, because the account has no tokens for the time empty. It returns the delay after
+// which the client should retry. Implausible values of empty are ignored and yield 0. Apart
+// from that the value is unused: the rejection time follows from the account's limit,
+// because other instances wait for the same time and an account slightly above its limit
+// gets tokens sooner.
 func (c *RejectionCache) RecordRejection(sent, now time.Duration, op Operation, empty time.Duration) time.Duration {
 	if empty <= 0 || empty > maxLifetime || op.Limit.Unlimited {
 		return 0
--- a/internal/quota/rejection_cache_test.go
+++ b/internal/quota/rejection_cache_test.go
@@ -51,16 +51,16 @@
 func TestRejectionCacheBacksOff(t *testing.T) {
 	op := operationOf("a")
 	c := NewRejectionCache()
-	passed := 0
+	numAdmitted := 0
 	const pause, length = 10 * time.Millisecond, 20 * time.Second
 	for now := time.Second; now < time.Second+length; now += pause {
 		if admitted(c, now, op) {
-			passed++
+			numAdmitted++
 			c.RecordRejection(now, now, op, time.Millisecond)
 		}
 	}
-	must.LessEq(t, int(length/maxRejection)+10, passed)
-	must.GreaterEq(t, int(float64(length/maxRejection)/(1+retryPrecedence)), passed)
+	must.LessEq(t, int(length/maxRejection)+10, numAdmitted)
+	must.GreaterEq(t, int(float64(length/maxRejection)/(1+retryPrecedence)), numAdmitted)
 }
 
 // A rejection with an implausible time without tokens is ignored, as is one of an account
@@ -77,7 +77,7 @@
 }
 
 // The cache holds a bounded number of accounts, and drops those that were not rejected
-// recently to make room for others.
+// recently to make space for others.
 func TestRejectionCacheIsBounded(t *testing.T) {
 	c := NewRejectionCache()
 	for n := range 2 * maxCachedAccounts {
@@ -106,9 +106,9 @@
 	}
 	now += empty
 	must.False(t, admitted(c, now, op))
-	returning := op
-	returning.IsRetry = true
-	must.True(t, admitted(c, now, returning))
+	retry := op
+	retry.IsRetry = true
+	must.True(t, admitted(c, now, retry))
 	op.MaxDelay = empty
 	delay, ok := c.Admit(now, op)
 	must.False(t, ok)
@@ -123,21 +123,21 @@
 		c := NewRejectionCache()
 		op := operationOf("a")
 		op.Limit.Rate = rapid.SampledFrom([]float64{0, 0.1, 3, 1000}).Draw(t, "rate")
-		op.MaxDelay = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Minute}).Draw(t, "horizon")
+		op.MaxDelay = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Minute}).Draw(t, "maxDelay")
 		now, lastRejection := time.Second, time.Second
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(2*maxRejection)).Draw(t, "pause"))
 			sent := now - time.Duration(rapid.Int64Range(0, int64(maxRejection)).Draw(t, "ago"))
-			op.IsRetry = rapid.Bool().Draw(t, "returning")
-			switch rapid.SampledFrom([]string{"ask", "refused", "ran"}).Draw(t, "what") {
-			case "ask":
+			op.IsRetry = rapid.Bool().Draw(t, "isRetry")
+			switch rapid.SampledFrom([]string{"admit", "rejection", "success"}).Draw(t, "event") {
+			case "admit":
 				if delay, ok := c.Admit(now, op); !ok {
 					must.Positive(t, delay)
 				}
-			case "refused":
+			case "rejection":
 				c.RecordRejection(sent, now, op, time.Duration(rapid.Int64().Draw(t, "empty")))
 				lastRejection = now
-			case "ran":
+			case "success":
 				c.RecordSuccess(sent, op)
 			}
 		}
@@ -150,7 +150,7 @@
 // simulateIngress simulates clients of one account at many ingress instances, each with its own
 // cache, in front of a single token bucket. It returns how many operations ran and how many
 // were admitted.
-func simulateIngress(ingress int, rate float64, pause, length time.Duration) (ran, passed int) {
+func simulateIngress(ingress int, rate float64, pause, length time.Duration) (ran, numAdmitted int) {
 	caches := make([]*RejectionCache, ingress)
 	for i := range caches {
 		caches[i] = NewRejectionCache()
@@ -163,7 +163,7 @@
 		if !admitted(cache, now, op) {
 			continue
 		}
-		passed++
+		numAdmitted++
 		if tokens >= 1 {
 			tokens--
 			ran++
@@ -172,7 +172,7 @@
 			cache.RecordRejection(now, now, op, max(minEmptyPause, seconds((1-tokens)/rate)))
 		}
 	}
-	return ran, passed
+	return ran, numAdmitted
 }
 
 // An account that demands slightly more than its limit, or ten times as much, through many
@@ -184,11 +184,11 @@
 		for _, rate := range []float64{3, 20, 100} {
 			for _, demand := range []float64{1.1, 1.5, 10} {
 				pause := seconds(float64(ingress) / (demand * rate))
-				ran, passed := simulateIngress(ingress, rate, pause, length)
-				at := must.Sprintf("%d ingress instances, rate %v, demand %v: %d ran, %d admitted", ingress, rate, demand, ran, passed)
+				ran, numAdmitted := simulateIngress(ingress, rate, pause, length)
+				at := must.Sprintf("%d ingress instances, rate %v, demand %v: %d ran, %d admitted", ingress, rate, demand, ran, numAdmitted)
 				must.GreaterEq(t, 0.95*rate*length.Seconds(), float64(ran), at)
 				maxAdmitted := 4*rate*length.Seconds() + 2*float64(ingress)*length.Seconds()
-				must.LessEq(t, maxAdmitted, float64(passed), at)
+				must.LessEq(t, maxAdmitted, float64(numAdmitted), at)
 			}
 		}
 	}
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -153,8 +153,8 @@
 	return holder, target - left
 }
 
-// NextHolder returns the holder to ask next, and for how many tokens, while some operations wait
-// for one. It skips the holders in late, which were asked and have not answered yet. If
+// NextHolder returns the holder to ask next, and for how many tokens, while some operations
+// wait for one. It skips the holders in late, which were asked and have not answered yet. If
 // there is no other holder, awaitLate reports whether to wait for the late ones: if
 // operations wait and no holder has reported having no token.
 func (c *TokenCache) NextHolder(now time.Duration, name string, waiting int, late []string) (holder string, wanted int, awaitLate bool) {
@@ -273,7 +273,8 @@
 	return n
 }
 
-// useFirst takes the token that expires first and updates the average interval between uses.
+// useFirst takes the token that expires first and updates the average interval between
+// uses.
 func (acc *accountTokens) useFirst(now time.Duration) Token {
 	token := Token{expires: acc.batches[0].expires}
 	acc.batches[0].tokens--
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -89,7 +89,7 @@
 // Settings of the budget.
 const (
 	earnedPerAttempt = 0.2 // retries earned by each first attempt
-	maxTokens        = 50  // retries that the budget holds at most
+	maxTokens        = 50  // maximum number of retries in the budget
 )
 
 // NewBudget returns a full budget.
--- a/internal/upstream/batch.go
+++ b/internal/upstream/batch.go
@@ -44,7 +44,7 @@
 // Result is the end of an answer: the part that Run has not passed to emit.
 type Result struct {
 	Wire     []byte         // the last chunk, which includes the command's completion
-	Position group.Position // zero unless the batch asked for it and the member returned it
+	Position group.Position // zero unless QueryPosition was set and the member returned it
 	HasError bool           // the answer contains an ErrorResponse
 	Emitted  bool           // part of the answer has already been passed to emit
 }
@@ -61,7 +61,8 @@
 // minEmitSize is the size in bytes from which a chunk is emitted before the answer ends.
 const minEmitSize = 32 << 10
 
-// initialChunkCapacity is the initial capacity of the answer's buffer in bytes; most answers fit.
+// initialChunkCapacity is the initial capacity of the answer's buffer in bytes; most answers
+// fit.
 const initialChunkCapacity = 512
 
 // Run sends a batch and reads its answer. Rows are passed to emit in chunks as they
@@ -256,7 +257,8 @@
 	return false
 }
 
-// belongsToAnswer reports whether msg may precede the end of the answer to a message of the given kind.
+// belongsToAnswer reports whether msg may precede the end of the answer to a message of the
+// given kind.
 func belongsToAnswer(kind byte, msg pgproto3.BackendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.DataRow:
--- a/internal/upstream/batch_test.go
+++ b/internal/upstream/batch_test.go
@@ -102,8 +102,8 @@
 	return m.sent != m.breakAt+1
 }
 
-// Run must return exactly the answer of its own batch or an error, and an error must mark the
-// connection broken. Members that split messages, send unexpected ones or break the
+// Run must return exactly the answer of its own batch or an error, and an error must mark
+// the connection broken. Members that split messages, send unexpected ones or break the
 // connection must not make it pass on another batch's answer or a truncated one.
 func TestRunReturnsOwnCompleteAnswerOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -112,10 +112,10 @@
 			&pgproto3.CopyOutResponse{}, &pgproto3.PortalSuspended{}, &pgproto3.NoData{}, &pgproto3.NoticeResponse{Message: "n"},
 		}
 		m := &scriptedMember{
-			writeSize:    rapid.IntRange(1, 40).Draw(t, "piece"),
-			unexpectedAt: rapid.IntRange(-1, 30).Draw(t, "strayAt"),
+			writeSize:    rapid.IntRange(1, 40).Draw(t, "writeSize"),
+			unexpectedAt: rapid.IntRange(-1, 30).Draw(t, "unexpectedAt"),
 			breakAt:      rapid.IntRange(-1, 60).Draw(t, "breakAt"),
-			unexpected:   unexpected[rapid.IntRange(0, len(unexpected)-1).Draw(t, "stray")],
+			unexpected:   unexpected[rapid.IntRange(0, len(unexpected)-1).Draw(t, "unexpected")],
 		}
 		_, isNotice := m.unexpected.(*pgproto3.NoticeResponse)
 		conn := dialScripted(t, m)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -264,8 +264,8 @@
 	return group.Position{}, fmt.Errorf("position %q: %w", row, ErrProtocol)
 }
 
-// ApplySettings sets the run-time parameters of a session before its transaction. It does nothing
-// if the connection has them already. On an error the connection is closed.
+// ApplySettings sets the run-time parameters of a session before its transaction. It does
+// nothing if the connection has them already. On an error the connection is closed.
 func (c *Conn) ApplySettings(wanted map[string]string) error {
 	if !c.settingsChanged && sameSettings(c.appliedSettings, wanted) {
 		return nil
