--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -236,7 +236,8 @@
 	s.workers.Release()
 }
 
-// Kill closes the listener and all connections at once.
+// Kill closes the listener and the connections of all authenticated clients at once. A
+// connection that is still in its startup ends at the latest after AuthTimeout.
 func (s *Server) Kill() {
 	s.stopping.Store(true)
 	s.mu.Lock()
