--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -397,10 +397,10 @@
 // findPrimary requests the status of a group's members and returns the record with the
 // member that is primary, or unchanged if none is.
 func (c *Controller) findPrimary(ctx context.Context, record Record) Record {
-	for _, f := range c.queryMembers(ctx, c.env.Topology().MembersOf(record.Group), "") {
-		if f.status.Primary && f.status.Term >= record.Term {
-			record.Primary, record.Term = f.member.ID, f.status.Term
-			c.env.RecordAnswer(f.member.ID)
+	for _, answer := range c.queryMembers(ctx, c.env.Topology().MembersOf(record.Group), "") {
+		if answer.status.Primary && answer.status.Term >= record.Term {
+			record.Primary, record.Term = answer.member.ID, answer.status.Term
+			c.env.RecordAnswer(answer.member.ID)
 		}
 	}
 	return record
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -49,8 +49,8 @@
 	return []string{"g"}
 }
 func (f *fakeEnvironment) InstancesServing(string) []Instance { return f.view.Alive() }
-func (f *fakeEnvironment) Rank(group string, most int) int {
-	return f.view.RankUpTo(group, f.name, most)
+func (f *fakeEnvironment) Rank(group string, limit int) int {
+	return f.view.RankUpTo(group, f.name, limit)
 }
 func (f *fakeEnvironment) OverloadedWithoutReplicas(string, string) bool   { return f.overloaded }
 func (f *fakeEnvironment) ReplicaLag(string, group.Position) time.Duration { return f.replicaLag }
@@ -222,9 +222,9 @@
 		return r
 	}
 	for name, c := range map[string]struct {
-		replies   []*leadpb.ReleaseReply // received at the announcement; two make a quorum
-		goneSince time.Duration
-		lapsesAt  time.Duration // when its grant lapses
+		replies      []*leadpb.ReleaseReply // received at the announcement; two make a quorum
+		leaseEndedAt time.Duration
+		lapsesAt     time.Duration // when its grant lapses
 	}{
 		"no quorum":                                       {[]*leadpb.ReleaseReply{reply(announced)}, 10 * time.Second, announced + attestedUseLapseTime},
 		"its lease is valid":                              {[]*leadpb.ReleaseReply{reply(announced), reply(announced)}, 0, announced + grantLapseTime},
@@ -237,8 +237,8 @@
 			for _, reply := range c.replies {
 				r.addReply(announced, reply)
 			}
-			must.False(t, r.hasLapsed(c.lapsesAt-1, "x", c.goneSince))
-			must.True(t, r.hasLapsed(c.lapsesAt, "x", c.goneSince))
+			must.False(t, r.hasLapsed(c.lapsesAt-1, "x", c.leaseEndedAt))
+			must.True(t, r.hasLapsed(c.lapsesAt, "x", c.leaseEndedAt))
 		})
 	}
 }
@@ -318,8 +318,8 @@
 	v, err := v.Apply(0, events)
 	must.NoError(t, err)
 	for n := range 21 { // the last one is not alive
-		for most := range 25 {
-			must.Eq(t, min(v.Rank("g", fmt.Sprint("i", n)), most), v.RankUpTo("g", fmt.Sprint("i", n), most))
+		for limit := range 25 {
+			must.Eq(t, min(v.Rank("g", fmt.Sprint("i", n)), limit), v.RankUpTo("g", fmt.Sprint("i", n), limit))
 		}
 	}
 }
--- a/internal/lead/grant.go
+++ b/internal/lead/grant.go
@@ -39,7 +39,7 @@
 	unconfirmedUseLapseTime = UnconfirmedUseLimit + UnconfirmedUseLimit/clockDriftDivisor + maxWatchGap
 	attestedUseLapseTime    = AttestedUseLimit + AttestedUseLimit/clockDriftDivisor + maxWatchGap
 	// maxWatchGap is how long a watch may miss a change before the store reports that its
-	// history is gone.
+	// history was compacted.
 	maxWatchGap = time.Second
 )
 
@@ -60,7 +60,7 @@
 }
 
 // SameTerm reports whether a log position belongs to the term of this primary.
-func (a PrimaryRef) SameTerm(p group.Position) bool { return p.Term == a.Term }
+func (r PrimaryRef) SameTerm(p group.Position) bool { return p.Term == r.Term }
 
 // Grant is the state from which one instance decides whether it may use the primary of a
 // group: the latest known record, and when that was last confirmed. All times are on the
@@ -125,14 +125,14 @@
 }
 
 // ApplyUpdate applies what another instance knows.
-func (g *Grant) ApplyUpdate(n GroupUpdate) {
-	g.Release(n.Released)
+func (g *Grant) ApplyUpdate(update GroupUpdate) {
+	g.Release(update.Released)
 	switch {
-	case n.Revision == 0:
-	case n.IsOutcome:
-		g.ApplyOutcome(n.Record, n.Revision)
+	case update.Revision == 0:
+	case update.IsOutcome:
+		g.ApplyOutcome(update.Record, update.Revision)
 	default:
-		g.ApplyRecord(n.Record, n.Revision)
+		g.ApplyRecord(update.Record, update.Revision)
 	}
 }
 
--- a/internal/lead/guard.go
+++ b/internal/lead/guard.go
@@ -182,8 +182,8 @@
 
 // ApplyUpdate applies what another instance knows. If that makes the grant unusable, work in
 // progress may continue for as long as AbortOverdue allows.
-func (g *PrimaryGuard) ApplyUpdate(n GroupUpdate) {
-	g.update(func(grant *Grant) { grant.ApplyUpdate(n) })
+func (g *PrimaryGuard) ApplyUpdate(groupUpdate GroupUpdate) {
+	g.update(func(grant *Grant) { grant.ApplyUpdate(groupUpdate) })
 }
 
 // updateUsability updates unusable and unusableSince. The caller holds mu.
--- a/internal/lead/health.go
+++ b/internal/lead/health.go
@@ -99,14 +99,14 @@
 
 // isDead reports whether a primary that did not answer a probe must be replaced: it refused
 // several connections in a row, or has been unresponsive for long enough.
-func isDead(refused int, silent bool, sinceAnswer time.Duration, everAnswered bool, leaderFor time.Duration) bool {
+func isDead(refused int, unresponsive bool, sinceAnswer time.Duration, everAnswered bool, leaderFor time.Duration) bool {
 	if refused >= deadAfterRefusals {
 		return true
 	}
 	if !everAnswered {
 		sinceAnswer = leaderFor // it never answered: count from when this instance became leader
 	}
-	return silent && sinceAnswer >= unresponsiveTimeout
+	return unresponsive && sinceAnswer >= unresponsiveTimeout
 }
 
 // probe requests the primary's status on the controller's own connection, which it opens if
--- a/internal/lead/overload.go
+++ b/internal/lead/overload.go
@@ -37,12 +37,12 @@
 		return
 	}
 	g.overloadChangeAt, g.plannedCheckedAt = c.now(), 0
-	for _, f := range c.queryMembers(ctx, c.successors(group, primary.ID), "") {
-		behind := c.env.ReplicaLag(group, f.status.Received)
+	for _, answer := range c.queryMembers(ctx, c.successors(group, primary.ID), "") {
+		lag := c.env.ReplicaLag(group, answer.status.Received)
 		log.WithFields(logrus.Fields{
-			"member": f.member.ID, "position": f.status.Received.String(), "behind_ms": behind.Milliseconds(), "lag_ms": f.status.Lag.Milliseconds(),
+			"member": answer.member.ID, "position": answer.status.Received.String(), "behind_ms": lag.Milliseconds(), "lag_ms": answer.status.Lag.Milliseconds(),
 		}).Info("lead: the primary serves its group alone and is full; a replica was asked what it has received")
-		if behind >= 0 && behind <= maxCandidateLag {
+		if lag >= 0 && lag <= maxCandidateLag {
 			c.startChange(ctx, group, g, "its replicas do not apply what they receive, and it is full", true)
 			return
 		}
--- a/internal/lead/overload_test.go
+++ b/internal/lead/overload_test.go
@@ -14,10 +14,10 @@
 // one that has received the log.
 func TestReplaceOverloadedPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
-		alone  bool
-		behind time.Duration
-		before func(*ledGroup)
-		want   bool
+		isOverloaded bool
+		lag          time.Duration
+		before       func(*ledGroup)
+		want         bool
 	}{
 		"alone, with a replica at the log's end": {true, 0, func(*ledGroup) {}, true},
 		"replicas can serve reads":               {false, 0, func(*ledGroup) {}, false},
@@ -31,7 +31,7 @@
 			clock := time.Minute
 			leader.now = func() time.Duration { return clock }
 			g := newLeader(t, leader, env, store)
-			env.overloaded, env.replicaLag = c.alone, c.behind
+			env.overloaded, env.replicaLag = c.isOverloaded, c.lag
 			c.before(g)
 			if g.overloadChangeAt > 0 {
 				g.overloadChangeAt = clock - overloadChangeInterval + 1
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -72,7 +72,7 @@
 	answered       int // registered instances that answer, including this one
 	releasesNeeded int // releases after which no grant can be attested any more
 	unresponsive   int // instances that do not answer although their leases are valid
-	lapsing        int // instances whose leases are gone but whose grants have not lapsed yet
+	lapsing        int // instances whose leases have ended but whose grants have not lapsed yet
 }
 
 // possibleHolders returns how many instances that do not answer may still hold grants.
@@ -89,13 +89,13 @@
 	c.callOthers(registered, func(instance Instance, client leadpb.CoordinationClient) error {
 		_, err := client.Witness(ctx, &leadpb.WitnessRequest{})
 		entry, _ := view.Entry(now, instance.Name)
-		since, leaseGone := view.MissingSince(entry)
+		since, leaseEnded := view.MissingSince(entry)
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case err == nil:
 			s.answered++
-		case !leaseGone:
+		case !leaseEnded:
 			s.unresponsive++
 		case now-since < grantLapseTime:
 			s.lapsing++
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -29,7 +29,7 @@
 	name                    string
 	started                 time.Duration            // on this instance's clock
 	attested                map[string]time.Duration // when others last requested an attestation, on this instance's clock
-	goneSince               time.Duration            // when the leader saw its lease end, on the leader's clock; 0: it is valid
+	leaseEndedAt            time.Duration            // when the leader saw its lease end, on the leader's clock; 0: it is valid
 	grant                   Grant
 	rate                    float64 // of its clock, relative to the true clock
 	offset                  time.Duration
@@ -69,26 +69,26 @@
 // are assumed to know their term.
 func (w *simulatedFleet) uses(s *simulatedInstance) (string, bool) {
 	now := s.now(w.trueTime)
-	a, err := s.grant.Primary(now)
+	ref, err := s.grant.Primary(now)
 	if err != nil {
 		return "", false
 	}
 	if s.grant.Confirmed(now) {
-		return a.Primary, true
+		return ref.Primary, true
 	}
 	for _, m := range s.members {
-		if m != a.Primary && (m == w.primary || w.terms[m] > a.Term) {
+		if m != ref.Primary && (m == w.primary || w.terms[m] > ref.Term) {
 			return "", false
 		}
 	}
-	return a.Primary, !w.steppedDown[a.Primary]
+	return ref.Primary, !w.steppedDown[ref.Primary]
 }
 
 // check fails the test if an instance uses a primary that was replaced.
 func (w *simulatedFleet) check() {
 	for i, s := range w.instances {
 		if primary, ok := w.uses(s); ok && primary != w.primary {
-			w.t.Fatalf("instance %d uses %s, and %s leads", i, primary, w.primary)
+			w.t.Fatalf("instance %d uses %s, but %s is primary", i, primary, w.primary)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 		}
 	}
 	for _, s := range unreachable {
-		r.addUnreleased(w.leaderNow(), s.goneSince, s.seenMembersRevision)
+		r.addUnreleased(w.leaderNow(), s.leaseEndedAt, s.seenMembersRevision)
 	}
 	if rapid.Bool().Draw(w.t, "steps down") {
 		w.steppedDown[w.record.Primary] = true
@@ -194,7 +194,7 @@
 // instances have lapsed.
 func (w *simulatedFleet) allLapsed(r *grantRelease, unreachable []*simulatedInstance) bool {
 	for _, s := range unreachable {
-		if !r.hasLapsed(w.leaderNow(), s.name, s.goneSince) {
+		if !r.hasLapsed(w.leaderNow(), s.name, s.leaseEndedAt) {
 			return false
 		}
 	}
@@ -227,8 +227,8 @@
 				w.trueTime += 3 * time.Hour
 			}
 		case "gone":
-			if s.goneSince == 0 {
-				s.goneSince = max(1, w.leaderNow())
+			if s.leaseEndedAt == 0 {
+				s.leaseEndedAt = max(1, w.leaderNow())
 			}
 		case "store":
 			w.callStore(s)
@@ -239,7 +239,7 @@
 }
 
 func (w *simulatedFleet) callStore(s *simulatedInstance) {
-	if s.goneSince > 0 && !s.callInFlight {
+	if s.leaseEndedAt > 0 && !s.callInFlight {
 		return // its lease has ended, so that no response confirms its grants
 	}
 	if !s.callInFlight {
@@ -265,7 +265,7 @@
 	if known == 0 {
 		return
 	}
-	sent, answers, objected := s.now(w.trueTime), 1, false
+	sent, answers, newerKnown := s.now(w.trueTime), 1, false
 	for _, other := range w.instances {
 		if other == s || !rapid.Bool().Draw(w.t, "attests") {
 			continue
@@ -273,12 +273,12 @@
 		answers++
 		other.attested[s.name] = other.now(w.trueTime)
 		if update, newer := other.grant.UpdateSince(known); newer {
-			objected = true
+			newerKnown = true
 			s.grant.ApplyUpdate(update)
 		}
 	}
 	w.trueTime += time.Duration(rapid.IntRange(0, 3000).Draw(w.t, "ms until the answers count")) * time.Millisecond
-	if !objected && answers >= AttestQuorum(len(w.instances)) {
+	if !newerKnown && answers >= AttestQuorum(len(w.instances)) {
 		s.grant.ConfirmByQuorum(sent, known)
 	}
 }
@@ -413,9 +413,9 @@
 	v, err := NewView().Apply(0, []kv.Event{registered("a", "1", 1), alive("a", "1", 2), registered("b", "1", 3), alive("b", "1", 4)})
 	must.NoError(t, err)
 	must.Len(t, 2, v.Registered(0))
-	gone := alive("b", "", 5)
-	gone.Deleted = true
-	v, err = v.Apply(time.Second, []kv.Event{gone})
+	deleted := alive("b", "", 5)
+	deleted.Deleted = true
+	v, err = v.Apply(time.Second, []kv.Event{deleted})
 	must.NoError(t, err)
 	must.Len(t, 2, v.Registered(time.Second+attestedUseLapseTime))
 	must.MapEmpty(t, v.LapsedEntries(time.Second+attestedUseLapseTime))
--- a/internal/lead/record.go
+++ b/internal/lead/record.go
@@ -36,7 +36,7 @@
 // partitioned or has crashed delays a change by at most GrantValidity plus about a second.
 // A lease that is lost, revoked or refused fails no statement. The instances run no
 // consensus protocol among themselves: every decision is in the store, and attestations
-// only pass on what the store said.
+// only report what instances have read from the store.
 package lead
 
 import (
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -65,19 +65,19 @@
 // trackSince sets since[name] to now if the condition has just begun to hold, and deletes it
 // if it does not hold.
 func trackSince(since map[string]time.Duration, name string, now time.Duration, holds bool) {
-	_, noted := since[name]
+	_, tracked := since[name]
 	switch {
 	case !holds:
 		delete(since, name)
-	case !noted:
+	case !tracked:
 		since[name] = now
 	}
 }
 
 // Instance returns the entry of an instance and its revision, 0 if there is none.
 func (r *registry) Instance(name string) (Instance, int64) {
-	h := r.instances[name]
-	return h.value, h.revision
+	stored := r.instances[name]
+	return stored.value, stored.revision
 }
 
 // IsAlive reports whether the lease of this process is valid.
@@ -93,8 +93,8 @@
 func (r *registry) listAlive() []Instance {
 	alive := make([]Instance, 0, len(r.aliveIncarnations))
 	for name := range r.aliveIncarnations {
-		if h, ok := r.instances[name]; ok {
-			alive = append(alive, h.value)
+		if stored, ok := r.instances[name]; ok {
+			alive = append(alive, stored.value)
 		}
 	}
 	slices.SortFunc(alive, func(a, b Instance) int { return strings.Compare(a.Name, b.Name) })
@@ -109,8 +109,8 @@
 
 // Entry returns the entry of an instance, and whether it may hold grants.
 func (r *registry) Entry(now time.Duration, name string) (Entry, bool) {
-	h, known := r.instances[name]
-	return Entry{Instance: h.value, revision: h.revision}, known && !r.hasLapsed(now, name)
+	stored, known := r.instances[name]
+	return Entry{Instance: stored.value, revision: stored.revision}, known && !r.hasLapsed(now, name)
 }
 
 // Entries returns the entries of all instances that may hold grants.
@@ -174,7 +174,7 @@
 }
 
 // MissingSince returns since when the process of an entry has been without a lease, and
-// whether it is. A newer entry under the same name does not count.
+// false if it has one or a newer entry has replaced this one under the same name.
 func (r *registry) MissingSince(e Entry) (time.Duration, bool) {
 	since, missing := r.missingSince[e.Name]
 	return since, missing && r.instances[e.Name].revision == e.revision
@@ -184,13 +184,13 @@
 // grants have lapsed, with the revisions of their entries. These entries are to be deleted,
 // so that processes that start later need not wait for the same grants again.
 func (r *registry) LapsedEntries(now time.Duration) map[string]int64 {
-	expired := make(map[string]int64)
+	lapsed := make(map[string]int64)
 	for name, since := range r.missingSince {
 		if now-since > attestedUseLapseTime {
-			expired[name] = r.instances[name].revision
+			lapsed[name] = r.instances[name].revision
 		}
 	}
-	return expired
+	return lapsed
 }
 
 // Names returns the names of all registered instances, sorted.
--- a/internal/lead/release.go
+++ b/internal/lead/release.go
@@ -80,13 +80,13 @@
 
 // isPrimary reports whether a member answers that it is the primary of a term.
 func (c *Controller) isPrimary(ctx context.Context, m topology.Member, term uint64) bool {
-	f := c.queryMember(ctx, m)
-	if f == nil {
+	answer := c.queryMember(ctx, m)
+	if answer == nil {
 		return false
 	}
-	c.log.WithFields(logrus.Fields{"member": m.ID, "leads": f.status.Primary, "term": f.status.Term, "record_term": term}).
+	c.log.WithFields(logrus.Fields{"member": m.ID, "leads": answer.status.Primary, "term": answer.status.Term, "record_term": term}).
 		Info("lead: the primary answered while it was being replaced")
-	return f.status.Primary && f.status.Term == term
+	return answer.status.Primary && answer.status.Term == term
 }
 
 // stepDown tells the old primary to become a replica. It returns the status that the
@@ -215,35 +215,36 @@
 	}
 }
 
-// hasLapsed reports whether the grant of an instance that did not release can no longer be
-// confirmed. goneSince is since when its lease has been gone, zero if the lease is valid;
-// since then no answer of the store has confirmed the grant. Until enough instances have
-// released, the grant may be attested for as long as attestations can replace the store.
-func (r *grantRelease) hasLapsed(now time.Duration, name string, goneSince time.Duration) bool {
+// hasLapsed reports whether the grant of an instance that did not release can no longer
+// be confirmed. leaseEndedAt is when its lease was first seen to have ended, zero if the
+// lease is valid; since then no answer of the store has confirmed the grant. Until
+// enough instances have released, the grant may be attested for as long as attestations
+// can replace the store.
+func (r *grantRelease) hasLapsed(now time.Duration, name string, leaseEndedAt time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.releasesNeeded > 0 {
 		return now-r.announced >= attestedUseLapseTime
 	}
 	confirmed := max(r.announced, r.quorumAt)
-	if goneSince > 0 {
+	if leaseEndedAt > 0 {
 		// Every quorum includes an instance that has released, so none attested the grant
 		// later than the last of these did.
-		confirmed = min(confirmed, max(goneSince, r.attestedAt[name], r.attestationsKnownSince))
+		confirmed = min(confirmed, max(leaseEndedAt, r.attestedAt[name], r.attestationsKnownSince))
 	}
 	return now-confirmed >= grantLapseTime
 }
 
-// addUnreleased records an instance whose grant has lapsed without a release. goneSince is
-// since when its lease has been gone, zero if the lease is valid. The instance may still
-// use the old primary and then asks the members that it knows: at least those that were in
-// the store at seenRevision.
-func (r *grantRelease) addUnreleased(now, goneSince time.Duration, seenRevision int64) {
+// addUnreleased records an instance whose grant has lapsed without a release. leaseEndedAt
+// is when its lease was first seen to have ended, zero if the lease is valid. The instance
+// may still use the old primary and then asks the members that it knows: at least those
+// that were in the store at seenRevision.
+func (r *grantRelease) addUnreleased(now, leaseEndedAt time.Duration, seenRevision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	lastAnswer := r.announced // the last answer of the store to that instance is not newer
-	if goneSince > 0 {
-		lastAnswer = min(lastAnswer, goneSince)
+	if leaseEndedAt > 0 {
+		lastAnswer = min(lastAnswer, leaseEndedAt)
 	}
 	if now-lastAnswer >= unconfirmedUseLapseTime {
 		return // the grant does not even permit verified use any more
@@ -279,12 +280,12 @@
 	}
 	for tries := 0; ctx.Err() == nil; tries++ {
 		log := c.log.WithFields(logrus.Fields{"group": r.group, "instance": instance.Name, "waited_ms": (c.now() - r.announced).Milliseconds(), "tries": tries + 1})
-		goneSince, leaseGone := c.env.View().MissingSince(instance)
-		if !leaseGone {
-			goneSince = 0 // its lease is valid, as far as is known
+		leaseEndedAt, leaseEnded := c.env.View().MissingSince(instance)
+		if !leaseEnded {
+			leaseEndedAt = 0 // its lease is valid, as far as is known
 		}
-		if r.hasLapsed(c.now(), instance.Name, goneSince) {
-			r.addUnreleased(c.now(), goneSince, instance.SeenRevision)
+		if r.hasLapsed(c.now(), instance.Name, leaseEndedAt) {
+			r.addUnreleased(c.now(), leaseEndedAt, instance.SeenRevision)
 			log.WithField("seen", instance.SeenRevision).Info("lead: the grant of an instance has lapsed without a release; members that the instance does not know are not promoted")
 			return
 		}
@@ -297,7 +298,7 @@
 			return
 		}
 		if tries%releaseLogEvery == 0 {
-			log.WithError(err).WithFields(logrus.Fields{"lease_gone": leaseGone, "at_latest_ms": r.maxWait(goneSince).Milliseconds()}).
+			log.WithError(err).WithFields(logrus.Fields{"lease_gone": leaseEnded, "at_latest_ms": r.maxWait(leaseEndedAt).Milliseconds()}).
 				Info("lead: an instance has not released its grant; retrying until it does or the grant has lapsed")
 		}
 		sleep(ctx, releaseRetryPause)
@@ -306,14 +307,14 @@
 
 // maxWait returns the longest wait for an instance, counted from the announcement, as far as
 // is known now.
-func (r *grantRelease) maxWait(goneSince time.Duration) time.Duration {
+func (r *grantRelease) maxWait(leaseEndedAt time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.releasesNeeded > 0:
 		return attestedUseLapseTime
-	case goneSince > 0 && goneSince < r.announced:
-		return max(0, goneSince+grantLapseTime-r.announced)
+	case leaseEndedAt > 0 && leaseEndedAt < r.announced:
+		return max(0, leaseEndedAt+grantLapseTime-r.announced)
 	}
 	return grantLapseTime
 }
--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -17,8 +17,8 @@
 	Replicas        int            // number of replicas of the group
 	SyncReplicas    int            // number of replicas that had received each acknowledged commit
 	Unreached       bool           // unreachable instances may still use the old primary, so only members that they know may be promoted
-	KnownBefore     time.Duration  // they know each member that has been known here since before this time
-	Seen            int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
+	KnownBefore     time.Duration  // unreachable instances know each member that has been known here since before this time
+	Seen            int64          // unreachable instances know each member whose entry has been unchanged since this store revision; 0: unknown
 	AllowShorterLog bool           // promote a member whose log does not reach Last, instead of waiting longer
 }
 
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -94,47 +94,47 @@
 	return next.finish(), failed
 }
 
-func (e *viewBuilder) apply(event kv.Event) error {
+func (b *viewBuilder) apply(event kv.Event) error {
 	if name, ok := trimKeyPrefix(event.Key, PrefixInstances); ok {
-		return e.setInstance(name, event)
+		return b.setInstance(name, event)
 	}
 	if name, ok := trimKeyPrefix(event.Key, prefixAlive); ok {
-		e.setAlive(name, event)
+		b.setAlive(name, event)
 		return nil
 	}
 	if group, ok := trimKeyPrefix(event.Key, prefixGroup); ok {
-		return e.setRecord(group, event)
+		return b.setRecord(group, event)
 	}
 	if group, ok := trimKeyPrefix(event.Key, prefixLeader); ok {
-		return e.setLeader(group, event)
+		return b.setLeader(group, event)
 	}
 	return nil
 }
 
 // changeInstance marks an instance as changed and returns a registry that may be modified.
-func (e *viewBuilder) changeInstance(name string) *registry {
-	if !e.ownsRegistry {
-		e.registry, e.ownsRegistry = e.registry.clone(), true
+func (b *viewBuilder) changeInstance(name string) *registry {
+	if !b.ownsRegistry {
+		b.registry, b.ownsRegistry = b.registry.clone(), true
 	}
-	e.changedInstances[name] = struct{}{}
-	return e.registry
+	b.changedInstances[name] = struct{}{}
+	return b.registry
 }
 
-func (e *viewBuilder) setInstance(name string, event kv.Event) error {
+func (b *viewBuilder) setInstance(name string, event kv.Event) error {
 	if event.Deleted {
-		delete(e.changeInstance(name).instances, name)
+		delete(b.changeInstance(name).instances, name)
 		return nil
 	}
 	entry, err := decode[Instance](event.Value)
 	if err != nil {
 		return err
 	}
-	e.changeInstance(name).instances[name] = versioned[Instance]{value: entry, revision: event.Revision}
+	b.changeInstance(name).instances[name] = versioned[Instance]{value: entry, revision: event.Revision}
 	return nil
 }
 
-func (e *viewBuilder) setAlive(name string, event kv.Event) {
-	r := e.changeInstance(name)
+func (b *viewBuilder) setAlive(name string, event kv.Event) {
+	r := b.changeInstance(name)
 	if event.Deleted {
 		delete(r.aliveIncarnations, name)
 		return
@@ -142,46 +142,46 @@
 	r.aliveIncarnations[name] = string(event.Value)
 }
 
-func (e *viewBuilder) setRecord(group string, event kv.Event) error {
+func (b *viewBuilder) setRecord(group string, event kv.Event) error {
 	var err error
-	e.records, err = setOrDelete(e.records, group, event)
-	e.changedGroups[group] = struct{}{}
+	b.records, err = setOrDelete(b.records, group, event)
+	b.changedGroups[group] = struct{}{}
 	return err
 }
 
-func (e *viewBuilder) setLeader(group string, event kv.Event) error {
-	previous, hadLeader := e.leaders.Get(group)
-	leaders, err := setOrDelete(e.leaders, group, event)
+func (b *viewBuilder) setLeader(group string, event kv.Event) error {
+	previous, hadLeader := b.leaders.Get(group)
+	leaders, err := setOrDelete(b.leaders, group, event)
 	if err != nil {
 		return err
 	}
 	if hadLeader {
-		e.removeLedGroup(previous.value.Instance, group)
+		b.removeLedGroup(previous.value.Instance, group)
 	}
-	e.leaders = leaders
+	b.leaders = leaders
 	if current, hasLeader := leaders.Get(group); hasLeader {
-		e.addLedGroup(current.value.Instance, group)
+		b.addLedGroup(current.value.Instance, group)
 	}
-	e.changedGroups[group] = struct{}{}
+	b.changedGroups[group] = struct{}{}
 	return nil
 }
 
 // addLedGroup adds a group to those that an instance leads.
-func (e *viewBuilder) addLedGroup(name, group string) {
-	groups, _ := e.groupsByLeader.Get(name)
+func (b *viewBuilder) addLedGroup(name, group string) {
+	groups, _ := b.groupsByLeader.Get(name)
 	at, _ := slices.BinarySearch(groups, group)
-	e.groupsByLeader = e.groupsByLeader.Set(name, slices.Insert(slices.Clone(groups), at, group))
+	b.groupsByLeader = b.groupsByLeader.Set(name, slices.Insert(slices.Clone(groups), at, group))
 }
 
 // removeLedGroup removes a group from those that an instance leads.
-func (e *viewBuilder) removeLedGroup(name, group string) {
-	groups, _ := e.groupsByLeader.Get(name)
+func (b *viewBuilder) removeLedGroup(name, group string) {
+	groups, _ := b.groupsByLeader.Get(name)
 	rest := slices.DeleteFunc(slices.Clone(groups), func(other string) bool { return other == group })
 	if len(rest) == 0 {
-		e.groupsByLeader = e.groupsByLeader.Delete(name)
+		b.groupsByLeader = b.groupsByLeader.Delete(name)
 		return
 	}
-	e.groupsByLeader = e.groupsByLeader.Set(name, rest)
+	b.groupsByLeader = b.groupsByLeader.Set(name, rest)
 }
 
 func setOrDelete[T any](in *immutable.Map[string, versioned[T]], name string, e kv.Event) (*immutable.Map[string, versioned[T]], error) {
@@ -197,34 +197,34 @@
 
 // finish updates the times since which instances and leaders have been missing, and returns
 // the finished view.
-func (e *viewBuilder) finish() *View {
-	if e.ownsRegistry {
-		e.registry.updateTimes(e.now, e.changedInstances)
+func (b *viewBuilder) finish() *View {
+	if b.ownsRegistry {
+		b.registry.updateTimes(b.now, b.changedInstances)
 	}
-	for group := range e.changedGroups {
-		_, hasRecord := e.records.Get(group)
-		_, hasLeader := e.leaders.Get(group)
-		_, noted := e.leaderlessSince.Get(group)
+	for group := range b.changedGroups {
+		_, hasRecord := b.records.Get(group)
+		_, hasLeader := b.leaders.Get(group)
+		_, tracked := b.leaderlessSince.Get(group)
 		switch isLeaderless := hasRecord && !hasLeader; {
-		case isLeaderless && !noted:
-			e.leaderlessSince = e.leaderlessSince.Set(group, e.now)
-		case !isLeaderless && noted:
-			e.leaderlessSince = e.leaderlessSince.Delete(group)
+		case isLeaderless && !tracked:
+			b.leaderlessSince = b.leaderlessSince.Set(group, b.now)
+		case !isLeaderless && tracked:
+			b.leaderlessSince = b.leaderlessSince.Delete(group)
 		}
 	}
-	return &e.View
+	return &b.View
 }
 
 // Record returns the record of a group and its revision, 0 if there is none.
 func (v *View) Record(group string) (Record, int64) {
-	h, _ := v.records.Get(group)
-	return h.value, h.revision
+	stored, _ := v.records.Get(group)
+	return stored.value, stored.revision
 }
 
 // Leader returns the leader of a group and the revision of its key, 0 if there is none.
 func (v *View) Leader(group string) (Leader, int64) {
-	h, _ := v.leaders.Get(group)
-	return h.value, h.revision
+	stored, _ := v.leaders.Get(group)
+	return stored.value, stored.revision
 }
 
 // GroupsLedBy returns the groups that a process leads, sorted.
@@ -268,7 +268,7 @@
 }
 
 // Leaderless returns for how long a group that has a record has been without a leader, and
-// whether it is.
+// false if it has one.
 func (v *View) Leaderless(now time.Duration, group string) (time.Duration, bool) {
 	since, ok := v.leaderlessSince.Get(group)
 	return now - since, ok
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -53,14 +53,14 @@
 	Return(account string, t quota.Token)
 	// Admit reports whether an operation may be forwarded to a carrier, or else the delay after
 	// which the client should retry.
-	Admit(v quota.Operation) (time.Duration, bool)
-	// Refused records that an operation, forwarded the given time ago, was refused because its
-	// account has no tokens for a while. It returns the delay after which the client should retry;
-	// 0: not known.
-	RecordRejection(v quota.Operation, ago, emptyFor time.Duration) time.Duration
-	// Ran records that an operation, forwarded the given time ago, was not refused for its
-	// account's limit.
-	RecordSuccess(v quota.Operation, ago time.Duration)
+	Admit(op quota.Operation) (time.Duration, bool)
+	// RecordRejection records that an operation, forwarded the given time ago, was refused because
+	// its account has no tokens for a while. It returns the delay after which the client should
+	// retry; 0: not known.
+	RecordRejection(op quota.Operation, ago, emptyFor time.Duration) time.Duration
+	// RecordSuccess records that an operation, forwarded the given time ago, was not refused for
+	// its account's limit.
+	RecordSuccess(op quota.Operation, ago time.Duration)
 }
 
 // tokenWaitFraction is the fraction of its latency objective for which a statement may wait for a
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -239,7 +239,7 @@
 		}
 		state.SetMember(0, m, false)
 	}
-	f.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1), "")
+	f.relay.upstreams.Update(state.Snapshot(), placementFor(state.Snapshot(), 1), "")
 	after := f.relay.upstreams.get("m2")
 	must.False(t, before == after)
 	must.Zero(t, after.pool.NumOpen())
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -102,8 +102,8 @@
 		case unknownOutcome:
 			return a.answerUnknown()
 		}
-		if a.clientGone() {
-			a.session.relay.recordClientGone(a.route.Database, "here", a.now()-a.arrived)
+		if a.clientDisconnected() {
+			a.session.relay.recordDisconnect(a.route.Database, "here", a.now()-a.arrived)
 			return a.refuse()
 		}
 		if a.atLimit || !a.shouldRetry() {
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -89,11 +89,11 @@
 // deprioritizeOutliers excludes members with a higher failure rate than the others from a fraction
 // of the choices.
 func (r *Relay) deprioritizeOutliers(candidates []routing.Candidate) {
-	failing := make([]float64, len(candidates))
+	failureRates := make([]float64, len(candidates))
 	for i, c := range candidates {
-		failing[i] = c.FailureRate
+		failureRates[i] = c.FailureRate
 	}
-	for i, share := range outlier.ReadShares(failing) {
+	for i, share := range outlier.ReadShares(failureRates) {
 		if upstream := r.upstreams.get(candidates[i].ID); upstream != nil {
 			candidates[i].Deprioritized = !upstream.inRotation(share)
 		}
--- a/internal/relay/candidates_test.go
+++ b/internal/relay/candidates_test.go
@@ -26,7 +26,7 @@
 	f.snap = snap
 	f.relay.dataCentre, f.relay.localities = "a", locality.New(map[string]string{"a": "x", "b": "y"})
 	f.relay.upstreams.SetLocalities(f.relay.localities)
-	f.relay.upstreams.Update(snap, placedFor(snap, 1), "a")
+	f.relay.upstreams.Update(snap, placementFor(snap, 1), "a")
 	a := &attempt{
 		session: newSession(f.relay, StartupRequest{Database: "bounded"}), route: snap.Databases["bounded"],
 		group: f.relay.upstreams.group("g"), guard: f.guard, arrived: f.relay.now(), deadline: f.relay.now() + generous, reads: true,
@@ -57,14 +57,14 @@
 		group: f.relay.upstreams.group("g"), guard: f.guard,
 	}
 	const choices = 200
-	deferred := make(map[string]int)
+	deprioritized := make(map[string]int)
 	for range choices {
 		for _, c := range a.candidates() {
 			if c.Deprioritized {
-				deferred[c.ID]++
+				deprioritized[c.ID]++
 			}
 		}
 	}
-	must.Eq(t, 0, deferred["m1"])
-	must.Between(t, choices/2, deferred["m2"], choices-1)
+	must.Eq(t, 0, deprioritized["m1"])
+	must.Between(t, choices/2, deprioritized["m2"], choices-1)
 }
--- a/internal/relay/carrier_streams.go
+++ b/internal/relay/carrier_streams.go
@@ -33,8 +33,9 @@
 	pingTimeout = 250 * time.Millisecond
 )
 
-// errClientGone means that the reply is no longer awaited because the client has disconnected.
-var errClientGone = errors.New("the caller has gone")
+// errClientDisconnected means that the reply is no longer awaited because the client has
+// disconnected.
+var errClientDisconnected = errors.New("the caller has gone")
 
 // errNotAccepted means that a carrier did not accept a statement, so it has not run.
 var errNotAccepted = errors.New("the carrier has not taken the statement up")
@@ -100,7 +101,7 @@
 		return
 	}
 	h.RecordNoAnswer(c.now())
-	// Pending requests have a watch of their own that aborts them. Idle streams have none, and may
+	// A pending request is aborted when its ping fails. Idle streams are not pinged, and may
 	// belong to a dead connection.
 	for _, s := range c.idle[address] {
 		s.cancel()
@@ -235,7 +236,7 @@
 type pendingRequest struct {
 	stream *carrierStream
 
-	mu       sync.Mutex // guards ended
+	mu       sync.Mutex // guards finished
 	finished bool
 }
 
@@ -270,7 +271,7 @@
 	if err := s.send(req); err != nil {
 		s.cancel()
 		if ctx.Err() != nil {
-			return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotAccepted, errClientGone)
+			return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotAccepted, errClientDisconnected)
 		}
 		return nil, fmt.Errorf("carrier at %s: %w: %w", s.address, errNotAccepted, err)
 	}
@@ -278,7 +279,7 @@
 	switch {
 	case err != nil && ctx.Err() != nil:
 		s.cancel()
-		return nil, fmt.Errorf("carrier at %s: %w", s.address, errClientGone)
+		return nil, fmt.Errorf("carrier at %s: %w", s.address, errClientDisconnected)
 	case err != nil:
 		s.cancel()
 		s.conns.recordResult(s.address, false)
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -71,9 +71,9 @@
 	return placement.Order(c.Others, ownershipCandidate, placement.Origin{HashKey: cmp.Or(account, r.self), DataCentre: r.dataCentre}, preferred, r.localities)
 }
 
-// EnableCarrier allows this instance to run statements for other instances. Before that it has not
-// read the store, or holds no grants; instances that still know its address from an earlier process
-// get a refusal and ask other carriers.
+// EnableCarrier allows this instance to run statements for other instances. Before the call it has
+// not read the store, or holds no grants; instances that still know its address from an earlier
+// process get a refusal and try other carriers.
 func (r *Relay) EnableCarrier() { r.carrierEnabled.Store(true) }
 
 // canRunForwarded reports whether this instance can run forwarded statements for a database. A
--- a/internal/relay/disconnect.go
+++ b/internal/relay/disconnect.go
@@ -22,7 +22,7 @@
 	cancel context.CancelFunc
 }
 
-// disconnectWatchPool holds the unused ones.
+// disconnectWatchPool holds unused watches for reuse.
 var disconnectWatchPool = sync.Pool{New: func() any { return &disconnectWatch{} }}
 
 // watchDisconnect returns a context that is cancelled when a client disconnects. end must be called
@@ -64,21 +64,21 @@
 	}
 }
 
-// clientGoneReason is the reason for not running a statement whose client has disconnected.
-const clientGoneReason = "its caller has gone"
+// disconnectReason is the reason for not running a statement whose client has disconnected.
+const disconnectReason = "its caller has gone"
 
-// clientGone reports whether the client has disconnected, and if so sets the reason.
-func (a *attempt) clientGone() bool {
+// clientDisconnected reports whether the client has disconnected, and if so sets the reason.
+func (a *attempt) clientDisconnected() bool {
 	if a.ctx.Err() == nil {
 		return false
 	}
-	a.reason = clientGoneReason
+	a.reason = disconnectReason
 	return true
 }
 
-// recordClientGone counts and logs a statement that was dropped because its client had
+// recordDisconnect counts and logs a statement that was dropped because its client had
 // disconnected.
-func (r *Relay) recordClientGone(database, where string, waited time.Duration) {
+func (r *Relay) recordDisconnect(database, where string, waited time.Duration) {
 	r.metrics.GetOrCreateCounter(`stackspindle_callers_left_total{waited="` + where + `"}`).Inc()
 	if suppressed, ok := r.logSampler.Allow("left" + where); ok {
 		r.log.WithFields(logrus.Fields{"database": database, "waited": where, "waited_ms": waited.Milliseconds(), "left_out": suppressed}).
--- a/internal/relay/failure_log_test.go
+++ b/internal/relay/failure_log_test.go
@@ -16,9 +16,9 @@
 	f.add(failureCause{group: "g", outcome: "aborted"}, "b")
 	f.add(busy, "c")
 	must.MapEmpty(t, f.takeBatch(failureLogInterval-1))
-	taken := f.takeBatch(failureLogInterval)
-	must.MapLen(t, 2, taken)
-	must.Eq(t, "a c", taken[busy].ids.String())
+	batch := f.takeBatch(failureLogInterval)
+	must.MapLen(t, 2, batch)
+	must.Eq(t, "a c", batch[busy].ids.String())
 	must.MapEmpty(t, f.takeBatch(time.Hour), must.Sprint("no further failures"))
 }
 
@@ -31,10 +31,10 @@
 			f.add(failureCause{detail: fmt.Sprint(n)}, fmt.Sprint(id))
 		}
 	}
-	taken := f.takeBatch(failureLogInterval)
-	must.MapLen(t, maxFailureCauses, taken)
+	batch := f.takeBatch(failureLogInterval)
+	must.MapLen(t, maxFailureCauses, batch)
 	count := 0
-	for _, b := range taken {
+	for _, b := range batch {
 		must.Eq(t, maxLoggedIDs, b.listed)
 		must.Eq(t, maxLoggedIDs-1, strings.Count(b.ids.String(), " "))
 		count += b.listed + b.omitted
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -66,12 +66,12 @@
 	reply, err := stream.roundTrip(ctx, s.encodeRequest(st, arrived), remaining+replyMargin)
 	switch {
 	case errors.Is(err, errNotAccepted):
-		if !errors.Is(err, errClientGone) {
+		if !errors.Is(err, errClientDisconnected) {
 			s.relay.waitForecasts.forget(carrier.Address)
 		}
 		return notForwarded(err), true
 	case err != nil:
-		if !errors.Is(err, errClientGone) {
+		if !errors.Is(err, errClientDisconnected) {
 			s.relay.waitForecasts.forget(carrier.Address)
 		}
 		s.recordLostReply(st, carrier.Name, arrived, err)
@@ -122,8 +122,8 @@
 // recordLostReply records that a carrier's reply did not arrive, or that the client disconnected
 // before.
 func (s *session) recordLostReply(st statement.Statement, carrier string, arrived time.Duration, cause error) {
-	if errors.Is(cause, errClientGone) {
-		s.relay.recordClientGone(s.startup.Database, "carried", s.relay.now()-arrived)
+	if errors.Is(cause, errClientDisconnected) {
+		s.relay.recordDisconnect(s.startup.Database, "carried", s.relay.now()-arrived)
 		return
 	}
 	s.relay.logLostAnswer(s, st, carrier, cause)
--- a/internal/relay/group_state_test.go
+++ b/internal/relay/group_state_test.go
@@ -22,7 +22,7 @@
 
 // statementInFlight was sent to the primary and will be answered.
 type statementInFlight struct {
-	asked    time.Duration
+	sentAt   time.Duration
 	position group.Position // end of the log when it ran
 }
 
@@ -44,14 +44,14 @@
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond
 			switch rapid.SampledFrom([]string{"ask", "ask", "write", "answer", "answer", "promote", "read", "read"}).Draw(t, "what") {
 			case "ask":
-				inFlight = append(inFlight, statementInFlight{asked: now, position: end})
+				inFlight = append(inFlight, statementInFlight{sentAt: now, position: end})
 			case "write":
 				end.Index++
 				acks = append(acks, acknowledged{at: now, position: end})
 			case "answer":
 				if len(inFlight) > 0 {
 					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
-					g.addSample(inFlight[i].asked, inFlight[i].position)
+					g.addSample(inFlight[i].sentAt, inFlight[i].position)
 					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				}
 			case "promote":
--- a/internal/relay/outage.go
+++ b/internal/relay/outage.go
@@ -12,12 +12,13 @@
 type outageTracker struct {
 	durations    admission.Outages
 	startedAt    time.Duration // start of the current outage
-	lastSeenAt   time.Duration // when a statement last met it; 0: no outage was met
+	lastSeenAt   time.Duration // when a statement last found no usable primary; 0: none has since the last outage
 	duringChange bool          // a change of primary was in progress during it
 }
 
-// maxOutageEndGap is the longest time between the last statement that met an outage and its end.
-// With a longer gap the outage's duration is not known precisely enough to learn from.
+// maxOutageEndGap is the longest time between the last statement that found no usable primary
+// and the end of the outage. With a longer gap the outage's duration is not known precisely enough
+// to learn from.
 const maxOutageEndGap = 50 * time.Millisecond
 
 // recordOutage records that a statement found no usable primary, and returns the expected remaining
--- a/internal/relay/queueing.go
+++ b/internal/relay/queueing.go
@@ -236,7 +236,7 @@
 
 // queueDeadline returns until when the statement may wait: until its latency objective or, if it
 // was admitted and its queue is not overloaded, until shortly before its deadline. In an overloaded
-// queue, where others are refused, a late statement would take the place of one that can still meet
+// queue, where others are refused, a late statement would take the slot of one that can still meet
 // its objective.
 func (a *attempt) queueDeadline() time.Duration {
 	objective := min(a.deadline, a.arrived+a.route.LatencyObjective)
--- a/internal/relay/queueing_test.go
+++ b/internal/relay/queueing_test.go
@@ -116,7 +116,7 @@
 	must.Eq(t, 20*time.Millisecond, g.outages.durations.Remaining(0, true))
 	g.recordOutage(400*time.Millisecond, guard)
 	g.recordPrimary(time.Hour)
-	must.Eq(t, 20*time.Millisecond, g.outages.durations.Remaining(0, true), must.Sprint("no statement met the end of the outage"))
+	must.Eq(t, 20*time.Millisecond, g.outages.durations.Remaining(0, true), must.Sprint("no statement was waiting shortly before the outage ended"))
 }
 
 // A carrier's replies contain the queueing delays there, and nothing when no statement would wait.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -183,7 +183,7 @@
 func (r *Relay) recordRefusal(a *attempt, retryAfter time.Duration) {
 	waited, reason := r.now()-a.arrived, "held"
 	switch {
-	case a.clientGone():
+	case a.clientDisconnected():
 		reason = "caller_left"
 	case a.hasVerdict && !a.verdict.Admit:
 		reason = a.verdict.Reason.String()
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -54,7 +54,7 @@
 	log.SetOutput(io.Discard)
 	started := time.Now()
 	upstreams := NewUpstreams(group, func() time.Duration { return time.Since(started) })
-	upstreams.Update(snap, placedFor(snap, 1), "")
+	upstreams.Update(snap, placementFor(snap, 1), "")
 	t.Cleanup(upstreams.Close)
 	f := &fixture{group: group, snap: snap}
 	f.relay = New(Config{
@@ -67,8 +67,8 @@
 	return f
 }
 
-// placedFor returns the placement for a number of registered instances.
-func placedFor(snap *topology.Snapshot, registered int) *PlacementSnapshot {
+// placementFor returns the placement for a number of registered instances.
+func placementFor(snap *topology.Snapshot, registered int) *PlacementSnapshot {
 	placements := NewPlacementTracker(lead.Instance{}, locality.Map{})
 	for name := range snap.Groups {
 		g, _ := PlacementGroup(snap, name)
@@ -175,7 +175,7 @@
 				m.Draining = n%2 == 0
 				state.SetMember(0, m, false)
 			}
-			f.relay.upstreams.Update(state.Snapshot(), placedFor(state.Snapshot(), 1+n%3), "")
+			f.relay.upstreams.Update(state.Snapshot(), placementFor(state.Snapshot(), 1+n%3), "")
 		}
 	}()
 	s := newSession(f.relay, StartupRequest{Database: "bounded"})
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -192,7 +192,8 @@
 	return upstream.health.HasUnansweredAttempt()
 }
 
-// SinceLastAnswer returns the time since a member's last answer. It reports false if there was none.
+// SinceLastAnswer returns the time since a member's last answer. It reports false if there was
+// none.
 func (u *Upstreams) SinceLastAnswer(id string) (time.Duration, bool) {
 	upstream := u.find(id)
 	if upstream == nil {
@@ -252,7 +253,7 @@
 	defer u.mu.Unlock()
 	for id, upstream := range u.members {
 		upstream.mu.Lock()
-		stats, lag, share, distance, failing, allowed := upstream.recentStats, upstream.lag, upstream.throttle.Share(), upstream.distance, upstream.failureRate.Value(), upstream.activeAllowed
+		stats, lag, share, distance, currentFailureRate, allowed := upstream.recentStats, upstream.lag, upstream.throttle.Share(), upstream.distance, upstream.failureRate.Value(), upstream.activeAllowed
 		upstream.recentStats = attemptStats{}
 		upstream.mu.Unlock()
 		if stats == (attemptStats{}) {
@@ -264,7 +265,7 @@
 			"group": upstream.group, "member": id, "distance": distance.String(), "answered": stats.answered, "lagging": stats.lagging,
 			"unheard": stats.unanswered, "mean_ms": (stats.totalTime / time.Duration(max(1, stats.answered))).Milliseconds(),
 			"longest_ms": stats.longestTime.Milliseconds(), "behind_ms": lag.Milliseconds(),
-			"share": math.Round(100*share) / 100, "may_run": allowed, "failing": math.Round(100*failing) / 100, "connections": upstream.pool.NumOpen(), "in_use": upstream.pool.InUse(), "waiting": upstream.pool.Waiting(),
+			"share": math.Round(100*share) / 100, "may_run": allowed, "failing": math.Round(100*currentFailureRate) / 100, "connections": upstream.pool.NumOpen(), "in_use": upstream.pool.InUse(), "waiting": upstream.pool.Waiting(),
 		}).Info("relay: a member since the last report")
 	}
 }
--- a/internal/relay/upstreams_test.go
+++ b/internal/relay/upstreams_test.go
@@ -11,19 +11,19 @@
 	"github.com/stackspindle/stackspindle/internal/placement"
 )
 
-// Of a thousand groups, an instance serves few. A guard is created when a group is first used there,
-// and must start with the record that was last read from the store.
+// Of a thousand groups, an instance serves few. A guard is created when a group is first used
+// there, and must start with the record that was last read from the store.
 func TestNewGuardHasStoredRecord(t *testing.T) {
 	f := newFixture(t)
 	f.relay.storedRecord = func(group string) StoredRecord {
 		return StoredRecord{Record: lead.Record{Group: group, Primary: "m7", Term: 3}, Revision: 9, ConfirmedAt: f.relay.now()}
 	}
-	a, err := f.relay.PrimaryGuard("later").Primary()
+	ref, err := f.relay.PrimaryGuard("later").Primary()
 	must.NoError(t, err)
-	must.Eq(t, lead.PrimaryRef{Primary: "m7", Term: 3, Revision: 9}, a)
-	gates := 0
-	f.relay.ForEachPrimaryGuard(func(string, *lead.PrimaryGuard) { gates++ })
-	must.Eq(t, 2, gates)
+	must.Eq(t, lead.PrimaryRef{Primary: "m7", Term: 3, Revision: 9}, ref)
+	guards := 0
+	f.relay.ForEachPrimaryGuard(func(string, *lead.PrimaryGuard) { guards++ })
+	must.Eq(t, 2, guards)
 	f.relay.storedRecord = func(string) StoredRecord { return StoredRecord{} }
 	_, err = f.relay.PrimaryGuard("unknown").Primary()
 	must.Error(t, err)
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -51,8 +51,8 @@
 // They are few, cost a member little, and clients wait for their result.
 const probePriority = -1
 
-// errMemberGone means that a member has no entry in the topology.
-var errMemberGone = errors.New("the member's entry is gone")
+// errNoMemberEntry means that a member has no entry in the topology.
+var errNoMemberEntry = errors.New("the member's entry is gone")
 
 // mayPassOn reports whether an answer of the primary may be passed on to the client. If the grant
 // is not confirmed the members are asked; reads is true for an answer to a read.
@@ -140,15 +140,15 @@
 		}
 		reply := new(bool)
 		replies[m.ID] = reply
-		asked.Go(func() { *reply = r.confirmsFollower(m, ref) })
+		asked.Go(func() { *reply = r.confirmsNotPrimary(m, ref) })
 	}
 	if round.askPrimary {
 		asked.Go(func() { round.primaryConfirmed = r.confirmsPrimary(ref) })
 	}
 	asked.Wait()
 	round.noNewerPrimary = true
-	for _, follows := range replies {
-		round.noNewerPrimary = round.noNewerPrimary && *follows
+	for _, notPrimary := range replies {
+		round.noNewerPrimary = round.noNewerPrimary && *notPrimary
 	}
 }
 
@@ -166,9 +166,9 @@
 	return false
 }
 
-// confirmsFollower reports whether a member confirms that it is not primary, and knows no newer
+// confirmsNotPrimary reports whether a member confirms that it is not primary, and knows no newer
 // term than that of ref.
-func (r *Relay) confirmsFollower(m topology.Member, ref lead.PrimaryRef) bool {
+func (r *Relay) confirmsNotPrimary(m topology.Member, ref lead.PrimaryRef) bool {
 	entry := func() *logrus.Entry {
 		return r.log.WithFields(logrus.Fields{"group": m.Group, "member": m.ID, "primary": ref.Primary, "term": ref.Term, "record": ref.Revision})
 	}
@@ -193,7 +193,7 @@
 func (u *Upstreams) status(id string, timeout time.Duration) (member.Status, error) {
 	upstream := u.get(id)
 	if upstream == nil {
-		return member.Status{}, errMemberGone
+		return member.Status{}, errNoMemberEntry
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/relay/verify_test.go
+++ b/internal/relay/verify_test.go
@@ -86,7 +86,8 @@
 
 // A read that was sent under a confirmed grant may be delayed, in a queue or by a network
 // partition, until after a promotion. The grant must be checked when the answer arrives. In the
-// simulated day crash_cut one read missed an acknowledged commit because it was not.
+// simulation scenario crash_cut one read missed an acknowledged commit because it was not checked
+// then.
 func TestDelayedReadIsVerified(t *testing.T) {
 	f := newFixture(t)
 	permit, err := f.guard.Acquire(func() {})
@@ -111,13 +112,13 @@
 func TestVerificationBeginsAfterTheAnswer(t *testing.T) {
 	f := newUnconfirmedFixture(t)
 	g := f.relay.upstreams.group("g")
-	a, err := f.guard.Primary()
+	ref, err := f.guard.Primary()
 	must.NoError(t, err)
-	must.True(t, f.relay.verify(t.Context(), g, a, true))
+	must.True(t, f.relay.verify(t.Context(), g, ref, true))
 	must.True(t, g.recentlyVerified(f.relay.now()))
 	must.False(t, g.recentlyVerified(f.relay.now()+time.Minute))
 	must.NoError(t, f.group.Promote(t.Context(), "g", "m2", "other", 2))
-	must.False(t, f.relay.verify(t.Context(), g, a, false))
+	must.False(t, f.relay.verify(t.Context(), g, ref, false))
 }
 
 // A primary counts as overloaded without replicas when it is saturated and no replica has served a
