--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -47,23 +47,23 @@
 	var best *memberStatus
 	replicas := 0
 	for _, answer := range answers {
-		f := &answer
-		f.status.Primary = f.status.Primary && f.status.Term >= s.Term
-		if f.status.Primary && (f.status.Term > s.Term || f.member.ID == s.Old && !s.Planned && !f.member.Draining) {
-			if best == nil || !best.status.Primary || best.status.Term < f.status.Term {
-				best = f
+		candidate := &answer
+		candidate.status.Primary = candidate.status.Primary && candidate.status.Term >= s.Term
+		if candidate.status.Primary && (candidate.status.Term > s.Term || candidate.member.ID == s.Old && !s.Planned && !candidate.member.Draining) {
+			if best == nil || !best.status.Primary || best.status.Term < candidate.status.Term {
+				best = candidate
 			}
 			continue
 		}
-		if f.member.ID == s.Old && s.Planned {
+		if candidate.member.ID == s.Old && s.Planned {
 			continue
 		}
 		replicas++
-		if best != nil && best.status.Primary || f.member.Draining || s.Unreached && !s.knownToUnreachable(f.member) {
+		if best != nil && best.status.Primary || candidate.member.Draining || s.Unreached && !s.knownToUnreachable(candidate.member) {
 			continue
 		}
-		if best == nil || best.status.Received.Less(f.status.Received) {
-			best = f
+		if best == nil || best.status.Received.Less(candidate.status.Received) {
+			best = candidate
 		}
 	}
 	switch {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -28,10 +28,10 @@
 	arrived    time.Duration
 	deadline   time.Duration // for the complete answer
 	reads      bool
-	offered    bool // a member that could run it was asked
-	mayHaveRun bool // a member may have run it, but no answer could be passed on
-	atLimit    bool // the account has no token for sending it again
-	rounds     int
+	offered    bool   // a member that could run it was asked
+	mayHaveRun bool   // a member may have run it, but no answer could be passed on
+	atLimit    bool   // the account has no token for sending it again
+	rounds     int    // rounds in which a read has tried members
 	reason     string // of the last failed try, for the client and the log
 
 	verdict          admission.Verdict // on waiting for the member that was chosen last
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -18,7 +18,7 @@
 	// maxCarriersTried is how many carriers are asked to run a statement before it is refused.
 	maxCarriersTried = 3
 	// replyMargin is how much longer than the statement's own deadline the reply is awaited. It
-	// covers the network latency and a carrier that gives up at the last moment.
+	// covers the network latency and a carrier that refuses just before the deadline.
 	replyMargin = 60 * time.Millisecond
 )
 
--- a/internal/relay/queueing.go
+++ b/internal/relay/queueing.go
@@ -270,8 +270,8 @@
 	}
 }
 
-// refuse gives up the statement. It has not run, except for a read that failed or whose answer was
-// lost.
+// refuse returns the final answer to a statement that was not served: a refusal, or the last failure
+// of a read. The statement has not run, except for a read that failed or whose answer was lost.
 func (a *attempt) refuse() statement.Answer {
 	if !a.mayHaveRun {
 		a.session.relay.limiter.Return(a.account, a.token)
