--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -17,8 +17,8 @@
 	Replicas        int            // number of replicas of the group
 	SyncReplicas    int            // number of replicas that had received each acknowledged commit
 	Unreached       bool           // unreachable instances may still use the old primary, so only members that they know may be promoted
-	KnownBefore     time.Duration  // they know each member that has been known here since before this time
-	Seen            int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
+	KnownBefore     time.Duration  // unreachable instances know each member that has been known here since before this time
+	Seen            int64          // unreachable instances know each member whose entry has been unchanged since this store revision; 0: unknown
 	AllowShorterLog bool           // promote a member whose log does not reach Last, instead of waiting longer
 }
 
@@ -47,23 +47,23 @@
 	var best *memberStatus
 	replicas := 0
 	for _, answer := range answers {
-		f := &answer
-		f.status.Primary = f.status.Primary && f.status.Term >= s.Term
-		if f.status.Primary && (f.status.Term > s.Term || f.member.ID == s.Old && !s.Planned && !f.member.Draining) {
-			if best == nil || !best.status.Primary || best.status.Term < f.status.Term {
-				best = f
+		candidate := &answer
+		candidate.status.Primary = candidate.status.Primary && candidate.status.Term >= s.Term
+		if candidate.status.Primary && (candidate.status.Term > s.Term || candidate.member.ID == s.Old && !s.Planned && !candidate.member.Draining) {
+			if best == nil || !best.status.Primary || best.status.Term < candidate.status.Term {
+				best = candidate
 			}
 			continue
 		}
-		if f.member.ID == s.Old && s.Planned {
+		if candidate.member.ID == s.Old && s.Planned {
 			continue
 		}
 		replicas++
-		if best != nil && best.status.Primary || f.member.Draining || s.Unreached && !s.knownToUnreachable(f.member) {
+		if best != nil && best.status.Primary || candidate.member.Draining || s.Unreached && !s.knownToUnreachable(candidate.member) {
 			continue
 		}
-		if best == nil || best.status.Received.Less(f.status.Received) {
-			best = f
+		if best == nil || best.status.Received.Less(candidate.status.Received) {
+			best = candidate
 		}
 	}
 	switch {
