--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,28 +13,28 @@
 // predicting is the admission policy of this package, with a controller per priority.
 type predicting map[int]*Controller
 
-func (p predicting) level(v *attempt) *Controller {
-	if p[v.kind.priority] == nil {
-		p[v.kind.priority] = &Controller{}
+func (p predicting) controller(a *attempt) *Controller {
+	if p[a.kind.priority] == nil {
+		p[a.kind.priority] = &Controller{}
 	}
-	return p[v.kind.priority]
+	return p[a.kind.priority]
 }
 
-func (p predicting) decide(now time.Duration, v *attempt, b Backlog) (bool, time.Duration) {
-	r := Request{ID: v.id, TypicalDuration: v.kind.work, Objective: v.kind.objective, Deadline: v.kind.patience / 2}
-	verdict := p.level(v).Decide(now, r, b)
+func (p predicting) decide(now time.Duration, a *attempt, b Backlog) (bool, time.Duration) {
+	r := Request{ID: a.id, TypicalDuration: a.kind.work, Objective: a.kind.objective, Deadline: a.kind.patience / 2}
+	verdict := p.controller(a).Decide(now, r, b)
 	if verdict.Admit {
-		p.level(v).Enqueued(now)
+		p.controller(a).Enqueued(now)
 	}
 	return verdict.Admit, verdict.RetryAfter
 }
 
-func (p predicting) onGrant(now time.Duration, v *attempt, waited time.Duration) {
-	p.level(v).Dequeued(now, true)
-	p.level(v).ObserveWait(waited, v.predicted)
+func (p predicting) onGrant(now time.Duration, a *attempt, waited time.Duration) {
+	p.controller(a).Dequeued(now, true)
+	p.controller(a).ObserveWait(waited, a.predicted)
 }
 
-func (p predicting) maxQueueTime(v *attempt) time.Duration { return v.kind.patience }
+func (p predicting) maxQueueTime(a *attempt) time.Duration { return a.kind.patience }
 
 func TestDecisions(t *testing.T) {
 	urgent := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: 2 * time.Second}
@@ -74,10 +74,10 @@
 		for _, n := range counts {
 			for _, f := range factors {
 				r := Request{TypicalDuration: d, Objective: d, Deadline: d}
-				l := &Controller{lastProgress: d, queued: n}
-				l.Dequeued(d, true)
-				l.ObserveWait(d, -d)
-				v := l.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, MeanDuration: d, Slowdown: f})
+				ctrl := &Controller{lastProgress: d, queued: n}
+				ctrl.Dequeued(d, true)
+				ctrl.ObserveWait(d, -d)
+				v := ctrl.Decide(d, r, Backlog{Ahead: n, Work: d, Active: n, Slots: -n, MeanDuration: d, Slowdown: f})
 				must.Between(t, 0, v.Wait, maxWait)
 				must.Between(t, 0, v.RetryAfter, 2*maxWait)
 				must.Between(t, minRetryAfter, RetryAfter(r, d, d), 2*maxWait)
@@ -119,7 +119,7 @@
 			load{name: "burst", priority: 1, work: 30 * ms, objective: 400 * ms, patience: 4 * time.Second, every: 4 * ms, from: time.Second, to: time.Second + lasts},
 		)
 		must.Zero(t, m.earlyRetries)
-		must.Eq(t, m.tallies["edit"].callers, m.tallies["edit"].inTime)
+		must.Eq(t, m.tallies["edit"].clients, m.tallies["edit"].inTime)
 		for name, c := range m.tallies {
 			t.Logf("%s of %s: %+v", name, lasts, *c)
 			retried, retriesAdmitted = retried+c.retried, retriesAdmitted+c.retriesAdmitted
@@ -139,7 +139,7 @@
 	m := simulate(6, predicting{}, overloaded()...)
 	must.Zero(t, m.earlyRetries)
 	edits, reads := m.tallies["edit"], m.tallies["read"]
-	must.Eq(t, edits.callers, edits.inTime)
+	must.Eq(t, edits.clients, edits.inTime)
 	must.LessEq(t, (reads.inTime+reads.late)/20, reads.lateAdmitted)
 }
 
@@ -147,20 +147,20 @@
 // slots. No request of the priority is granted a slot, so the wait is at least the time since the
 // last grant.
 func TestWaitGrowsWithoutGrants(t *testing.T) {
-	var l Controller
+	var ctrl Controller
 	r := Request{ID: "x", TypicalDuration: 10 * ms, Objective: 200 * ms, Deadline: time.Second}
 	stuck := Backlog{Ahead: 1, Work: 10 * ms, Active: 6, Slots: 6, MeanDuration: 20 * ms, Slowdown: 1}
-	l.Enqueued(time.Second)
-	must.True(t, l.Decide(time.Second+100*ms, r, stuck).Admit)
-	must.False(t, l.Overloaded(time.Second+100*ms))
-	v := l.Decide(time.Second+300*ms, r, stuck)
+	ctrl.Enqueued(time.Second)
+	must.True(t, ctrl.Decide(time.Second+100*ms, r, stuck).Admit)
+	must.False(t, ctrl.Overloaded(time.Second+100*ms))
+	v := ctrl.Decide(time.Second+300*ms, r, stuck)
 	must.False(t, v.Admit)
 	must.Eq(t, 300*ms, v.Wait)
-	must.True(t, l.Overloaded(time.Second+300*ms+overloadGap))
-	must.False(t, l.Overloaded(time.Second+301*ms+overloadGap))
-	must.False(t, l.Decide(time.Second+300*ms, r, Backlog{Ahead: 1, Active: 6, Slots: 6}).Admit, must.Sprint("also rejected while durations are unknown"))
-	l.Dequeued(time.Second+300*ms, true)
-	must.True(t, l.Decide(time.Second+310*ms, r, stuck).Admit, must.Sprint("a request was granted a slot"))
+	must.True(t, ctrl.Overloaded(time.Second+300*ms+overloadGap))
+	must.False(t, ctrl.Overloaded(time.Second+301*ms+overloadGap))
+	must.False(t, ctrl.Decide(time.Second+300*ms, r, Backlog{Ahead: 1, Active: 6, Slots: 6}).Admit, must.Sprint("also rejected while durations are unknown"))
+	ctrl.Dequeued(time.Second+300*ms, true)
+	must.True(t, ctrl.Decide(time.Second+310*ms, r, stuck).Admit, must.Sprint("a request was granted a slot"))
 }
 
 // A group has no primary. The remaining time is predicted from the duration of earlier outages. An
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -207,7 +207,7 @@
 }
 
 // EncodeWaits encodes waits by priority for a reply: in microseconds, without trailing repetitions,
-// and nil when nobody waits.
+// and nil when no request waits.
 func EncodeWaits(waits []time.Duration) []uint32 {
 	for len(waits) > 1 && waits[len(waits)-1] == waits[len(waits)-2] {
 		waits = waits[:len(waits)-1]
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -15,38 +15,38 @@
 	three := []Carrier{{Name: "own"}, {Name: "alike"}, {Name: "far", Rank: 1}}
 	q := Query{Group: "g", Target: PrimaryOnly, Priority: 1, Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
 	for name, c := range map[string]struct {
-		tell  func(o *WaitForecast)
+		setup func(w *WaitForecast)
 		at    time.Duration
 		order []int
 		open  int
 	}{
 		"no forecast": {func(*WaitForecast) {}, 0, []int{0, 1, 2}, 3},
-		"the first carrier while its wait is not clearly longer": {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, minWaitAdvantage), nil) }, 0, []int{0, 1, 2}, 3},
-		"the shorter wait of two with equal rank":                {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
-		"no far carrier while a near one would admit": {func(o *WaitForecast) {
-			o.Update(0, "own", "g", us(0, 100*ms), nil)
-			o.Update(0, "alike", "g", us(0, 100*ms), nil)
+		"the first carrier while its wait is not clearly longer": {func(w *WaitForecast) { w.Update(0, "own", "g", us(0, minWaitAdvantage), nil) }, 0, []int{0, 1, 2}, 3},
+		"the shorter wait of two with equal rank":                {func(w *WaitForecast) { w.Update(0, "own", "g", us(0, 100*ms), nil) }, 0, []int{1, 0, 2}, 3},
+		"no far carrier while a near one would admit": {func(w *WaitForecast) {
+			w.Update(0, "own", "g", us(0, 100*ms), nil)
+			w.Update(0, "alike", "g", us(0, 100*ms), nil)
 		}, 0, []int{0, 1, 2}, 3},
-		"the far carrier when the near ones would reject": {func(o *WaitForecast) {
-			o.Update(0, "own", "g", us(300*ms), nil)
-			o.Update(0, "alike", "g", us(300*ms), nil)
+		"the far carrier when the near ones would reject": {func(w *WaitForecast) {
+			w.Update(0, "own", "g", us(300*ms), nil)
+			w.Update(0, "alike", "g", us(300*ms), nil)
 		}, 0, []int{2, 0, 1}, 1},
-		"the forecast queue has drained since": {func(o *WaitForecast) { o.Update(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
-		"wait of a lower priority":             {func(o *WaitForecast) { o.Update(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"wait of another request class":        {func(o *WaitForecast) { o.Update(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
-		"wait of another group":                {func(o *WaitForecast) { o.Update(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
-		"a newer forecast without wait": {func(o *WaitForecast) {
-			o.Update(0, "own", "g", us(time.Second), nil)
-			o.Update(1, "own", "g", nil, nil)
+		"the forecast queue has drained since": {func(w *WaitForecast) { w.Update(0, "own", "g", us(300*ms), nil) }, 300 * ms, []int{0, 1, 2}, 3},
+		"wait of a lower priority":             {func(w *WaitForecast) { w.Update(0, "own", "g", us(0, 0, time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"wait of another request class":        {func(w *WaitForecast) { w.Update(0, "own", "g", nil, us(time.Second)) }, 0, []int{0, 1, 2}, 3},
+		"wait of another group":                {func(w *WaitForecast) { w.Update(0, "own", "other", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"a newer forecast without wait": {func(w *WaitForecast) {
+			w.Update(0, "own", "g", us(time.Second), nil)
+			w.Update(1, "own", "g", nil, nil)
 		}, 1, []int{0, 1, 2}, 3},
-		"the carrier does not answer": {func(o *WaitForecast) { o.Update(0, "own", "g", us(time.Second), nil); o.Forget("own") }, 0, []int{0, 1, 2}, 3},
-		"implausible wait":            {func(o *WaitForecast) { o.Update(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
-		"too many priorities":         {func(o *WaitForecast) { o.Update(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
-		"the clock went backwards":    {func(o *WaitForecast) { o.Update(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
+		"the carrier does not answer": {func(w *WaitForecast) { w.Update(0, "own", "g", us(time.Second), nil); w.Forget("own") }, 0, []int{0, 1, 2}, 3},
+		"implausible wait":            {func(w *WaitForecast) { w.Update(0, "own", "g", []uint32{math.MaxUint32}, nil) }, 0, []int{0, 1, 2}, 3},
+		"too many priorities":         {func(w *WaitForecast) { w.Update(0, "own", "g", make([]uint32, maxPriorities+1), []uint32{1e6}) }, 0, []int{0, 1, 2}, 3},
+		"the clock went backwards":    {func(w *WaitForecast) { w.Update(time.Hour, "own", "g", us(time.Second), nil) }, 0, []int{0, 1, 2}, 3},
 	} {
-		var o WaitForecast
-		c.tell(&o)
-		choice := o.Choose(c.at, q, three)
+		var w WaitForecast
+		c.setup(&w)
+		choice := w.Choose(c.at, q, three)
 		for i, index := range c.order {
 			must.Eq(t, index, choice.At(i), must.Sprint(name))
 		}
@@ -59,17 +59,17 @@
 // All carriers of a group are overloaded. The ingress instance rejects requests until the shortest
 // queue has drained, and forwards one as a probe from time to time.
 func TestIngressRejectsWhenAllCarriersWould(t *testing.T) {
-	var o WaitForecast
+	var w WaitForecast
 	both := []Carrier{{Name: "a"}, {Name: "b"}}
 	q := Query{Group: "g", Request: Request{ID: "x", Objective: 200 * ms, Deadline: time.Second}}
-	o.Update(0, "a", "g", us(900*ms), nil)
-	o.Update(0, "b", "g", us(700*ms), nil)
-	passed := 0
+	w.Update(0, "a", "g", us(900*ms), nil)
+	w.Update(0, "b", "g", us(700*ms), nil)
+	probes := 0
 	for now := time.Duration(0); now < 500*ms; now += ms {
-		c := o.Choose(now, q, both)
+		c := w.Choose(now, q, both)
 		must.Zero(t, c.Open)
 		if c.Verdict.Admit {
-			passed++
+			probes++
 			continue
 		}
 		must.Eq(t, AllCarriersReject, c.Verdict.Reason)
@@ -77,9 +77,9 @@
 		must.Eq(t, now, c.Age)
 		must.Between(t, c.Verdict.Wait, c.Verdict.RetryAfter, 2*c.Verdict.Wait)
 	}
-	must.Eq(t, int(500*ms/probeInterval), passed)
-	must.True(t, o.Choose(500*ms, q, both).Verdict.Admit, must.Sprint("b's queue has drained"))
-	must.True(t, o.Choose(0, q, nil).Verdict.Admit, must.Sprint("no carriers"))
+	must.Eq(t, int(500*ms/probeInterval), probes)
+	must.True(t, w.Choose(500*ms, q, both).Verdict.Admit, must.Sprint("b's queue has drained"))
+	must.True(t, w.Choose(0, q, nil).Verdict.Admit, must.Sprint("no carriers"))
 }
 
 func TestWaitEncoding(t *testing.T) {
@@ -91,12 +91,12 @@
 
 // The memory is bounded for any number of carriers and groups.
 func TestForecastsAreBounded(t *testing.T) {
-	var o WaitForecast
+	var w WaitForecast
 	for n := range 2 * maxForecasts {
 		name := time.Duration(n).String()
-		o.Update(0, name, "g", []uint32{1e6}, nil)
-		o.Choose(0, Query{Group: name, Request: Request{}}, []Carrier{{Name: name}})
+		w.Update(0, name, "g", []uint32{1e6}, nil)
+		w.Choose(0, Query{Group: name, Request: Request{}}, []Carrier{{Name: name}})
 	}
-	must.LessEq(t, maxForecasts, len(o.forecasts))
-	must.LessEq(t, maxForecasts, len(o.lastProbes))
+	must.LessEq(t, maxForecasts, len(w.forecasts))
+	must.LessEq(t, maxForecasts, len(w.lastProbes))
 }
--- a/internal/admission/outage.go
+++ b/internal/admission/outage.go
@@ -25,15 +25,15 @@
 // Ended records the duration of an outage that has ended.
 func (o *Outages) Ended(lasted time.Duration, change bool) {
 	lasted = min(max(lasted, 0), maxWait)
-	usual := &o.lapseDuration
+	average := &o.lapseDuration
 	if change {
-		usual = &o.changeDuration
+		average = &o.changeDuration
 	}
-	if *usual == 0 {
-		*usual = lasted
+	if *average == 0 {
+		*average = lasted
 		return
 	}
-	*usual += (lasted - *usual) / outageWindow
+	*average += (lasted - *average) / outageWindow
 }
 
 // Lapse returns the usual duration of an outage without a known change of primary.
--- a/internal/admission/policies_test.go
+++ b/internal/admission/policies_test.go
@@ -13,7 +13,7 @@
 
 func (fixedTimeout) decide(time.Duration, *attempt, Backlog) (bool, time.Duration) { return true, 0 }
 func (fixedTimeout) onGrant(time.Duration, *attempt, time.Duration)                {}
-func (fixedTimeout) maxQueueTime(v *attempt) time.Duration                         { return v.kind.objective / 4 }
+func (fixedTimeout) maxQueueTime(a *attempt) time.Duration                         { return a.kind.objective / 4 }
 
 // standingQueue is a policy that rejects requests while all requests of a priority have waited
 // longer than a part of their objective over an interval, like CoDel but on arrival. It can be
@@ -25,45 +25,45 @@
 
 type standingState struct{ least, since, last time.Duration }
 
-func (s *standingQueue) level(v *attempt) *standingState {
-	if s.states[v.kind.priority] == nil {
-		s.states[v.kind.priority] = &standingState{}
+func (s *standingQueue) state(a *attempt) *standingState {
+	if s.states[a.kind.priority] == nil {
+		s.states[a.kind.priority] = &standingState{}
 	}
-	return s.states[v.kind.priority]
+	return s.states[a.kind.priority]
 }
 
-func (s *standingQueue) decide(now time.Duration, v *attempt, b Backlog) (bool, time.Duration) {
-	l := s.level(v)
-	if interval := v.kind.objective / 2; l.least > v.kind.objective/4 && now-l.last < interval && now-l.since >= interval && b.Ahead > 0 {
+func (s *standingQueue) decide(now time.Duration, a *attempt, b Backlog) (bool, time.Duration) {
+	st := s.state(a)
+	if interval := a.kind.objective / 2; st.least > a.kind.objective/4 && now-st.last < interval && now-st.since >= interval && b.Ahead > 0 {
 		wait, _ := b.PredictWait()
-		return false, RetryAfter(Request{ID: v.id}, wait, 0)
+		return false, RetryAfter(Request{ID: a.id}, wait, 0)
 	}
 	if s.also != nil {
-		return s.also.decide(now, v, b)
+		return s.also.decide(now, a, b)
 	}
 	return true, 0
 }
 
-func (s *standingQueue) onGrant(now time.Duration, v *attempt, waited time.Duration) {
-	l := s.level(v)
-	l.last = now
-	if waited < l.least || waited <= v.kind.objective/4 {
-		l.least, l.since = waited, now
+func (s *standingQueue) onGrant(now time.Duration, a *attempt, waited time.Duration) {
+	st := s.state(a)
+	st.last = now
+	if waited < st.least || waited <= a.kind.objective/4 {
+		st.least, st.since = waited, now
 	}
-	if l.least <= v.kind.objective/4 && waited > v.kind.objective/4 {
-		l.least = waited
+	if st.least <= a.kind.objective/4 && waited > a.kind.objective/4 {
+		st.least = waited
 	}
 	if s.also != nil {
-		s.also.onGrant(now, v, waited)
+		s.also.onGrant(now, a, waited)
 	}
 }
 
-func (s *standingQueue) maxQueueTime(v *attempt) time.Duration { return v.kind.patience }
+func (s *standingQueue) maxQueueTime(a *attempt) time.Duration { return a.kind.patience }
 
-// worth scores the outcome for the clients of a kind: 1 for an answer in time, less for a late one.
-func (t *tally) worth() float64 {
+// score rates the outcome for the clients of a kind: 1 for an answer in time, less for a late one.
+func (t *tally) score() float64 {
 	const late = 0.3
-	return (float64(t.inTime) + late*float64(t.late)) / float64(t.callers)
+	return (float64(t.inTime) + late*float64(t.late)) / float64(t.clients)
 }
 
 // Compares admission policies for a primary with twice the load that it can run. The policy of this
@@ -73,7 +73,7 @@
 	loads := overloaded()
 	before := simulate(6, fixedTimeout{}, loads...)
 	results := map[string]*member{
-		"fixed hold":             before,
+		"fixed timeout":          before,
 		"predicted wait":         simulate(6, predicting{}, loads...),
 		"standing queue":         simulate(6, &standingQueue{states: make(map[int]*standingState)}, loads...),
 		"predicted and standing": simulate(6, &standingQueue{also: predicting{}, states: make(map[int]*standingState)}, loads...),
@@ -81,13 +81,13 @@
 	for name, m := range results {
 		for _, l := range loads {
 			c := m.tallies[l.name]
-			t.Logf("%-24s %-7s worth %.3f of %d: in time %d, late %d, given up %d, admitted and late %d", name, l.name, c.worth(), c.callers, c.inTime, c.late, c.gaveUp, c.lateAdmitted)
+			t.Logf("%-24s %-7s score %.3f of %d: in time %d, late %d, given up %d, admitted and late %d", name, l.name, c.score(), c.clients, c.inTime, c.late, c.gaveUp, c.lateAdmitted)
 		}
 	}
 	for _, l := range loads {
 		chosen := results["predicted wait"].tallies[l.name]
 		must.Zero(t, chosen.gaveUp)
-		must.GreaterEq(t, before.tallies[l.name].worth(), chosen.worth())
+		must.GreaterEq(t, before.tallies[l.name].score(), chosen.score())
 	}
 }
 
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -32,7 +32,7 @@
 
 // tally counts the outcomes of the requests of one kind.
 type tally struct {
-	callers, inTime, late, lost int
+	clients, inTime, late, lost int
 	retried, retriesAdmitted    int
 	lateAdmitted                int // admitted, but answered after the objective as counted from that attempt
 	gaveUp                      int // queued, then given up
@@ -52,27 +52,27 @@
 
 // policy is an admission policy: it decides on an attempt, given a backlog, and observes the waits.
 type policy interface {
-	decide(now time.Duration, v *attempt, b Backlog) (admit bool, retryAfter time.Duration)
-	onGrant(now time.Duration, v *attempt, waited time.Duration)
-	maxQueueTime(v *attempt) time.Duration // maximum time in the queue
+	decide(now time.Duration, a *attempt, b Backlog) (admit bool, retryAfter time.Duration)
+	onGrant(now time.Duration, a *attempt, waited time.Duration)
+	maxQueueTime(a *attempt) time.Duration // maximum time in the queue
 }
 
 type eventHeap []*attempt
 
-func (v eventHeap) Len() int { return len(v) }
-func (v eventHeap) Less(i, j int) bool {
-	return v[i].at < v[j].at || v[i].at == v[j].at && v[i].seq < v[j].seq
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (v eventHeap) Swap(i, j int) { v[i], v[j] = v[j], v[i] }
-func (v *eventHeap) Push(x any)   { *v = append(*v, x.(*attempt)) }
-func (v *eventHeap) Pop() any {
-	old := *v
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(*attempt)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*v = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// fixedComeBack is the retry delay of a client whose request was queued and given up.
+// fixedRetryAfter is the retry delay of a client whose request was queued and given up.
 const fixedRetryAfter = 50 * time.Millisecond
 
 const maxAttempts = 3 // of a client in total
@@ -85,27 +85,27 @@
 		m.tallies[l.name] = &tally{}
 		for at, n := l.from, 0; at < l.to; at, n = at+l.every, n+1 {
 			heap.Push(&m.events, &attempt{at: at, kind: l, id: fmt.Sprint(l.name, n), seq: len(m.events), first: at})
-			m.tallies[l.name].callers++
+			m.tallies[l.name].clients++
 		}
 	}
 	for len(m.events) > 0 {
-		v := heap.Pop(&m.events).(*attempt)
-		m.now = v.at
-		if i := slices.Index(m.running, v); i >= 0 {
+		a := heap.Pop(&m.events).(*attempt)
+		m.now = a.at
+		if i := slices.Index(m.running, a); i >= 0 {
 			m.running = slices.Delete(m.running, i, i+1)
-			m.answered(v)
+			m.answered(a)
 		} else {
-			m.arrive(v)
+			m.arrive(a)
 		}
 		m.grant()
 	}
 	return m
 }
 
-func (m *member) backlog(v *attempt) Backlog {
-	b := Backlog{Active: len(m.running), Slots: m.slots, Slowdown: 1, MeanDuration: v.kind.work}
+func (m *member) backlog(a *attempt) Backlog {
+	b := Backlog{Active: len(m.running), Slots: m.slots, Slowdown: 1, MeanDuration: a.kind.work}
 	for _, w := range m.queue {
-		if w.kind.priority <= v.kind.priority {
+		if w.kind.priority <= a.kind.priority {
 			b.Ahead++
 			b.Work += w.kind.work
 		}
@@ -113,73 +113,73 @@
 	return b
 }
 
-func (m *member) arrive(v *attempt) {
-	t, b := m.tallies[v.kind.name], m.backlog(v)
-	v.predicted, _ = b.PredictWait()
-	if v.retries > 0 {
+func (m *member) arrive(a *attempt) {
+	t, b := m.tallies[a.kind.name], m.backlog(a)
+	a.predicted, _ = b.PredictWait()
+	if a.retries > 0 {
 		t.retried++
 	}
-	admit, retryAfter := m.rules.decide(m.now, v, b)
+	admit, retryAfter := m.rules.decide(m.now, a, b)
 	if admit {
-		if v.retries > 0 {
+		if a.retries > 0 {
 			t.retriesAdmitted++
 		}
-		m.queue = append(m.queue, v)
+		m.queue = append(m.queue, a)
 		return
 	}
 	if retryAfter < b.Work/time.Duration(m.slots) {
 		m.earlyRetries++
 	}
-	m.reject(v, retryAfter)
+	m.reject(a, retryAfter)
 }
 
 // reject rejects a request. The client retries after the delay if that is within its patience.
-func (m *member) reject(v *attempt, retryAfter time.Duration) {
-	t, next := m.tallies[v.kind.name], m.now+retryAfter
-	if v.retries+1 >= maxAttempts || next >= v.first+v.kind.patience {
+func (m *member) reject(a *attempt, retryAfter time.Duration) {
+	t, next := m.tallies[a.kind.name], m.now+retryAfter
+	if a.retries+1 >= maxAttempts || next >= a.first+a.kind.patience {
 		t.lost++
 		return
 	}
-	again := *v
-	again.at, again.retries, again.id = next, v.retries+1, fmt.Sprint(v.id, "/", v.retries+1)
+	again := *a
+	again.at, again.retries, again.id = next, a.retries+1, fmt.Sprint(a.id, "/", a.retries+1)
 	heap.Push(&m.events, &again)
 }
 
 func (m *member) grant() {
-	m.queue = slices.DeleteFunc(m.queue, func(v *attempt) bool {
-		over := m.now-v.at > m.rules.maxQueueTime(v)
+	m.queue = slices.DeleteFunc(m.queue, func(a *attempt) bool {
+		over := m.now-a.at > m.rules.maxQueueTime(a)
 		if over {
-			m.tallies[v.kind.name].gaveUp++
-			m.reject(v, fixedRetryAfter)
+			m.tallies[a.kind.name].gaveUp++
+			m.reject(a, fixedRetryAfter)
 		}
 		return over
 	})
 	for len(m.running) < m.slots && len(m.queue) > 0 {
 		best := 0
-		for i, v := range m.queue {
-			if v.kind.priority < m.queue[best].kind.priority {
+		for i, a := range m.queue {
+			if a.kind.priority < m.queue[best].kind.priority {
 				best = i
 			}
 		}
-		v := m.queue[best]
+		a := m.queue[best]
 		m.queue = slices.Delete(m.queue, best, best+1)
-		m.rules.onGrant(m.now, v, m.now-v.at)
-		v.granted = v.at
-		v.at = m.now + v.kind.work
-		m.running = append(m.running, v)
-		heap.Push(&m.events, v)
+		m.rules.onGrant(m.now, a, m.now-a.at)
+		a.granted = a.at
+		a.at = m.now + a.kind.work
+		m.running = append(m.running, a)
+		heap.Push(&m.events, a)
 	}
 }
 
-func (m *member) answered(v *attempt) {
-	t := m.tallies[v.kind.name]
-	if m.now-v.granted > v.kind.objective {
+func (m *member) answered(a *attempt) {
+	t := m.tallies[a.kind.name]
+	if m.now-a.granted > a.kind.objective {
 		t.lateAdmitted++
 	}
-	switch took := m.now - v.first; {
-	case took <= v.kind.objective:
+	switch took := m.now - a.first; {
+	case took <= a.kind.objective:
 		t.inTime++
-	case took <= v.kind.patience:
+	case took <= a.kind.patience:
 		t.late++
 	default:
 		t.lost++
--- a/internal/feed/changes_test.go
+++ b/internal/feed/changes_test.go
@@ -33,7 +33,7 @@
 		revision := int64(0)
 		pick := func(label string) *Mirror { return mirrors[rapid.IntRange(0, 2).Draw(t, label)] }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
 				revision++
@@ -49,9 +49,9 @@
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
-				pick("who").Apply(snapshot)
+				pick("mirror").Apply(snapshot)
 			case 3: // a mirror watches the store
-				m := pick("who")
+				m := pick("mirror")
 				if m.Revision() == 0 {
 					continue
 				}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -34,7 +34,7 @@
 		mirrors := []*Mirror{NewMirror(), NewMirror(), NewMirror()}
 		revision := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
 				revision++
@@ -50,9 +50,9 @@
 				for key, at := range store {
 					snapshot.Events = append(snapshot.Events, put(key, at))
 				}
-				mirrors[rapid.IntRange(0, 2).Draw(t, "who")].Apply(snapshot)
+				mirrors[rapid.IntRange(0, 2).Draw(t, "mirror")].Apply(snapshot)
 			case 3: // a mirror watches the store
-				m := mirrors[rapid.IntRange(0, 2).Draw(t, "who")]
+				m := mirrors[rapid.IntRange(0, 2).Draw(t, "mirror")]
 				if m.Revision() == 0 {
 					continue
 				}
@@ -125,8 +125,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		span := rapid.Int64Range(0, int64(10*time.Second))
 		offset := time.Duration(span.Draw(t, "offset of the sender's clock"))
-		sent := time.Duration(span.Draw(t, "asked"))
-		arrived := sent + time.Duration(span.Draw(t, "way"))
+		sent := time.Duration(span.Draw(t, "sent"))
+		arrived := sent + time.Duration(span.Draw(t, "network latency"))
 		stored := time.Duration(span.Draw(t, "store call"))
 		mirror := NewMirror()
 		mirror.Apply(Update{Snapshot: true, Revision: 1, ConfirmedAt: stored + offset})
@@ -185,11 +185,11 @@
 }
 
 func instances(dataCentre string, n int) []ownership.Instance {
-	var list []ownership.Instance
+	var all []ownership.Instance
 	for k := range n {
-		list = append(list, ownership.Instance{Name: fmt.Sprintf("%s-%d", dataCentre, k), DataCentre: dataCentre})
+		all = append(all, ownership.Instance{Name: fmt.Sprintf("%s-%d", dataCentre, k), DataCentre: dataCentre})
 	}
-	return list
+	return all
 }
 
 // twoWatchers is the least number of instances in a data centre with two watchers.
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -69,7 +69,8 @@
 	}
 	raw, err := proto.Marshal(&feedpb.Items{Items: encodeItems(update.Events)})
 	if err != nil {
-		return nil // for example a key that is not valid UTF-8; sending the items uncompressed then reports the error
+		// For example a key that is not valid UTF-8. Sending the items uncompressed reports the error.
+		return nil
 	}
 	a := packedAnswer{Update: update, after: after, packed: deflate(raw), createdAt: now}
 	a.Events = nil
--- a/internal/feed/pack_test.go
+++ b/internal/feed/pack_test.go
@@ -21,7 +21,7 @@
 	return kv.Event{Item: kv.Item{Key: "config", Value: value, Revision: revision}}
 }
 
-func ask(t *testing.T, s *Server, req *feedpb.FollowRequest) *feedpb.FollowReply {
+func poll(t *testing.T, s *Server, req *feedpb.FollowRequest) *feedpb.FollowReply {
 	t.Helper()
 	reply, err := s.Follow(context.Background(), req)
 	must.NoError(t, err)
@@ -36,7 +36,7 @@
 	s := NewServer(mirror, func() time.Duration { return 0 })
 	var first []byte
 	for range 33 {
-		reply := ask(t, s, &feedpb.FollowRequest{Unpacks: true})
+		reply := poll(t, s, &feedpb.FollowRequest{Unpacks: true})
 		must.SliceEmpty(t, reply.Items)
 		must.Less(t, len(large(7).Value)/5, len(reply.Packed))
 		if first == nil {
@@ -51,7 +51,7 @@
 		must.True(t, bytes.Equal(large(7).Value, u.Events[1].Value))
 	}
 	mirror.Apply(Update{Revision: 8, Events: []kv.Event{large(8)}})
-	u, err := decode(ask(t, s, &feedpb.FollowRequest{After: 7, Unpacks: true}), 0)
+	u, err := decode(poll(t, s, &feedpb.FollowRequest{After: 7, Unpacks: true}), 0)
 	must.NoError(t, err)
 	must.Len(t, 1, u.Events)
 	must.True(t, bytes.Equal(large(8).Value, u.Events[0].Value))
@@ -64,18 +64,18 @@
 	mirror, now := NewMirror(), time.Second
 	s := NewServer(mirror, func() time.Duration { return now })
 	mirror.Apply(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}, ConfirmedAt: now})
-	ask(t, s, &feedpb.FollowRequest{Unpacks: true})
+	poll(t, s, &feedpb.FollowRequest{Unpacks: true})
 	now += snapshotTTL / 2
 	mirror.Apply(Update{Revision: 9, Events: []kv.Event{put("b", 9)}, ConfirmedAt: now})
-	u, err := decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
+	u, err := decode(poll(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
 	must.NoError(t, err)
 	must.Eq(t, 7, u.Revision)
 	must.Eq(t, time.Second, u.ConfirmedAt)
-	u, err = decode(ask(t, s, &feedpb.FollowRequest{After: u.Revision, Unpacks: true}), now)
+	u, err = decode(poll(t, s, &feedpb.FollowRequest{After: u.Revision, Unpacks: true}), now)
 	must.NoError(t, err)
 	must.Eq(t, []kv.Event{put("b", 9)}, u.Events)
 	now += snapshotTTL
-	u, err = decode(ask(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
+	u, err = decode(poll(t, s, &feedpb.FollowRequest{Unpacks: true}), now)
 	must.NoError(t, err)
 	must.Eq(t, 9, u.Revision)
 }
@@ -92,7 +92,7 @@
 	mirror.Apply(Update{Snapshot: true, Revision: 200, Events: events})
 	s := NewServer(mirror, func() time.Duration { return 0 })
 	for n := range int64(20) {
-		u, err := decode(ask(t, s, &feedpb.FollowRequest{After: 180 + n, Checks: true, Unpacks: true}), 0)
+		u, err := decode(poll(t, s, &feedpb.FollowRequest{After: 180 + n, Checks: true, Unpacks: true}), 0)
 		must.NoError(t, err)
 		must.Len(t, int(20-n), u.Events)
 	}
@@ -103,7 +103,7 @@
 func TestOlderVersionsGetUncompressedAnswers(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(Update{Snapshot: true, Revision: 7, Events: []kv.Event{large(7)}})
-	reply := ask(t, NewServer(mirror, func() time.Duration { return 0 }), &feedpb.FollowRequest{Inflates: true})
+	reply := poll(t, NewServer(mirror, func() time.Duration { return 0 }), &feedpb.FollowRequest{Inflates: true})
 	must.True(t, bytes.Equal(large(7).Value, reply.Items[0].Value))
 	must.SliceEmpty(t, reply.Packed)
 }
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -330,10 +330,10 @@
 // environment implements lead.Environment for the controller.
 type environment struct{ i *Instance }
 
-func (s environment) Topology() *topology.Snapshot { return s.i.topology.Load() }
-func (s environment) View() *lead.View             { return s.i.view.Load() }
-func (s environment) PrimaryGuard(group string) *lead.PrimaryGuard {
-	return s.i.relay.PrimaryGuard(group)
+func (env environment) Topology() *topology.Snapshot { return env.i.topology.Load() }
+func (env environment) View() *lead.View             { return env.i.view.Load() }
+func (env environment) PrimaryGuard(group string) *lead.PrimaryGuard {
+	return env.i.relay.PrimaryGuard(group)
 }
 
 // leadDelayPerGroup is how long after its registration an instance leaves groups without a leader
@@ -347,52 +347,52 @@
 	return registeredFor >= time.Duration(groups)*leadDelayPerGroup
 }
 
-func (s environment) Lease() kv.LeaseID {
-	registeredFor := s.i.now() - time.Duration(s.i.registeredAt.Load())
-	if !mayLead(registeredFor, len(s.i.topology.Load().Groups)) {
+func (env environment) Lease() kv.LeaseID {
+	registeredFor := env.i.now() - time.Duration(env.i.registeredAt.Load())
+	if !mayLead(registeredFor, len(env.i.topology.Load().Groups)) {
 		return 0
 	}
-	if !s.i.view.Load().IsAlive(s.i.self.Name, s.i.self.Incarnation) {
+	if !env.i.view.Load().IsAlive(env.i.self.Name, env.i.self.Incarnation) {
 		return 0
 	}
-	return kv.LeaseID(s.i.lease.Load())
+	return kv.LeaseID(env.i.lease.Load())
 }
 
-func (s environment) SinceLastAnswer(id string) (time.Duration, bool) {
-	return s.i.upstreams.SinceLastAnswer(id)
+func (env environment) SinceLastAnswer(id string) (time.Duration, bool) {
+	return env.i.upstreams.SinceLastAnswer(id)
 }
-func (s environment) HasUnansweredAttempt(id string) bool {
-	return s.i.upstreams.HasUnansweredAttempt(id)
+func (env environment) HasUnansweredAttempt(id string) bool {
+	return env.i.upstreams.HasUnansweredAttempt(id)
 }
-func (s environment) Serves(group string) bool { return s.i.relay.Serves(group) }
-func (s environment) ServedGroups() []string   { return s.i.relay.ServedGroups() }
+func (env environment) Serves(group string) bool { return env.i.relay.Serves(group) }
+func (env environment) ServedGroups() []string   { return env.i.relay.ServedGroups() }
 
-func (s environment) Rank(group string, limit int) int {
-	carriers := s.i.relay.CarriersOf(group)
-	if rank, ok := carriers.Rank(s.i.self.Name); ok {
+func (env environment) Rank(group string, limit int) int {
+	carriers := env.i.relay.CarriersOf(group)
+	if rank, ok := carriers.Rank(env.i.self.Name); ok {
 		return min(rank, limit)
 	}
 	carrierCount := len(carriers.Names)
 	if carrierCount >= limit {
 		return limit
 	}
-	return carrierCount + s.i.view.Load().RankUpTo(group, s.i.self.Name, limit-carrierCount)
+	return carrierCount + env.i.view.Load().RankUpTo(group, env.i.self.Name, limit-carrierCount)
 }
 
-func (s environment) InstancesServing(group string) []lead.Instance {
-	carriers := s.i.relay.CarriersOf(group)
+func (env environment) InstancesServing(group string) []lead.Instance {
+	carriers := env.i.relay.CarriersOf(group)
 	if carriers.AllInstances || len(carriers.Others) == 0 {
-		return s.i.view.Load().Registered(s.i.now())
+		return env.i.view.Load().Registered(env.i.now())
 	}
 	return carriers.Others
 }
 
-func (s environment) OverloadedWithoutReplicas(group, primary string) bool {
-	return s.i.upstreams.OverloadedWithoutReplicas(group, primary)
+func (env environment) OverloadedWithoutReplicas(group, primary string) bool {
+	return env.i.upstreams.OverloadedWithoutReplicas(group, primary)
 }
 
-func (s environment) ReplicaLag(name string, position group.Position) time.Duration {
-	return s.i.upstreams.ReplicaLag(name, position)
+func (env environment) ReplicaLag(name string, position group.Position) time.Duration {
+	return env.i.upstreams.ReplicaLag(name, position)
 }
 
-func (s environment) RecordAnswer(id string) { s.i.upstreams.RecordAnswer(id) }
+func (env environment) RecordAnswer(id string) { env.i.upstreams.RecordAnswer(id) }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -270,9 +270,9 @@
 // again, within the bound on unresponsive stores. Longer watches broke the bound on how soon a
 // configuration must be in force.
 func TestWatchesEndInTime(t *testing.T) {
-	for _, silence := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
-		must.Less(t, silence, watchWait(silence)+watchSlack)
-		must.Positive(t, watchWait(silence))
+	for _, timeout := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
+		must.Less(t, timeout, watchWait(timeout)+watchSlack)
+		must.Positive(t, watchWait(timeout))
 	}
 }
 
@@ -311,9 +311,9 @@
 // A statement that arrives just before its session is closed by a planned stop is answered.
 func TestStatementDuringPlannedStopIsAnswered(t *testing.T) {
 	f := newFleet(t, 2)
-	callers := make([]*testClient, 20)
-	for n := range callers {
-		callers[n] = f.startSession(0, "strict")
+	clients := make([]*testClient, 20)
+	for n := range clients {
+		clients[n] = f.startSession(0, "strict")
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -321,8 +321,8 @@
 		close(stopped)
 	}()
 	var wg sync.WaitGroup
-	cut := make(chan string, len(callers))
-	for _, c := range callers {
+	cut := make(chan string, len(clients))
+	for _, c := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -476,7 +476,7 @@
 	}
 }
 
-// Not every instance of a data centre watches the store.
+// In a small data centre a single instance watches the store, and the others poll it.
 func TestFewInstancesWatchTheStore(t *testing.T) {
 	f := newFleet(t, 6)
 	config := testConfig()
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -50,8 +50,8 @@
 	// within which a configuration must be in force.
 	pollWait = 600 * time.Millisecond
 	// pollPause is the pause of an instance of a large fleet after a poll returned changes, so that
-	// the next answer holds more: the cost of applying an answer includes a pass over all
-	// instances.
+	// the next answer holds more: the cost of applying an answer includes an iteration over
+	// all instances.
 	pollPause = 200 * time.Millisecond
 	// peersTTL is for how long an instance of a large fleet keeps the list of instances that it
 	// polls, since each new list has to be ranked in full.
@@ -255,9 +255,9 @@
 	return snapshot, nil
 }
 
-// watchWait returns how long the store may hold a watch open if it must be noticed within a time
-// that there are no updates. When the store compacts its history, a waiting watch may be told
-// neither of changes nor of the compaction, so each watch must end in time.
+// watchWait returns how long the store may hold a watch open so that a lack of updates is noticed
+// within limit. When the store compacts its history, a waiting watch may return neither changes nor
+// the compaction error, so each watch must end in time.
 func watchWait(limit time.Duration) time.Duration {
 	return min(max(minWatchWait, limit-watchSlack-watchMargin), lead.ConfirmInterval)
 }
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -148,7 +148,7 @@
 		if inst.ctx.Err() != nil {
 			continue
 		}
-		if a, err := inst.relay.PrimaryGuard(testGroup).Primary(); err != nil || a.Primary != id {
+		if primary, err := inst.relay.PrimaryGuard(testGroup).Primary(); err != nil || primary.Primary != id {
 			return false
 		}
 	}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -207,7 +207,8 @@
 		Now: i.now, Spawn: i.spawn, Log: i.part("limits"), Metrics: i.metricsSet,
 	})
 	i.relay = relay.New(relay.Config{
-		Started: i.started, Self: i.self, Localities: settings.Localities, Topology: i.topology.Load, TopologyIsCurrent: i.isCurrent, StoredRecord: i.storedRecord, Limiter: i.limiter,
+		Started: i.started, Self: i.self, Localities: settings.Localities, Topology: i.topology.Load,
+		TopologyIsCurrent: i.isCurrent, StoredRecord: i.storedRecord, Limiter: i.limiter,
 		Upstreams: i.upstreams, Conns: i.conns, Log: i.part("relay"), Metrics: i.metricsSet,
 	})
 	if i.clients, err = relay.NewServer(i.relay, platform.Client, settings.MaxClients); err != nil {
@@ -379,7 +380,7 @@
 func (i *Instance) close() {
 	i.cancel()
 	for _, server := range i.servers {
-		_ = server.Close() // no request on it matters any more
+		_ = server.Close() // probes and metrics requests in flight may be cut off
 	}
 	i.peers.Stop()
 	i.clients.CloseListener()
@@ -403,10 +404,10 @@
 	metrics.WriteGaugeUint64(w, "stackspindle_ready", boolMetric(i.Ready()))
 	i.relay.ForEachPrimaryGuard(func(group string, g *lead.PrimaryGuard) {
 		labels := `{group="` + group + `"}`
-		authority, err := g.Primary()
+		primary, err := g.Primary()
 		leader, _ := i.view.Load().Leader(group)
 		metrics.WriteGaugeUint64(w, "stackspindle_group_has_primary"+labels, boolMetric(err == nil))
-		metrics.WriteGaugeUint64(w, "stackspindle_group_term"+labels, authority.Term)
+		metrics.WriteGaugeUint64(w, "stackspindle_group_term"+labels, primary.Term)
 		metrics.WriteGaugeUint64(w, "stackspindle_group_led_here"+labels, boolMetric(leader.Incarnation == i.self.Incarnation))
 	})
 	metrics.WriteProcessMetrics(w)
--- a/internal/fleet/limit_eligibility.go
+++ b/internal/fleet/limit_eligibility.go
@@ -10,8 +10,8 @@
 )
 
 // firstStartDelay is how long after its registration an instance becomes eligible for limit shares
-// when all instances start for the first time. Nobody has held shares before; within this time all
-// have registered and know each other.
+// when all instances start for the first time. No instance has held shares before; within this
+// time all have registered and know each other.
 const firstStartDelay = 3 * time.Second
 
 // limitEligibility is the state, in this instance's registration, of whether it may hold shares of
@@ -24,9 +24,9 @@
 
 // prepare decides whether the registration that is about to be written says that the instance is
 // eligible, and returns from when on the instance may hold shares. An instance whose stored entry
-// says so remains eligible. At the first start of all instances each one is, since nobody has held
-// shares. Any other instance joins while others hold the shares, and has to wait until they know of
-// it.
+// says so remains eligible. At the first start of all instances each one is eligible, since no
+// instance has held shares. Any other instance joins while others hold the shares, and has to wait
+// until its registration has reached them.
 func (e *limitEligibility) prepare(now time.Duration, view *lead.View, name string, firstStart bool) time.Duration {
 	stored, revision := view.Instance(name)
 	isFirstStart := firstStart && !e.registered && now < quota.MaxSnapshotAge
--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -156,9 +156,9 @@
 }
 
 // Event implements lead.Environment. It counts the event, adds it to the timeline and logs it.
-func (s environment) Event(kind, group, member string, term uint64, text string) {
-	s.i.metricsSet.GetOrCreateCounter(`stackspindle_events_total{kind="` + kind + `"}`).Inc()
-	e := s.i.events.Add(timeline.Event{Kind: kind, Group: group, Member: member, Term: term, Text: text})
-	s.i.part("timeline").WithField("kind", e.Kind).WithField("group", e.Group).WithField("member", e.Member).
+func (env environment) Event(kind, group, member string, term uint64, text string) {
+	env.i.metricsSet.GetOrCreateCounter(`stackspindle_events_total{kind="` + kind + `"}`).Inc()
+	e := env.i.events.Add(timeline.Event{Kind: kind, Group: group, Member: member, Term: term, Text: text})
+	env.i.part("timeline").WithField("kind", e.Kind).WithField("group", e.Group).WithField("member", e.Member).
 		WithField("term", e.Term).Info("timeline: " + e.Text)
 }
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -56,8 +56,8 @@
 func (m Map) Region(dataCentre string) string { return m.regions[dataCentre] }
 
 // Distance returns the distance class of two data centres. If there are several regions, a data
-// centre that is not in the map counts as a region of its own, so that it is used only when
-// no data centre known to be nearer is left.
+// centre that is not in the map counts as a region of its own, so that it is used only when no data
+// centre known to be nearer is left.
 func (m Map) Distance(a, b string) Distance {
 	switch {
 	case a == b:
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -10,7 +10,7 @@
 	two := New(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	one := New(map[string]string{"a1": "a", "a2": "a"})
 	for name, c := range map[string]struct {
-		places   Map
+		regions  Map
 		from, to string
 		want     Distance
 	}{
@@ -26,8 +26,8 @@
 		"empty map, same data centre":       {Map{}, "a1", "a1", SameDataCentre},
 	} {
 		t.Run(name, func(t *testing.T) {
-			must.Eq(t, c.want, c.places.Distance(c.from, c.to))
-			must.Eq(t, c.want, c.places.Distance(c.to, c.from))
+			must.Eq(t, c.want, c.regions.Distance(c.from, c.to))
+			must.Eq(t, c.want, c.regions.Distance(c.to, c.from))
 		})
 	}
 	must.True(t, two.MultiRegion())
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -22,8 +22,8 @@
 // member has at least the minimum, and a member that fails more never has a greater share.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		failing := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 6).Draw(t, "failing")
-		shares := ReadShares(failing)
+		failureRates := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 6).Draw(t, "failure rates")
+		shares := ReadShares(failureRates)
 		less := 0
 		for n, share := range shares {
 			must.True(t, share >= minShare && share <= 1, must.Sprint(share))
@@ -31,10 +31,10 @@
 				less++
 			}
 			for m := range shares {
-				must.False(t, failing[n] > failing[m] && share > shares[m])
+				must.False(t, failureRates[n] > failureRates[m] && share > shares[m])
 			}
 		}
-		must.LessEq(t, len(failing)/2, less)
+		must.LessEq(t, len(failureRates)/2, less)
 	})
 	must.SliceEmpty(t, ReadShares(nil))
 }
@@ -46,11 +46,11 @@
 	must.Eq(t, []float64{1, 1}, ReadShares([]float64{1, 1}))
 }
 
-func TestTurnsMatchShare(t *testing.T) {
-	var turns Sampler
+func TestSamplerMatchesShare(t *testing.T) {
+	var sampler Sampler
 	taken := 0
 	for range 1000 {
-		if turns.Next(0.3) {
+		if sampler.Next(0.3) {
 			taken++
 		}
 	}
@@ -63,13 +63,13 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	const choices, recoversAt = 3000, 2000
 	var members [3]FailureRate
-	var turns [3]Sampler
+	var samplers [3]Sampler
 	sent := make(map[bool]int) // requests to the failing member, by whether it has recovered
 	recovered := math.MaxInt
 	for n := range choices {
 		shares := ReadShares([]float64{members[0].Value(), members[1].Value(), members[2].Value()})
 		for m := range members {
-			if !turns[m].Next(shares[m]) {
+			if !samplers[m].Next(shares[m]) {
 				continue
 			}
 			if m == 0 {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -64,15 +64,15 @@
 	limit := Limit(len(groups), len(instances))
 	load := map[string]int{}
 	near := 0
-	place := map[string]string{}
+	dataCentreOf := map[string]string{}
 	for _, i := range instances {
-		place[i.Name] = i.DataCentre
+		dataCentreOf[i.Name] = i.DataCentre
 	}
 	assigned := Assign(groups, instances, limit)
 	for _, g := range groups {
 		first := assigned[g.Name][0]
 		load[first]++
-		if place[first] == g.DataCentre {
+		if dataCentreOf[first] == g.DataCentre {
 			near++
 		}
 	}
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -63,13 +63,13 @@
 	return WeightedScore{weighted: -w.Of(i) / math.Log(fraction(score)), score: score}
 }
 
-// Threshold returns a lower bound for the hash scores with which an instance can rank before d.
+// Threshold returns a lower bound for the hash scores with which an instance can rank before bound.
 // The caller need not compute the weighted score for a lower hash score.
-func (w Weights) Threshold(d WeightedScore, i Instance) uint64 {
+func (w Weights) Threshold(bound WeightedScore, i Instance) uint64 {
 	if w.equal {
-		return d.score
+		return bound.score
 	}
-	least := math.Exp(-w.Of(i)/d.weighted) * thresholdSlack
+	least := math.Exp(-w.Of(i)/bound.weighted) * thresholdSlack
 	return uint64(least*(1<<fractionBits)) << (64 - fractionBits)
 }
 
@@ -84,7 +84,7 @@
 	return (float64(score>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
 }
 
-// Compare returns a negative number if d ranks before other.
+// Compare returns a negative number if s ranks before other.
 func (s WeightedScore) Compare(other WeightedScore) int {
 	return cmp.Or(cmp.Compare(other.weighted, s.weighted), cmp.Compare(other.score, s.score))
 }
--- a/internal/peerconn/traffic.go
+++ b/internal/peerconn/traffic.go
@@ -115,9 +115,9 @@
 	}
 }
 
-func (t counters) add(bytes int) {
-	t.messages.Inc()
-	t.bytes.Add(bytes)
+func (c counters) add(bytes int) {
+	c.messages.Inc()
+	c.bytes.Add(bytes)
 }
 
 // TagConn implements stats.Handler.
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -56,11 +56,12 @@
 			continue
 		}
 		totalSlots += r.group.maxCarriers()
-		for _, h := range r.dataCentres {
-			slotsIn[h.dataCentre] += h.slots
+		for _, dc := range r.dataCentres {
+			slotsIn[dc.dataCentre] += dc.slots
 		}
 	}
-	totalWeight, weightIn := 0.0, make(map[string]float64) // summed in name order, so that all instances get the same floating-point totals
+	// Summed in name order, so that all instances get the same floating-point totals.
+	totalWeight, weightIn := 0.0, make(map[string]float64)
 	for _, name := range slices.Sorted(maps.Keys(t.alive)) {
 		i := t.alive[name].Instance
 		totalWeight += t.weights.Of(i)
--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -17,8 +17,8 @@
 	weak   = Capacity{Cores: 0.2, LinkMbps: 10}
 )
 
-// unlike returns a fleet with some strong and some weak instances in each data centre.
-func unlike(strongOnes, weakOnes int, dataCentres ...string) []ownership.Instance {
+// mixedFleet returns a fleet with some strong and some weak instances in each data centre.
+func mixedFleet(strongOnes, weakOnes int, dataCentres ...string) []ownership.Instance {
 	all := fleet(strongOnes+weakOnes, dataCentres...)
 	for n := range all {
 		all[n].Weight = weak.StatementsPerSecond()
@@ -50,7 +50,7 @@
 // groups, and no instance exceeds its group limit.
 func TestStrongInstancesServeMoreGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		alive := unlike(rapid.IntRange(1, 4).Draw(t, "strong"), rapid.IntRange(6, 20).Draw(t, "weak"), "a", "b", "c", "d")
+		alive := mixedFleet(rapid.IntRange(1, 4).Draw(t, "strong"), rapid.IntRange(6, 20).Draw(t, "weak"), "a", "b", "c", "d")
 		groups := groupsOf(rapid.IntRange(1, 40).Draw(t, "groups"))
 		f := Fleet{Alive: alive, Registered: 500}
 		table := NewTable()
@@ -61,14 +61,14 @@
 			must.LessEq(t, bound[i.Name], load[i.Name], must.Sprint(i.Name))
 		}
 	})
-	load := loads(Place(groupsOf(40), Fleet{Alive: unlike(2, 14, "a", "b", "c"), Registered: 500}))
+	load := loads(Place(groupsOf(40), Fleet{Alive: mixedFleet(2, 14, "a", "b", "c"), Registered: 500}))
 	must.Greater(t, 3*load["a-5"], load["a-0"]+load["a-1"])
 }
 
 // An instance is lost. Its carrier slots move to others, and few other slots move because of the
 // group limits.
 func TestLossMovesFewOtherSlots(t *testing.T) {
-	alive, groups := unlike(2, 14, "a", "b", "c"), groupsOf(40)
+	alive, groups := mixedFleet(2, 14, "a", "b", "c"), groupsOf(40)
 	before := Place(groups, Fleet{Alive: alive, Registered: 500})
 	own, moved := 0, 0
 	for gone := range alive {
@@ -92,7 +92,7 @@
 // Both strong instances of a data centre are lost at once. The next ones in its ranking replace
 // them, and each group keeps its number of carriers.
 func TestLossOfAllStrongInstances(t *testing.T) {
-	alive := slices.DeleteFunc(unlike(2, 14, "a", "b", "c"), func(i ownership.Instance) bool {
+	alive := slices.DeleteFunc(mixedFleet(2, 14, "a", "b", "c"), func(i ownership.Instance) bool {
 		return i.DataCentre == "a" && i.Weight == strong.StatementsPerSecond()
 	})
 	for _, c := range Place(groupsOf(40), Fleet{Alive: alive, Registered: 500}) {
@@ -121,16 +121,16 @@
 // Statements come from any origin. The two carriers of a data centre get equal parts, although
 // one has more capacity.
 func TestOrderSpreadsEvenlyDespiteCapacity(t *testing.T) {
-	carriers := unlike(1, 1, "a")
+	carriers := mixedFleet(1, 1, "a")
 	same := func(i ownership.Instance) ownership.Instance { return i }
 	first := 0
-	const entries = 2000
-	for n := range entries {
+	const origins = 2000
+	for n := range origins {
 		if Order(carriers, same, Origin{fmt.Sprint(n), "a"}, "a", twoRegions)[0].Name == "a-0" {
 			first++
 		}
 	}
-	must.InDelta(t, 0.5, float64(first)/entries, 0.05)
+	must.InDelta(t, 0.5, float64(first)/origins, 0.05)
 }
 
 // BenchmarkPlace measures a full placement, the cost of one change of the fleet without a Table.
@@ -138,7 +138,7 @@
 	for _, size := range []int{100, 550, 1000} {
 		for kind, alive := range map[string][]ownership.Instance{
 			"alike":  fleet(size/6, "a", "b", "c", "d", "e", "f"),
-			"unlike": unlike(size/60, size/6-size/60, "a", "b", "c", "d", "e", "f"),
+			"unlike": mixedFleet(size/60, size/6-size/60, "a", "b", "c", "d", "e", "f"),
 		} {
 			b.Run(fmt.Sprintf("%d instances/%s", size, kind), func(b *testing.B) {
 				groups := groupsOf(610)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,7 +27,7 @@
 	return all
 }
 
-// place regions a group in a fleet with a single region.
+// place places a group in a fleet with a single region.
 func place(g Group, alive []ownership.Instance, registered int) Carriers {
 	return Place([]Group{g}, Fleet{Alive: alive, Registered: registered})[g.Name]
 }
@@ -179,7 +179,7 @@
 		slots, work   = 3, 18 * time.Millisecond
 		arrivals      = 3000
 		gap           = 4 * time.Millisecond
-		held          = 62 * time.Millisecond // a quarter of the objective
+		queueTimeout  = 62 * time.Millisecond // a quarter of the objective
 		objective     = 150 * time.Millisecond
 		urgent, other = "1", "2"
 	)
@@ -202,7 +202,7 @@
 	for now, next := time.Duration(0), 0; next < arrivals || len(running) > 0; now += time.Millisecond {
 		for next < arrivals && time.Duration(next)*gap <= now {
 			it := item{arrived: now, urgent: random.IntN(6) == 0, carrier: random.IntN(carriers)}
-			it.request = pool.Request{ID: uint64(next), Service: other, Weight: 4, Deadline: now + held}
+			it.request = pool.Request{ID: uint64(next), Service: other, Weight: 4, Deadline: now + queueTimeout}
 			if it.urgent {
 				it.request.Service, it.request.Weight = urgent, 8
 				all++
@@ -268,13 +268,13 @@
 		}
 		placed := Place(groups, Fleet{Alive: alive, Registered: 1000})
 		for _, g := range groups {
-			for _, home := range g.MemberDataCentres {
+			for _, dataCentre := range g.MemberDataCentres {
 				used := 0
 				for _, name := range placed[g.Name].Names {
-					used += placed[g.Name].ConnectionLimit(home, centres[name])
+					used += placed[g.Name].ConnectionLimit(dataCentre, centres[name])
 				}
 				if used > g.MaxConnections-Reserved {
-					t.Fatalf("group %+v: %v use %d connections to the member in %s", g, placed[g.Name].Names, used, home)
+					t.Fatalf("group %+v: %v use %d connections to the member in %s", g, placed[g.Name].Names, used, dataCentre)
 				}
 			}
 		}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -51,10 +51,10 @@
 
 // addLocal adds the highest-ranked instances of a member's data centre that are below their
 // group limit.
-func (p *placer) addLocal(r *row, h *memberDataCentre) {
+func (p *placer) addLocal(r *row, dc *memberDataCentre) {
 	found := 0
-	for n := 0; found < h.slots; n++ {
-		i, ok := h.ranking.at(p.table, r.group.Name, n)
+	for n := 0; found < dc.slots; n++ {
+		i, ok := dc.ranking.at(p.table, r.group.Name, n)
 		if !ok {
 			return
 		}
@@ -117,10 +117,10 @@
 func (p *placer) unfilled(r *row) ([]unfilledSlots, int) {
 	var open []unfilledSlots
 	total := 0
-	for _, h := range r.dataCentres {
-		count := h.slots - countIn(p.chosen, h.dataCentre)
-		if count > 0 && p.table.regionHasInstance(h.dataCentre) {
-			open = append(open, unfilledSlots{h.dataCentre, count})
+	for _, dc := range r.dataCentres {
+		count := dc.slots - countIn(p.chosen, dc.dataCentre)
+		if count > 0 && p.table.regionHasInstance(dc.dataCentre) {
+			open = append(open, unfilledSlots{dc.dataCentre, count})
 			total += count
 		}
 	}
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -97,11 +97,11 @@
 func newRow(g Group, previous *row) *row {
 	r := &row{group: g, allInstances: previous.allInstances}
 	for _, dataCentre := range slices.Compact(slices.Sorted(slices.Values(g.MemberDataCentres))) {
-		h := memberDataCentre{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
+		dc := memberDataCentre{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
 		if known := previous.findDataCentre(dataCentre); known != nil {
-			h.ranking = known.ranking
+			dc.ranking = known.ranking
 		}
-		r.dataCentres = append(r.dataCentres, h)
+		r.dataCentres = append(r.dataCentres, dc)
 	}
 	for _, dataCentre := range g.MemberDataCentres {
 		r.findDataCentre(dataCentre).slots += CarriersPerMember
@@ -125,8 +125,8 @@
 func (r *row) hasCarriers(chosen []candidate, usable, limit int) bool {
 	return r.placed && !r.carriers.AllInstances && r.carriers.usableConnections == usable && r.carriers.count == limit &&
 		slices.EqualFunc(r.carriers.Names, chosen, func(name string, c candidate) bool { return name == c.Name }) &&
-		!slices.ContainsFunc(r.dataCentres, func(h memberDataCentre) bool {
-			return r.carriers.localCount[h.dataCentre] != countIn(chosen, h.dataCentre)
+		!slices.ContainsFunc(r.dataCentres, func(dc memberDataCentre) bool {
+			return r.carriers.localCount[dc.dataCentre] != countIn(chosen, dc.dataCentre)
 		})
 }
 
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -42,9 +42,9 @@
 		table, reported := NewTable(), make(map[string]Carriers)
 		alive := make(map[string]ownership.Instance)
 		groups := make(map[string]Group)
-		unlike := rapid.IntRange(0, 3).Draw(t, "unlike") == 0
+		unequal := rapid.IntRange(0, 3).Draw(t, "unequal") == 0
 		weight := func() float64 {
-			if !unlike {
+			if !unequal {
 				return 1
 			}
 			return float64(rapid.IntRange(1, 3).Draw(t, "weight"))
@@ -66,13 +66,13 @@
 				} else {
 					groups[name] = Group{
 						Name: name, MaxConnections: rapid.IntRange(3, 60).Draw(t, "connections"),
-						MemberDataCentres: rapid.SliceOfN(dataCentre, 0, 4).Draw(t, "homes"),
+						MemberDataCentres: rapid.SliceOfN(dataCentre, 0, 4).Draw(t, "member data centres"),
 					}
 				}
 			}
-			living, registered := slices.Collect(maps.Values(alive)), len(alive)+rapid.IntRange(0, 5).Draw(t, "dead")
+			instances, registered := slices.Collect(maps.Values(alive)), len(alive)+rapid.IntRange(0, 5).Draw(t, "dead")
 			all := slices.Collect(maps.Values(groups))
-			f := Fleet{Alive: living, Registered: registered, Regions: twoRegions}
+			f := Fleet{Alive: instances, Registered: registered, Regions: twoRegions}
 			applyFleet(table, reported, all, f)
 			must.Eq(t, len(groups), len(reported))
 			wanted := Place(all, f)
@@ -130,7 +130,7 @@
 	scored := make(map[int]float64) // scores computed per group when one instance joins and leaves
 	for _, size := range []int{100, 300, 1000} {
 		table, reported, groups := NewTable(), make(map[string]Carriers), groupsOf(size)
-		all := unlike(1, size/5-1, "a", "b", "c", "d", "e")
+		all := mixedFleet(1, size/5-1, "a", "b", "c", "d", "e")
 		applyFleet(table, reported, groups, Fleet{Alive: all[1:], Registered: size - 1})
 		before := table.scoresComputed
 		applyFleet(table, reported, groups, Fleet{Alive: all, Registered: size})
@@ -145,10 +145,10 @@
 // the start of a fleet; then all instances in a member's data centre are lost. No group gets more
 // carriers than its members require, and the instances are scored once per carrier slot.
 func TestTableScoresWhileMembersRegister(t *testing.T) {
-	const size, homes = 300, 3
+	const size, members = 300, 3
 	table, reported, groups := NewTable(), make(map[string]Carriers), groupsOf(size)
-	all := unlike(3, size/5-3, "a", "b", "c", "d", "e")
-	for known := range homes + 1 {
+	all := mixedFleet(3, size/5-3, "a", "b", "c", "d", "e")
+	for known := range members + 1 {
 		partly := slices.Clone(groups)
 		for n := range partly {
 			partly[n].MaxConnections, partly[n].MemberDataCentres = 428, partly[n].MemberDataCentres[:known]
@@ -171,14 +171,14 @@
 		groups[n].MaxConnections = 428
 	}
 	for _, registered := range []int{20, 200, 1000} {
-		alive := unlike(1, registered/5-1, "a", "b", "c", "d", "e")
+		alive := mixedFleet(1, registered/5-1, "a", "b", "c", "d", "e")
 		maxServed := 0
 		for _, n := range loads(Place(groups, Fleet{Alive: alive, Registered: registered})) {
 			maxServed = max(maxServed, n)
 		}
 		must.Between(t, 1, maxServed, len(groups)-1)
 	}
-	must.True(t, Place(groups[:maxGroupsOnAllInstances], Fleet{Alive: unlike(1, 4, "a"), Registered: 5})[groups[0].Name].AllInstances)
+	must.True(t, Place(groups[:maxGroupsOnAllInstances], Fleet{Alive: mixedFleet(1, 4, "a"), Registered: 5})[groups[0].Name].AllInstances)
 }
 
 // groupsOf returns groups with members in three data centres.
@@ -195,7 +195,7 @@
 	for _, size := range []int{100, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			table, reported, groups := NewTable(), make(map[string]Carriers), groupsOf(size)
-			all := unlike(size/100, size/5-size/100, "a", "b", "c", "d", "e")
+			all := mixedFleet(size/100, size/5-size/100, "a", "b", "c", "d", "e")
 			applyFleet(table, reported, groups, Fleet{Alive: all, Registered: size})
 			for n := 0; b.Loop(); n++ {
 				alive := all
--- a/internal/routing/candidates_test.go
+++ b/internal/routing/candidates_test.go
@@ -133,14 +133,14 @@
 	)
 	replica := Candidate{ID: "r", Usable: true}
 	primary := Candidate{ID: "p", Primary: true, Usable: true}
-	told, tried, served := time.Duration(0), 0, 0
+	lastReport, tried, served := time.Duration(0), 0, 0
 	replica.Lag = lagging
 	for now := time.Duration(0); now < 2*lagging; now += interval {
-		replica.LagAge = now - told
+		replica.LagAge = now - lastReport
 		if Order([]Candidate{replica, primary}, at(5), age)[0].ID != "r" {
 			continue
 		}
-		told = now
+		lastReport = now
 		if now < lagging {
 			tried++
 			continue
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -36,7 +36,7 @@
 			Position: at(rapid.Uint64Range(0, 10).Draw(t, "position")),
 			InFlight: rapid.IntRange(0, 10).Draw(t, "inFlight"),
 			Capacity: rapid.IntRange(0, 10).Draw(t, "capacity"),
-			Lag:      time.Duration(rapid.IntRange(0, 200).Draw(t, "behind")) * time.Millisecond,
+			Lag:      time.Duration(rapid.IntRange(0, 200).Draw(t, "lag")) * time.Millisecond,
 		})
 	}
 	return v
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -261,7 +261,7 @@
 	if _, known := s.current.members.Get(id); !known {
 		return
 	}
-	if _, noted := s.missingSince[id]; !noted {
+	if _, missing := s.missingSince[id]; !missing {
 		s.missingSince[id] = now
 	}
 }
