--- a/internal/fleet/limit_eligibility.go
+++ b/internal/fleet/limit_eligibility.go
@@ -14,8 +14,8 @@
 // time all have registered and know each other.
 const firstStartDelay = 3 * time.Second
 
-// limitEligibility is the state, in this instance's registration, of whether it may hold shares of
-// the accounts' limits. It is used by the registration goroutine only.
+// limitEligibility tracks whether this instance's registration says that the instance may hold
+// shares of the accounts' limits. It is used by the registration goroutine only.
 type limitEligibility struct {
 	registered bool          // this process has seen its registration in the store
 	eligible   bool          // as the registration says, or is about to say
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -87,9 +87,9 @@
 	r.complete = r.complete && len(r.top) > before
 }
 
-// removeGone removes the instances that have left the fleet.
-func (r *ranking) removeGone() {
-	r.top = slices.DeleteFunc(r.top, func(c candidate) bool { return c.gone })
+// removeDeparted removes the instances that have left the fleet.
+func (r *ranking) removeDeparted() {
+	r.top = slices.DeleteFunc(r.top, func(c candidate) bool { return c.departed })
 }
 
 // clear marks the ranking as not computed.
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -32,10 +32,10 @@
 // instance is an instance that is alive.
 type instance struct {
 	ownership.Instance
-	limited bool
-	limit   int  // maximum number of groups; valid if limited
-	load    int  // groups assigned to it so far during an Update
-	gone    bool // it has left the fleet, or its registration has changed
+	limited  bool
+	limit    int  // maximum number of groups; valid if limited
+	load     int  // groups assigned to it so far during an Update
+	departed bool // it has left the fleet, or its registration has changed
 }
 
 // belowLimit reports whether another group may be assigned to the instance.
@@ -191,7 +191,7 @@
 			continue
 		}
 		if before != nil {
-			before.gone = true
+			before.departed = true
 			left++
 		}
 		t.alive[i.Name] = &instance{Instance: i}
@@ -199,14 +199,14 @@
 	}
 	for name, i := range t.alive {
 		if !present[name] {
-			i.gone = true
+			i.departed = true
 			delete(t.alive, name)
 			left++
 		}
 	}
 	if left > 0 {
 		for dataCentre, instances := range t.byDataCentre {
-			t.byDataCentre[dataCentre] = slices.DeleteFunc(instances, func(i *instance) bool { return i.gone })
+			t.byDataCentre[dataCentre] = slices.DeleteFunc(instances, func(i *instance) bool { return i.departed })
 		}
 	}
 	for _, i := range joined {
@@ -241,7 +241,7 @@
 		r.clear()
 		return
 	case someLeft:
-		r.removeGone()
+		r.removeDeparted()
 	}
 	for _, i := range joined {
 		if r.covers(i) {
