--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -32,10 +32,10 @@
 // instance is an instance that is alive.
 type instance struct {
 	ownership.Instance
-	limited bool
-	limit   int  // maximum number of groups; valid if limited
-	load    int  // groups assigned to it so far during an Update
-	gone    bool // it has left the fleet, or its registration has changed
+	limited  bool
+	limit    int  // maximum number of groups; valid if limited
+	load     int  // groups assigned to it so far during an Update
+	departed bool // it has left the fleet, or its registration has changed
 }
 
 // belowLimit reports whether another group may be assigned to the instance.
@@ -97,11 +97,11 @@
 func newRow(g Group, previous *row) *row {
 	r := &row{group: g, allInstances: previous.allInstances}
 	for _, dataCentre := range slices.Compact(slices.Sorted(slices.Values(g.MemberDataCentres))) {
-		h := memberDataCentre{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
+		dc := memberDataCentre{dataCentre: dataCentre, ranking: ranking{dataCentre: dataCentre}}
 		if known := previous.findDataCentre(dataCentre); known != nil {
-			h.ranking = known.ranking
+			dc.ranking = known.ranking
 		}
-		r.dataCentres = append(r.dataCentres, h)
+		r.dataCentres = append(r.dataCentres, dc)
 	}
 	for _, dataCentre := range g.MemberDataCentres {
 		r.findDataCentre(dataCentre).slots += CarriersPerMember
@@ -125,8 +125,8 @@
 func (r *row) hasCarriers(chosen []candidate, usable, limit int) bool {
 	return r.placed && !r.carriers.AllInstances && r.carriers.usableConnections == usable && r.carriers.count == limit &&
 		slices.EqualFunc(r.carriers.Names, chosen, func(name string, c candidate) bool { return name == c.Name }) &&
-		!slices.ContainsFunc(r.dataCentres, func(h memberDataCentre) bool {
-			return r.carriers.localCount[h.dataCentre] != countIn(chosen, h.dataCentre)
+		!slices.ContainsFunc(r.dataCentres, func(dc memberDataCentre) bool {
+			return r.carriers.localCount[dc.dataCentre] != countIn(chosen, dc.dataCentre)
 		})
 }
 
@@ -191,7 +191,7 @@
 			continue
 		}
 		if before != nil {
-			before.gone = true
+			before.departed = true
 			left++
 		}
 		t.alive[i.Name] = &instance{Instance: i}
@@ -199,14 +199,14 @@
 	}
 	for name, i := range t.alive {
 		if !present[name] {
-			i.gone = true
+			i.departed = true
 			delete(t.alive, name)
 			left++
 		}
 	}
 	if left > 0 {
 		for dataCentre, instances := range t.byDataCentre {
-			t.byDataCentre[dataCentre] = slices.DeleteFunc(instances, func(i *instance) bool { return i.gone })
+			t.byDataCentre[dataCentre] = slices.DeleteFunc(instances, func(i *instance) bool { return i.departed })
 		}
 	}
 	for _, i := range joined {
@@ -241,7 +241,7 @@
 		r.clear()
 		return
 	case someLeft:
-		r.removeGone()
+		r.removeDeparted()
 	}
 	for _, i := range joined {
 		if r.covers(i) {
