--- a/internal/relay/queueing.go
+++ b/internal/relay/queueing.go
@@ -274,7 +274,7 @@
 // of a read. The statement has not run, except for a read that failed or whose answer was lost.
 func (a *attempt) refuse() statement.Answer {
 	if !a.mayHaveRun {
-		a.session.relay.limiter.Return(a.account, a.token)
+		a.session.relay.limiter.ReturnToken(a.account, a.token)
 	}
 	if a.readFailures > 0 {
 		return a.lastFailure
--- a/internal/sqlclass/select.go
+++ b/internal/sqlclass/select.go
@@ -61,7 +61,7 @@
 		return Statement{Kind: KindRefused, Reason: facts.refused}
 	}
 	if facts.writes {
-		return Statement{Kind: KindWrite, Taints: facts.taints}
+		return Statement{Kind: KindWrite, LeavesSessionState: facts.taints}
 	}
 	return Statement{Kind: KindRead}
 }
