--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -82,12 +82,12 @@
 				must.Between(t, 0, v.RetryAfter, 2*maxWait)
 				must.Between(t, minRetryAfter, RetryAfter(r, d, d), 2*maxWait)
 				var c Correction
-				c.Waited(d, d)
+				c.ObserveWait(d, d)
 				must.Between(t, minCorrection, c.Factor(), maxCorrection)
 				var o Outages
 				o.Ended(d, n > 0)
 				must.Between(t, 0, o.Remaining(d, n > 0), maxWait)
-				must.Between(t, 0, (&Overload{since: d, last: d, active: n > 0}).Refused(0), time.Hour)
+				must.Between(t, 0, (&Overload{since: d, last: d, active: n > 0}).RecordRejection(0), time.Hour)
 			}
 		}
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -41,7 +41,7 @@
 	if wait+duration <= r.Objective {
 		return v
 	}
-	v.Admit, v.Reason, v.RetryAfter = false, Late, RetryAfter(r, wait, c.overload.Refused(now))
+	v.Admit, v.Reason, v.RetryAfter = false, Late, RetryAfter(r, wait, c.overload.RecordRejection(now))
 	return v
 }
 
@@ -64,5 +64,5 @@
 // ObserveWait records how long a request waited in total until it was granted a slot or given up.
 // predicted is the value from its verdict.
 func (c *Controller) ObserveWait(actual, predicted time.Duration) {
-	c.correction.Waited(actual, predicted)
+	c.correction.ObserveWait(actual, predicted)
 }
--- a/internal/admission/correction.go
+++ b/internal/admission/correction.go
@@ -31,7 +31,7 @@
 
 // Waited records the actual wait of a request for which the backlog alone predicted another. For
 // a request that was given up, the wait is the time until then.
-func (c *Correction) Waited(actual, predicted time.Duration) {
+func (c *Correction) ObserveWait(actual, predicted time.Duration) {
 	if predicted < minPredicted || actual < 0 {
 		return
 	}
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -137,9 +137,9 @@
 
 // Choice is the order in which to try carriers.
 type Choice struct {
-	order [maxChoice]int
-	Len   int // number of carriers to try
-	Open  int // number of carriers that are not known to reject the request
+	order     [maxChoice]int
+	Len       int // number of carriers to try
+	Admitting int // number of carriers that are not known to reject the request
 	// Verdict rejects the request when all carriers are known to reject it.
 	Verdict Verdict
 	Age     time.Duration // age of the forecast that a rejection is based on
@@ -158,12 +158,12 @@
 	for i, carrier := range carriers {
 		waits[i], ages[i] = w.wait(now, carrier.Name, q)
 		if waits[i] <= max(0, q.Objective) {
-			c.order[c.Open] = i
-			c.Open++
+			c.order[c.Admitting] = i
+			c.Admitting++
 		}
 	}
-	w.preferShorter(carriers, waits[:], c.order[:c.Open])
-	shortest, next := -1, c.Open
+	w.preferShorter(carriers, waits[:], c.order[:c.Admitting])
+	shortest, next := -1, c.Admitting
 	for i := range carriers {
 		if waits[i] <= max(0, q.Objective) {
 			continue
@@ -174,7 +174,7 @@
 			shortest = i
 		}
 	}
-	if c.Open == 0 && shortest >= 0 && !w.probe(now, q) {
+	if c.Admitting == 0 && shortest >= 0 && !w.probe(now, q) {
 		c.Verdict = Verdict{Wait: waits[shortest], Reason: AllCarriersReject, RetryAfter: RetryAfter(q.Request, waits[shortest], 0)}
 		c.Age = ages[shortest]
 	}
--- a/internal/admission/forecast_test.go
+++ b/internal/admission/forecast_test.go
@@ -51,7 +51,7 @@
 			must.Eq(t, index, choice.At(i), must.Sprint(name))
 		}
 		must.Eq(t, len(c.order), choice.Len)
-		must.Eq(t, c.open, choice.Open, must.Sprint(name))
+		must.Eq(t, c.open, choice.Admitting, must.Sprint(name))
 		must.True(t, choice.Verdict.Admit, must.Sprint(name))
 	}
 }
@@ -67,7 +67,7 @@
 	passed := 0
 	for now := time.Duration(0); now < 500*ms; now += ms {
 		c := o.Choose(now, q, both)
-		must.Zero(t, c.Open)
+		must.Zero(t, c.Admitting)
 		if c.Verdict.Admit {
 			passed++
 			continue
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -14,7 +14,7 @@
 }
 
 // Refused records a rejection and returns the duration of the overload so far.
-func (o *Overload) Refused(now time.Duration) time.Duration {
+func (o *Overload) RecordRejection(now time.Duration) time.Duration {
 	now = bounded(now)
 	if !o.lasts(now) {
 		o.active, o.since = true, now
--- a/internal/bench/faults_test.go
+++ b/internal/bench/faults_test.go
@@ -47,7 +47,7 @@
 	for _, inst := range fleet.Instances {
 		addrs = append(addrs, inst.ClientAddr())
 	}
-	fleet.PinCallerAddresses(addrs)
+	fleet.PinClientAddresses(addrs)
 	done := make(chan struct{})
 	faultCount := make(chan int)
 	go injectFaults(fleet, done, faultCount)
--- a/internal/bench/slopes_test.go
+++ b/internal/bench/slopes_test.go
@@ -181,12 +181,12 @@
 		spec.Members = append(spec.Members, owner.Member{Name: members.Member(m).Name, Addr: members.Member(m).Addr()})
 	}
 	g := owner.New(owner.Options{
-		Self:     "bench",
-		Failover: failover.DefaultConfig(),
-		Now:      func() time.Duration { return time.Since(started) },
-		MaxWait:  owner.DefaultMaxWait,
-		Floors:   owner.DefaultFloors,
-		Record:   func(string, string, uint64, string) {},
+		Self:           "bench",
+		Failover:       failover.DefaultConfig(),
+		Now:            func() time.Duration { return time.Since(started) },
+		MaxReplicaWait: owner.DefaultMaxReplicaWait,
+		Floors:         owner.DefaultFloors,
+		Record:         func(string, string, uint64, string) {},
 	}, spec)
 	g.Start()
 	b.Cleanup(g.Stop)
--- a/internal/caller/batch.go
+++ b/internal/caller/batch.go
@@ -79,7 +79,7 @@
 		b.statements = append(b.statements, st)
 		b.recordKind(st)
 	}
-	b.request.DiscardConnection = b.request.DiscardConnection || class.Taints()
+	b.request.DiscardConnection = b.request.DiscardConnection || class.LeavesSessionState()
 }
 
 func (b *batch) recordKind(st sqlclass.Statement) {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -118,7 +118,7 @@
 			if err != nil {
 				return err
 			}
-			if settings.Fleet.Store != "" {
+			if settings.Fleet.StoreAddress != "" {
 				return serveFleet(ctx, path, settings, log)
 			}
 			return serve(ctx, settings, log)
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -36,7 +36,7 @@
 			fleet, err := standin.Start(standin.Options{
 				Instances:  demoInstances,
 				Lag:        cmd.Duration("lag"),
-				CallerAddr: func(i int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(base+i)) },
+				ClientAddr: func(i int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(base+i)) },
 				Operator:   cmd.String("operator"),
 				Log:        log,
 			})
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -80,8 +80,8 @@
 		ClientListen:  s.ClientListen,
 		PeerListen:    s.PeerListen,
 		PeerAddress:   s.PeerAddress,
-		ReadyListen:   s.Fleet.Ready,
-		MetricsListen: s.Fleet.Metrics,
+		ReadyListen:   s.Fleet.ReadyListen,
+		MetricsListen: s.Fleet.MetricsListen,
 		Grace:         s.Fleet.Grace,
 		LeaseTTL:      s.Fleet.Lease,
 		DrainTime:     s.Fleet.Drain,
@@ -94,8 +94,8 @@
 
 func usersPlatform(s *config.Settings) fleet.Platform {
 	return fleet.Platform{
-		Store:    platform.NewStore(s.Fleet.Store),
-		Promoter: platform.NewPromoter(s.Fleet.Promoter),
+		Store:    platform.NewStore(s.Fleet.StoreAddress),
+		Promoter: platform.NewPromoter(s.Fleet.PromoterAddress),
 		Dialer:   platform.MemberDialer{},
 		Decoder:  platform.Decoder{},
 		Client:   func(conn net.Conn) relay.ClientConn { return platform.NewClientConn(conn) },
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,7 +64,7 @@
 	PlatformTimeout  time.Duration
 
 	Failover        failover.Config
-	MaxWait         time.Duration // how long a strict read waits for a replica to catch up
+	MaxReplicaWait  time.Duration // how long a strict read waits for a replica to catch up
 	MaxPrimaryReads int           // maximum of concurrent strict reads on the primary; 0: half of the connections
 	DrainTimeout    time.Duration // timeout of a graceful stop
 
@@ -90,13 +90,13 @@
 // Fleet holds the settings of an instance on a platform whose store keeps the
 // configuration, the database members and the durable state of the fleet.
 type Fleet struct {
-	Store    string        // address of the store; empty: the instance uses [platform] instead
-	Promoter string        // address of the API that promotes members
-	Ready    string        // listen address of the readiness endpoint, which the platform checks before it sends clients
-	Metrics  string        // listen address of the metrics endpoint; empty: metrics are not served
-	Grace    time.Duration // delay after which the platform kills a process that it has asked to stop
-	Lease    time.Duration // time to live of the instance's lease in the store
-	Drain    time.Duration // deadline, after a member announces that it leaves, for the last statement sent to it
+	StoreAddress    string        // address of the store; empty: the instance uses [platform] instead
+	PromoterAddress string        // address of the API that promotes members
+	ReadyListen     string        // listen address of the readiness endpoint, which the platform checks before it sends clients
+	MetricsListen   string        // listen address of the metrics endpoint; empty: metrics are not served
+	Grace           time.Duration // delay after which the platform kills a process that it has asked to stop
+	Lease           time.Duration // time to live of the instance's lease in the store
+	Drain           time.Duration // deadline, after a member announces that it leaves, for the last statement sent to it
 
 	// FirstStart is true if the whole fleet starts for the first time. No instance can
 	// then have held shares of the accounts' limits before.
@@ -119,7 +119,7 @@
 		PlatformPrefix:  "stackspindle/",
 		PlatformTimeout: 2 * time.Second,
 		Failover:        failover.DefaultConfig(),
-		MaxWait:         owner.DefaultMaxWait,
+		MaxReplicaWait:  owner.DefaultMaxReplicaWait,
 		DrainTimeout:    30 * time.Second,
 		Credentials:     make(map[string]string),
 		Regions:         make(map[string]string),
@@ -259,10 +259,10 @@
 		{keyRef{"caller", "listen"}, s.ClientListen},
 		{keyRef{"peer", "listen"}, s.PeerListen},
 	}
-	if s.Fleet.Store != "" {
+	if s.Fleet.StoreAddress != "" {
 		required = append(required,
-			requirement{keyRef{"fleet", "promoter"}, s.Fleet.Promoter},
-			requirement{keyRef{"fleet", "ready"}, s.Fleet.Ready})
+			requirement{keyRef{"fleet", "promoter"}, s.Fleet.PromoterAddress},
+			requirement{keyRef{"fleet", "ready"}, s.Fleet.ReadyListen})
 	} else {
 		required = append(required,
 			requirement{keyRef{"operator", "listen"}, s.OperatorListen},
@@ -360,13 +360,13 @@
 		{"failover", "lease"}:                  duration(&s.Failover.Lease),
 		{"failover", "drain_bound"}:            duration(&s.Failover.DrainTimeout),
 		{"failover", "isolation"}:              duration(&s.Failover.IsolationTimeout),
-		{"reads", "max_wait"}:                  duration(&s.MaxWait),
+		{"reads", "max_wait"}:                  duration(&s.MaxReplicaWait),
 		{"reads", "primary_reads"}:             number(&s.MaxPrimaryReads, 0, 10_000),
 		{"stop", "drain_timeout"}:              duration(&s.DrainTimeout),
-		{"fleet", "store"}:                     address(&s.Fleet.Store),
-		{"fleet", "promoter"}:                  address(&s.Fleet.Promoter),
-		{"fleet", "ready"}:                     address(&s.Fleet.Ready),
-		{"fleet", "metrics"}:                   address(&s.Fleet.Metrics),
+		{"fleet", "store"}:                     address(&s.Fleet.StoreAddress),
+		{"fleet", "promoter"}:                  address(&s.Fleet.PromoterAddress),
+		{"fleet", "ready"}:                     address(&s.Fleet.ReadyListen),
+		{"fleet", "metrics"}:                   address(&s.Fleet.MetricsListen),
 		{"fleet", "grace"}:                     duration(&s.Fleet.Grace),
 		{"fleet", "lease"}:                     duration(&s.Fleet.Lease),
 		{"fleet", "drain"}:                     duration(&s.Fleet.Drain),
--- a/internal/config/template_test.go
+++ b/internal/config/template_test.go
@@ -82,7 +82,7 @@
 	must.False(t, s.Fleet.FirstStart)
 	must.Eq(t, "front-1", s.Name)
 	must.Eq(t, "10.1.0.8:7440", s.PeerListen)
-	must.Eq(t, "10.200.1.7:8783", s.Fleet.Store)
+	must.Eq(t, "10.200.1.7:8783", s.Fleet.StoreAddress)
 	must.Eq(t, "info", s.Fleet.LogLevel)
 	must.MapEmpty(t, s.Regions)
 	must.Eq(t, placement.Capacity{}, s.Capacity.Announced())
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -359,14 +359,14 @@
 			break
 		}
 		if err := p.awaitFreed(ctx, r, freed, wait); err != nil {
-			lease.GiveBack()
+			lease.ReleaseSlot()
 			return nil, err
 		}
 	}
 	select {
 	case p.dials <- struct{}{}:
 	case <-ctx.Done():
-		lease.GiveBack()
+		lease.ReleaseSlot()
 		return nil, ctx.Err()
 	}
 	defer func() { <-p.dials }()
@@ -380,7 +380,7 @@
 		conn, err = p.dial(ctx, r.Account)
 	}
 	if err != nil {
-		lease.GiveBack()
+		lease.ReleaseSlot()
 		return nil, err
 	}
 	lease.Conn = conn
@@ -461,7 +461,7 @@
 }
 
 // GiveBack ends a lease that has no connection.
-func (l *Lease[C]) GiveBack() {
+func (l *Lease[C]) ReleaseSlot() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	l.end()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -112,7 +112,7 @@
 		result, err := t.open(ctx, target, req, emit)
 		result.Attempts = attempt
 		outcome := outcomeOf(result, err, req.Header.RequestKey != "")
-		outcome.Attempt, outcome.Left, outcome.Jitter = attempt, time.Until(deadline), rand.Float64()
+		outcome.Attempt, outcome.TimeLeft, outcome.Jitter = attempt, time.Until(deadline), rand.Float64()
 		t.d.updateOwner(group, target, result, err)
 		if err == nil && result.Done.Refusal == peerpb.Refusal_REFUSAL_NONE {
 			return t.finishBatch(result, nil)
--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -89,7 +89,7 @@
 	faults := map[string]func(*standin.Fleet){
 		"dead": func(f *standin.Fleet) { f.Group.ByName(primaryOf(f)).Kill() },
 		"cut off from the owner": func(f *standin.Fleet) {
-			f.Group.ByName(primaryOf(f)).CutFrom(f.Instances[f.Owner()].Name())
+			f.Group.ByName(primaryOf(f)).BlockTraffic(f.Instances[f.Owner()].Name())
 		},
 		"frozen":         func(f *standin.Fleet) { f.Group.ByName(primaryOf(f)).Pause() },
 		"owner dead":     func(f *standin.Fleet) { f.Kill(f.Owner()) },
@@ -288,7 +288,7 @@
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
 			ownerPauser := newPauser()
-			fleet := startFleet(t, standin.Options{Instances: 3, Pause: ownerPauser.hook})
+			fleet := startFleet(t, standin.Options{Instances: 3, FaultHook: ownerPauser.hook})
 			t.Cleanup(ownerPauser.resume)
 			old := fleet.Owner()
 			conn := connect(t, fleet.Instances[old].ClientAddr(), "")
--- a/internal/e2e/operator_test.go
+++ b/internal/e2e/operator_test.go
@@ -226,7 +226,7 @@
 	for _, inst := range fleet.Instances {
 		addrs = append(addrs, inst.ClientAddr())
 	}
-	fleet.PinCallerAddresses(addrs)
+	fleet.PinClientAddresses(addrs)
 	var logs []*writeLog
 	for i, addr := range addrs {
 		l := &writeLog{outcomes: make(map[int]string)}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -23,38 +23,38 @@
 // Config holds the timeouts and limits of failover. All durations are measured
 // on the instance's own monotonic clock.
 type Config struct {
-	Heartbeat        time.Duration // interval between two heartbeats to a member
-	MemberTimeout    time.Duration // a member that has not answered for this long counts as failed
-	OwnerTimeout     time.Duration // an owner that has not contacted a member for this long counts as failed
-	Lease            time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
-	DriftPerMille    int64         // upper bound of the rate difference of two clocks
-	CollectTimeout   time.Duration // how long a claim waits for members beyond the majority
-	IsolationTimeout time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
-	DrainTimeout     time.Duration // how long a leaving primary may keep open transactions
-	ReplicaAck       bool          // acknowledge a write only when a replica has it
-	MaxMemberTimeout time.Duration // upper bound of MemberTimeout after damping
-	DampingWindow    time.Duration // each change of the primary within this window doubles MemberTimeout
-	MaxMoves         int           // changes of the primary allowed within DampingWindow
-	HardFailures     int           // consecutive connection failures after which a member counts as failed
-	ClaimRetryDelay  time.Duration // delay, after CollectTimeout, before a claim without a majority is retried
+	Heartbeat         time.Duration // interval between two heartbeats to a member
+	MemberTimeout     time.Duration // a member that has not answered for this long counts as failed
+	OwnerTimeout      time.Duration // an owner that has not contacted a member for this long counts as failed
+	Lease             time.Duration // how long a heartbeat, once answered, permits acknowledgements; starts when it is sent
+	DriftPerMille     int64         // upper bound of the rate difference of two clocks
+	CollectTimeout    time.Duration // how long a claim waits for members beyond the majority
+	IsolationTimeout  time.Duration // a primary that no replica has reached for this long is replaced; with ReplicaAck only
+	DrainTimeout      time.Duration // how long a leaving primary may keep open transactions
+	ReplicaAck        bool          // acknowledge a write only when a replica has it
+	MaxMemberTimeout  time.Duration // upper bound of MemberTimeout after damping
+	DampingWindow     time.Duration // each change of the primary within this window doubles MemberTimeout
+	MaxPrimaryChanges int           // changes of the primary allowed within DampingWindow
+	MaxConnFailures   int           // consecutive connection failures after which a member counts as failed
+	ClaimRetryDelay   time.Duration // delay, after CollectTimeout, before a claim without a majority is retried
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		Heartbeat:        250 * time.Millisecond,
-		MemberTimeout:    1200 * time.Millisecond,
-		OwnerTimeout:     600 * time.Millisecond,
-		Lease:            700 * time.Millisecond,
-		DriftPerMille:    10,
-		CollectTimeout:   300 * time.Millisecond,
-		IsolationTimeout: 2 * time.Second,
-		DrainTimeout:     5 * time.Second,
-		MaxMemberTimeout: 4 * time.Second,
-		DampingWindow:    10 * time.Minute,
-		MaxMoves:         6,
-		HardFailures:     2,
-		ClaimRetryDelay:  250 * time.Millisecond,
+		Heartbeat:         250 * time.Millisecond,
+		MemberTimeout:     1200 * time.Millisecond,
+		OwnerTimeout:      600 * time.Millisecond,
+		Lease:             700 * time.Millisecond,
+		DriftPerMille:     10,
+		CollectTimeout:    300 * time.Millisecond,
+		IsolationTimeout:  2 * time.Second,
+		DrainTimeout:      5 * time.Second,
+		MaxMemberTimeout:  4 * time.Second,
+		DampingWindow:     10 * time.Minute,
+		MaxPrimaryChanges: 6,
+		MaxConnFailures:   2,
+		ClaimRetryDelay:   250 * time.Millisecond,
 	}
 }
 
@@ -161,12 +161,12 @@
 
 // Serve reports that the group has a primary in a new term.
 type Serve struct {
-	Term    uint64
-	Primary string
-	Base    group.Position // log position at which the term starts
-	History group.History  // the terms in that log that the primary knows
-	Moved   bool           // the primary has changed
-	Claimed bool           // the instance has just become the owner
+	Term           uint64
+	Primary        string
+	Base           group.Position // log position at which the term starts
+	History        group.History  // the terms in that log that the primary knows
+	PrimaryChanged bool           // the primary has changed
+	Claimed        bool           // the instance has just become the owner
 }
 
 // Suspend stops new work on the primary. If it is Terminal, no answer of the
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -194,7 +194,7 @@
 	must.Eq(t, cfg.MemberTimeout, h.s.primaryTimeout(h.now))
 	h.s.primaryChanges = []time.Duration{h.now}
 	must.Eq(t, 2*cfg.MemberTimeout, h.s.primaryTimeout(h.now))
-	for range cfg.MaxMoves {
+	for range cfg.MaxPrimaryChanges {
 		h.s.primaryChanges = append(h.s.primaryChanges, h.now)
 	}
 	must.Eq(t, cfg.MaxMemberTimeout, h.s.primaryTimeout(h.now))
--- a/internal/failover/reply.go
+++ b/internal/failover/reply.go
@@ -301,7 +301,7 @@
 		m.isolated = false
 	}
 	actions := []Action{
-		Serve{Term: s.term, Primary: s.primary, Base: r.Status.Position, History: r.Status.History, Moved: moved, Claimed: claimed},
+		Serve{Term: s.term, Primary: s.primary, Base: r.Status.Position, History: r.Status.History, PrimaryChanged: moved, Claimed: claimed},
 		TimelineEvent{Kind: "serving", Member: s.primary, Text: fmt.Sprintf("term %d from %s", s.term, r.Status.Position)},
 	}
 	actions = append(actions, s.broadcast(OpHeartbeat)...)
--- a/internal/failover/tick.go
+++ b/internal/failover/tick.go
@@ -94,7 +94,7 @@
 }
 
 func (s *State) alive(now time.Duration, m *member, timeout time.Duration) bool {
-	return now-m.answeredAt <= timeout && m.connFailures < s.cfg.HardFailures
+	return now-m.answeredAt <= timeout && m.connFailures < s.cfg.MaxConnFailures
 }
 
 // primaryTimeout returns how long the primary may leave requests unanswered. Each
@@ -121,11 +121,11 @@
 // of a majority of other members the instance itself may be partitioned, so it
 // starts no failover.
 func (s *State) primaryFailure(now time.Duration) string {
-	if s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxMoves {
+	if s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxPrimaryChanges {
 		return ""
 	}
 	p := s.members[s.primary]
-	if p.connFailures >= s.cfg.HardFailures {
+	if p.connFailures >= s.cfg.MaxConnFailures {
 		return "the primary refuses connections"
 	}
 	if now-p.answeredAt > s.primaryTimeout(now) {
@@ -152,7 +152,7 @@
 // Config.IsolationTimeout. It is always false if the primary alone acknowledges
 // writes, since replacing it would lose the writes acknowledged meanwhile.
 func (s *State) primaryIsolated(now time.Duration) bool {
-	if !s.cfg.ReplicaAck || s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxMoves {
+	if !s.cfg.ReplicaAck || s.othersAlive(now) < s.majority() || s.recentPrimaryChanges(now) >= s.cfg.MaxPrimaryChanges {
 		return false
 	}
 	for name, m := range s.members {
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -102,11 +102,11 @@
 			local = append(local, i)
 		}
 	}
-	weights := ownership.Weigh(local)
+	weights := ownership.NewWeights(local)
 	ranked := rankWatchers(local, weights)
 	count, served := 0, 0
 	for count < len(ranked) && (count < minWatchers || served < len(local)) {
-		serves := int(min(instancesPerWatcher*weights.Of(ranked[count].Instance)/weights.Least(), maxPerWatcher))
+		serves := int(min(instancesPerWatcher*weights.Of(ranked[count].Instance)/weights.Min(), maxPerWatcher))
 		if count >= minWatchers && served+serves > len(local) {
 			break
 		}
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -286,7 +286,7 @@
 // many.
 func (i *Instance) updatePlacement(state *topology.State) {
 	snap, view := i.topology.Load(), i.view.Load()
-	for _, name := range state.TakeChanged() {
+	for _, name := range state.TakeChangedGroups() {
 		if g, declared := relay.PlacementGroup(snap, name); declared {
 			i.placements.Set(g)
 		} else {
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -218,7 +218,7 @@
 		Self: i.self, Own: server, Peers: i.conns, Store: platform.Store, Promoter: platform.Promoter, Dialer: platform.Dialer,
 		Environment: environment{i}, DrainTime: settings.DrainTime, Now: i.now, Spawn: i.spawn, Log: i.part("lead"),
 	})
-	i.controller.Locate(settings.Localities)
+	i.controller.SetLocalities(settings.Localities)
 	i.peers = grpc.NewServer(peerconn.ServerOptions()...)
 	leadpb.RegisterCoordinationServer(i.peers, server)
 	i.carrier = relay.NewCarrierServer(i.relay)
--- a/internal/fleet/limit_eligibility.go
+++ b/internal/fleet/limit_eligibility.go
@@ -59,7 +59,7 @@
 	e.eligible = true
 	ctx, cancel := context.WithTimeout(i.ctx, storeTimeout)
 	defer cancel()
-	if _, err := i.platform.Store.Commit(ctx, view.Registration(i.registrationEntry(), lease)); err != nil {
+	if _, err := i.platform.Store.Commit(ctx, view.RegistrationTxn(i.registrationEntry(), lease)); err != nil {
 		e.eligible = false
 		e.eligibleAt = i.now() + registerPause // the answer may have been lost, then the store has it already
 		i.part("registration").WithError(err).Info("registration: the eligibility for limit shares was not written, or the answer was lost")
--- a/internal/fleet/register.go
+++ b/internal/fleet/register.go
@@ -136,7 +136,7 @@
 func (i *Instance) commitRegistration(ctx context.Context, view *lead.View, lease kv.LeaseID) error {
 	// Set before the call, since its answer may be lost.
 	i.limiter.SetSettledAt(i.limitEligibility.prepare(i.now(), view, i.self.Name, i.settings.FirstStart))
-	revision, err := i.platform.Store.Commit(ctx, view.Registration(i.registrationEntry(), lease))
+	revision, err := i.platform.Store.Commit(ctx, view.RegistrationTxn(i.registrationEntry(), lease))
 	i.registeredRevision = revision
 	return err
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -66,7 +66,7 @@
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
-	Delete     []string
+	Deletes    []string
 }
 
 // Lease is a granted lease.
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -28,7 +28,7 @@
 
 // Locate sets the distances between data centres. It must be called before the first Tick.
 // Without it all other data centres count as equally far.
-func (c *Controller) Locate(localities locality.Map) { c.localities = localities }
+func (c *Controller) SetLocalities(localities locality.Map) { c.localities = localities }
 
 // RequestAttestations asks other registered instances whether they know anything newer than
 // the records known here, and confirms the grants for which a quorum knows nothing newer.
--- a/internal/lead/change.go
+++ b/internal/lead/change.go
@@ -294,7 +294,7 @@
 		members := c.env.Topology().MembersOf(name)
 		answers := c.queryMembers(ctx, members, record.Primary)
 		s := c.selection(grants)
-		s.Old, s.Term, s.Planned = record.Primary, record.Term, change.Planned
+		s.OldPrimary, s.Term, s.Planned = record.Primary, record.Term, change.Planned
 		s.Replicas, s.SyncReplicas = len(members)-1, c.env.Topology().Groups[name].SyncReplicas
 		strict := s // prefer a member that all instances know, if it has the whole log
 		strict.Unreached = grants.unreachable
@@ -320,7 +320,7 @@
 // version that does not ask it.
 func (c *Controller) selection(grants grantsOutcome) Selection {
 	return Selection{
-		Last: grants.finalStatus.Received, KnownBefore: c.now() - unconfirmedUseLapseTime, Seen: grants.seenRevision,
+		FinalPosition: grants.finalStatus.Received, KnownBefore: c.now() - unconfirmedUseLapseTime, SeenRevision: grants.seenRevision,
 		Unreached: grants.unreachable && (!grants.steppedDown || grants.seenRevision == 0),
 	}
 }
--- a/internal/lead/controller_test.go
+++ b/internal/lead/controller_test.go
@@ -102,7 +102,7 @@
 	must.NoError(t, err)
 	f.lease = lease.ID
 	f.refresh(t, store)
-	_, err = store.Commit(t.Context(), f.view.Registration(self, lease.ID))
+	_, err = store.Commit(t.Context(), f.view.RegistrationTxn(self, lease.ID))
 	must.NoError(t, err)
 	f.refresh(t, store)
 	return c, f
@@ -194,7 +194,7 @@
 	go func() { _ = server.Serve(l) }() // stopped at the end of the test
 	t.Cleanup(server.Stop)
 	other.self.Address = l.Addr().String()
-	revision, err := store.Client().Commit(t.Context(), otherEnv.view.Registration(other.self, otherEnv.lease))
+	revision, err := store.Client().Commit(t.Context(), otherEnv.view.RegistrationTxn(other.self, otherEnv.lease))
 	must.NoError(t, err)
 	env.view = stale
 
--- a/internal/lead/overload_test.go
+++ b/internal/lead/overload_test.go
@@ -53,7 +53,7 @@
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
 	g := newLeader(t, leader, env, store)
-	_, err := store.Client().Commit(t.Context(), env.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
+	_, err := store.Client().Commit(t.Context(), env.view.RegistrationTxn(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
 	must.NoError(t, err)
 	env.refresh(t, store.Client())
 	env.overloaded = true
@@ -84,7 +84,7 @@
 	store := memstore.New()
 	leader, env := newController(t, "a", store.Client())
 	newLeader(t, leader, env, store)
-	revision, err := store.Client().Commit(t.Context(), env.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
+	revision, err := store.Client().Commit(t.Context(), env.view.RegistrationTxn(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
 	must.NoError(t, err)
 	env.refresh(t, store.Client())
 	ctx, cancel := context.WithTimeout(t.Context(), plannedDrain+2*releaseTimeout)
--- a/internal/lead/peers.go
+++ b/internal/lead/peers.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	view, now := c.env.View(), c.now()
 	registered := view.Registered(now)
-	s := surveyResult{answered: 1, releasesNeeded: ReleaseQuorum(len(registered), view.Joined(now))}
+	s := surveyResult{answered: 1, releasesNeeded: ReleaseQuorum(len(registered), view.RecentlyJoined(now))}
 	var mu sync.Mutex // guards s
 	c.callOthers(registered, func(instance Instance, client leadpb.CoordinationClient) error {
 		_, err := client.Witness(ctx, &leadpb.WitnessRequest{})
--- a/internal/lead/planned_change_test.go
+++ b/internal/lead/planned_change_test.go
@@ -44,7 +44,7 @@
 func registerUnreachable(t *testing.T, store *memstore.Store, env *fakeEnvironment, instance Instance) {
 	lease, err := store.Client().Grant(t.Context(), time.Second)
 	must.NoError(t, err)
-	_, err = store.Client().Commit(t.Context(), env.view.Registration(instance, lease.ID))
+	_, err = store.Client().Commit(t.Context(), env.view.RegistrationTxn(instance, lease.ID))
 	must.NoError(t, err)
 	store.EndLease(lease.ID)
 	env.refresh(t, store.Client())
@@ -115,7 +115,7 @@
 		f.member = topology.Member{ID: id, Since: 9, Revision: revision}
 		return f
 	}
-	s := Selection{Old: "old", Term: 1, Replicas: 2, Unreached: true, KnownBefore: 8, Seen: 20, Last: group.Position{}}
+	s := Selection{OldPrimary: "old", Term: 1, Replicas: 2, Unreached: true, KnownBefore: 8, SeenRevision: 20, FinalPosition: group.Position{}}
 	got, decided := Select([]memberStatus{member("a", 20, 3), member("b", 21, 5)}, s)
 	must.True(t, decided)
 	must.Eq(t, "a", got.member.ID)
@@ -183,7 +183,7 @@
 	clock := time.Minute
 	leader.now = func() time.Duration { return clock }
 	g := newLeader(t, leader, env, store)
-	_, err := store.Client().Commit(t.Context(), env.view.Registration(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
+	_, err := store.Client().Commit(t.Context(), env.view.RegistrationTxn(Instance{Name: "b", Incarnation: "1", Address: "127.0.0.1:1"}, env.lease))
 	must.NoError(t, err)
 	env.refresh(t, store.Client())
 	env.view.joinedAt["b"] = 0
--- a/internal/lead/property_test.go
+++ b/internal/lead/property_test.go
@@ -181,7 +181,7 @@
 		seen, unreachable := r.unreleased()
 		unreachable = unreachable && !w.steppedDown[w.record.Primary]
 		best, ok := Select(answers, Selection{
-			Old: w.record.Primary, Term: w.record.Term, AllowShorterLog: true, Unreached: unreachable, KnownBefore: w.leaderNow() - unconfirmedUseLapseTime, Seen: seen,
+			OldPrimary: w.record.Primary, Term: w.record.Term, AllowShorterLog: true, Unreached: unreachable, KnownBefore: w.leaderNow() - unconfirmedUseLapseTime, SeenRevision: seen,
 		})
 		if ok {
 			return best.member.ID
@@ -387,16 +387,16 @@
 	}
 	v, err := NewView().Apply(time.Second, all)
 	must.NoError(t, err)
-	must.Eq(t, 2, v.Joined(2*time.Second))
+	must.Eq(t, 2, v.RecentlyJoined(2*time.Second))
 	later := time.Second + attestedUseLapseTime
-	must.Eq(t, 0, v.Joined(later))
+	must.Eq(t, 0, v.RecentlyJoined(later))
 	v, err = v.Apply(later, []kv.Event{registered("new", "1", 20)})
 	must.NoError(t, err)
-	must.Eq(t, 1, v.Joined(later))
+	must.Eq(t, 1, v.RecentlyJoined(later))
 	v, err = v.Apply(later+1, []kv.Event{registered("new", "2", 21)})
 	must.NoError(t, err)
-	must.Eq(t, 1, v.Joined(later+1), must.Sprint("another process under the same name"))
-	must.Eq(t, 0, v.Joined(later+attestedUseLapseTime))
+	must.Eq(t, 1, v.RecentlyJoined(later+1), must.Sprint("another process under the same name"))
+	must.Eq(t, 0, v.RecentlyJoined(later+attestedUseLapseTime))
 }
 
 func registered(name, incarnation string, revision int64) kv.Event {
@@ -430,7 +430,7 @@
 	self := Instance{Name: "a", Incarnation: "2"}
 	v, err := NewView().Apply(0, []kv.Event{registered("a", "1", 7)})
 	must.NoError(t, err)
-	txn := v.Registration(self, 9)
+	txn := v.RegistrationTxn(self, 9)
 	must.Eq(t, []kv.Condition{{Key: PrefixInstances + "a", Revision: 7}}, txn.Conditions)
 	must.Len(t, 2, txn.Puts)
 }
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -160,7 +160,7 @@
 
 // Joined returns how many of the registered instances may be unknown to an instance whose
 // last answer of the store is as old as attestations permit.
-func (r *registry) Joined(now time.Duration) int {
+func (r *registry) RecentlyJoined(now time.Duration) int {
 	if now-r.followedSince < attestedUseLapseTime {
 		return len(r.joinedAt) / assumedJoinedDivisor
 	}
@@ -221,7 +221,7 @@
 // Registration returns the transaction that registers an instance and marks it as alive
 // under its lease. The transaction is conditional, so that a delayed one cannot overwrite
 // the registration of a later process with the same name.
-func (r *registry) Registration(self Instance, lease kv.LeaseID) kv.Txn {
+func (r *registry) RegistrationTxn(self Instance, lease kv.LeaseID) kv.Txn {
 	known, revision := r.Instance(self.Name)
 	txn := kv.Txn{
 		Conditions: []kv.Condition{{Key: PrefixInstances + self.Name, Revision: revision}},
@@ -238,6 +238,6 @@
 func RemovalTxn(name string, revision int64) kv.Txn {
 	return kv.Txn{
 		Conditions: []kv.Condition{{Key: PrefixInstances + name, Revision: revision}, {Key: prefixAlive + name}},
-		Delete:     []string{PrefixInstances + name},
+		Deletes:    []string{PrefixInstances + name},
 	}
 }
--- a/internal/lead/release.go
+++ b/internal/lead/release.go
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	view := c.env.View()
-	known, joined := view.Entries(c.now()), view.Joined(c.now())
+	known, joined := view.Entries(c.now()), view.RecentlyJoined(c.now())
 	r.releasesNeeded = ReleaseQuorum(len(known), joined)
 	released := make(chan struct{})
 	go func() {
--- a/internal/lead/relinquish.go
+++ b/internal/lead/relinquish.go
@@ -29,7 +29,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	key := prefixLeader + group
-	_, err := c.store.Commit(ctx, kv.Txn{Conditions: []kv.Condition{{Key: key, Revision: g.leaderRevision}}, Delete: []string{key}})
+	_, err := c.store.Commit(ctx, kv.Txn{Conditions: []kv.Condition{{Key: key, Revision: g.leaderRevision}}, Deletes: []string{key}})
 	c.log.WithField("group", group).WithField("generation", g.generation).WithError(err).
 		Info("lead: this instance gives up the leadership of a group that it does not serve")
 }
--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -10,22 +10,22 @@
 // Selection holds the criteria by which Select chooses the primary, besides the members'
 // status.
 type Selection struct {
-	Old             string         // ID of the primary that is to be replaced
+	OldPrimary      string         // ID of the primary that is to be replaced
 	Term            uint64         // term of the old primary
 	Planned         bool           // the old primary must be replaced although it is healthy
-	Last            group.Position // end of the old primary's log when it stepped down; zero: unknown
+	FinalPosition   group.Position // end of the old primary's log when it stepped down; zero: unknown
 	Replicas        int            // number of replicas of the group
 	SyncReplicas    int            // number of replicas that had received each acknowledged commit
 	Unreached       bool           // unreachable instances may still use the old primary, so only members that they know may be promoted
 	KnownBefore     time.Duration  // they know each member that has been known here since before this time
-	Seen            int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
+	SeenRevision    int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
 	AllowShorterLog bool           // promote a member whose log does not reach Last, instead of waiting longer
 }
 
 // knownToUnreachable reports whether each unreachable instance knows a member. If it does,
 // it asks that member during verification whether it is primary.
 func (s Selection) knownToUnreachable(m topology.Member) bool {
-	return m.Since < s.KnownBefore || m.Revision > 0 && m.Revision <= s.Seen
+	return m.Since < s.KnownBefore || m.Revision > 0 && m.Revision <= s.SeenRevision
 }
 
 // Select returns the member that should be primary, or false if that cannot be decided from
@@ -49,13 +49,13 @@
 	for _, answer := range answers {
 		f := &answer
 		f.status.Primary = f.status.Primary && f.status.Term >= s.Term
-		if f.status.Primary && (f.status.Term > s.Term || f.member.ID == s.Old && !s.Planned && !f.member.Draining) {
+		if f.status.Primary && (f.status.Term > s.Term || f.member.ID == s.OldPrimary && !s.Planned && !f.member.Draining) {
 			if best == nil || !best.status.Primary || best.status.Term < f.status.Term {
 				best = f
 			}
 			continue
 		}
-		if f.member.ID == s.Old && s.Planned {
+		if f.member.ID == s.OldPrimary && s.Planned {
 			continue
 		}
 		replicas++
@@ -71,11 +71,11 @@
 		return memberStatus{}, false
 	case best.status.Primary:
 		return *best, true
-	case s.SyncReplicas > 0 && replicas < s.Replicas-s.SyncReplicas+1 && best.status.Received.Less(s.Last):
+	case s.SyncReplicas > 0 && replicas < s.Replicas-s.SyncReplicas+1 && best.status.Received.Less(s.FinalPosition):
 		return memberStatus{}, false // a replica that did not answer may hold acknowledged commits
-	case s.SyncReplicas > 0 && s.Last.IsZero() && replicas < s.Replicas-s.SyncReplicas+1:
+	case s.SyncReplicas > 0 && s.FinalPosition.IsZero() && replicas < s.Replicas-s.SyncReplicas+1:
 		return memberStatus{}, false
-	case best.status.Received.Less(s.Last) && !s.AllowShorterLog:
+	case best.status.Received.Less(s.FinalPosition) && !s.AllowShorterLog:
 		return memberStatus{}, false
 	}
 	return *best, true
--- a/internal/lead/select_test.go
+++ b/internal/lead/select_test.go
@@ -30,16 +30,16 @@
 }
 
 func TestSelect(t *testing.T) {
-	base := Selection{Old: "old", Term: 1, Replicas: 2}
+	base := Selection{OldPrimary: "old", Term: 1, Replicas: 2}
 	planned := base
-	planned.Planned, planned.Last = true, group.Position{Term: 1, Index: 9}
+	planned.Planned, planned.FinalPosition = true, group.Position{Term: 1, Index: 9}
 	hurried := planned
 	hurried.AllowShorterLog = true
 	synced := base
 	synced.SyncReplicas = 1
 	unreached := base
 	unreached.Unreached, unreached.KnownBefore = true, 8
-	second := Selection{Old: "gone", Term: 2, Replicas: 2}
+	second := Selection{OldPrimary: "gone", Term: 2, Replicas: 2}
 	inSecond := func(id string, index uint64) memberStatus {
 		f := replica(id, index)
 		f.status.Term, f.status.Received.Term = 2, 2
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -133,7 +133,7 @@
 // Spend uses a token of an account for one operation. It usually takes a cached token at
 // once; otherwise it waits for one for at most patience, or until ctx is done. If it gets
 // none it returns false and the reason.
-func (l *Limiter) Spend(ctx context.Context, name string, patience time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *Limiter) AcquireToken(ctx context.Context, name string, patience time.Duration) (quota.Token, quota.Shortage, bool) {
 	if !l.isLimited(name) {
 		return quota.Token{}, quota.Shortage{}, true
 	}
@@ -173,7 +173,7 @@
 }
 
 // Return puts back the token of an operation that did not run.
-func (l *Limiter) Return(name string, t quota.Token) {
+func (l *Limiter) ReturnToken(name string, t quota.Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tokens.Return(name, t)
@@ -342,7 +342,7 @@
 		return quota.Grant{}, err
 	}
 	return quota.Grant{
-		Tokens: int(reply.Tokens), Holder: reply.Holder,
+		Tokens: int(reply.Tokens), IsHolder: reply.Holder,
 		Lifetime: time.Duration(reply.LifeUs) * time.Microsecond, RetryAfter: time.Duration(reply.ComeBackUs) * time.Microsecond,
 	}, nil
 }
@@ -362,7 +362,7 @@
 	defer l.mu.Unlock()
 	g := l.reserve(req.Account, int(req.Wanted))
 	return &limitspb.ReserveReply{
-		Tokens: uint32(g.Tokens), Holder: g.Holder, LifeUs: g.Lifetime.Microseconds(), ComeBackUs: g.RetryAfter.Microseconds(),
+		Tokens: uint32(g.Tokens), Holder: g.IsHolder, LifeUs: g.Lifetime.Microseconds(), ComeBackUs: g.RetryAfter.Microseconds(),
 	}, nil
 }
 
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -89,7 +89,7 @@
 	for _, l := range f.limiters {
 		work.Go(func() {
 			for range 100 {
-				if _, shortage, ok := l.Spend(t.Context(), "a", generous); ok {
+				if _, shortage, ok := l.AcquireToken(t.Context(), "a", generous); ok {
 					ran.Add(1)
 				} else {
 					refused.Add(1)
@@ -111,7 +111,7 @@
 	f := newFleet(t, 1, account.Limit{Rate: 1})
 	f.servers[0].Stop()
 	for _, name := range []string{"free", account.Anonymous} {
-		_, _, ok := f.limiters[0].Spend(t.Context(), name, generous)
+		_, _, ok := f.limiters[0].AcquireToken(t.Context(), name, generous)
 		must.True(t, ok)
 	}
 }
@@ -122,7 +122,7 @@
 	for _, server := range f.servers[1:4] {
 		server.Stop()
 	}
-	_, _, ok := f.limiters[0].Spend(t.Context(), "a", generous)
+	_, _, ok := f.limiters[0].AcquireToken(t.Context(), "a", generous)
 	must.True(t, ok)
 }
 
@@ -132,21 +132,21 @@
 	l := f.limiters[0]
 	var last quota.Token
 	for {
-		token, _, ok := l.Spend(t.Context(), "a", generous)
+		token, _, ok := l.AcquireToken(t.Context(), "a", generous)
 		if !ok {
 			break
 		}
 		last = token
 	}
-	l.Return("a", last)
-	_, _, ok := l.Spend(t.Context(), "a", generous)
+	l.ReturnToken("a", last)
+	_, _, ok := l.AcquireToken(t.Context(), "a", generous)
 	must.True(t, ok)
 }
 
 // Operations of an account that is not declared are rejected.
 func TestUnknownAccountIsRefused(t *testing.T) {
 	f := newFleet(t, 2, account.Limit{Rate: 1})
-	_, _, ok := f.limiters[0].Spend(t.Context(), "none", generous)
+	_, _, ok := f.limiters[0].AcquireToken(t.Context(), "none", generous)
 	must.False(t, ok)
 }
 
@@ -192,7 +192,7 @@
 		f.makeUnresponsive(t, i)
 	}
 	for range 3 {
-		_, _, ok := asker.Spend(t.Context(), "a", generous)
+		_, _, ok := asker.AcquireToken(t.Context(), "a", generous)
 		must.True(t, ok)
 	}
 }
@@ -210,7 +210,7 @@
 	if slices.Contains(l.holders.Of("a"), l.self) {
 		l.SetSettledAt(2 * time.Hour) // makes its own share unavailable
 	}
-	_, shortage, ok := l.Spend(ctx, "a", generous)
+	_, shortage, ok := l.AcquireToken(ctx, "a", generous)
 	must.False(t, ok)
 	must.Positive(t, shortage.RetryAfter)
 }
@@ -233,7 +233,7 @@
 	for range 20 {
 		work.Go(func() {
 			for range 20 {
-				if _, _, ok := asker.Spend(t.Context(), "a", time.Hour); !ok {
+				if _, _, ok := asker.AcquireToken(t.Context(), "a", time.Hour); !ok {
 					asker.mu.Lock()
 					refused++
 					asker.mu.Unlock()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,14 +23,14 @@
 
 // Config holds the timeouts and limits.
 type Config struct {
-	DownAfter  time.Duration // an instance counts as down if probes have failed for this long
-	Introduced time.Duration // how long an unlisted instance is kept after its last contact
-	Neighbours int           // number of neighbours to probe
+	DownAfter         time.Duration // an instance counts as down if probes have failed for this long
+	UnlistedRetention time.Duration // how long an unlisted instance is kept after its last contact
+	Neighbours        int           // number of neighbours to probe
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
-	return Config{DownAfter: 600 * time.Millisecond, Introduced: 5 * time.Minute, Neighbours: 3}
+	return Config{DownAfter: 600 * time.Millisecond, UnlistedRetention: 5 * time.Minute, Neighbours: 3}
 }
 
 // record is the state of one other instance.
@@ -95,7 +95,7 @@
 func (s *State) prune(now time.Duration) {
 	for name, r := range s.records {
 		lastSeen := max(r.lastContact, r.introducedAt)
-		if !r.listed && (lastSeen == 0 || now-lastSeen > s.cfg.Introduced) {
+		if !r.listed && (lastSeen == 0 || now-lastSeen > s.cfg.UnlistedRetention) {
 			delete(s.records, name)
 		}
 	}
--- a/internal/owner/explain.go
+++ b/internal/owner/explain.go
@@ -9,7 +9,7 @@
 )
 
 // Choice is the routing decision for a statement.
-type Choice struct {
+type RoutingDecision struct {
 	Primary  string
 	Member   string
 	Reason   string
@@ -18,9 +18,9 @@
 }
 
 // Explain returns how a statement would be routed now, without running it.
-func (g *Group) Explain(session string, read bool, staleness time.Duration) Choice {
+func (g *Group) Explain(session string, read bool, staleness time.Duration) RoutingDecision {
 	v := g.view.Load()
-	choice := Choice{Primary: v.primary}
+	choice := RoutingDecision{Primary: v.primary}
 	if !v.serving {
 		choice.Reason = "the group has no primary here"
 		return choice
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -62,16 +62,16 @@
 	Now             func() time.Duration                                // monotonic clock
 	Record          func(kind, member string, term uint64, text string) // adds an event to the time line
 	ObserveOutage   func(time.Duration)                                 // called with the time that the group had no primary here
-	Pause           func(Step)                                          // fault injection hook for tests, may be nil
-	MaxWait         time.Duration                                       // see routing.View
+	FaultHook       func(Step)                                          // fault injection hook for tests, may be nil
+	MaxReplicaWait  time.Duration                                       // see routing.View
 	MaxPrimaryReads int                                                 // limit of concurrent strict reads on the primary, 0: half of Connections
 	Floors          int                                                 // maximum number of session floors
 }
 
 // Default values for Options.
 const (
-	DefaultMaxWait = 60 * time.Millisecond
-	DefaultFloors  = 100_000
+	DefaultMaxReplicaWait = 60 * time.Millisecond
+	DefaultFloors         = 100_000
 )
 
 // view is an immutable snapshot of the control state.
@@ -138,8 +138,8 @@
 
 // New returns a group. Call Start to run it.
 func New(opts Options, spec Spec) *Group {
-	if opts.Pause == nil {
-		opts.Pause = func(Step) {}
+	if opts.FaultHook == nil {
+		opts.FaultHook = func(Step) {}
 	}
 	if opts.ObserveOutage == nil {
 		opts.ObserveOutage = func(time.Duration) {}
@@ -259,7 +259,7 @@
 		case <-ticker.C:
 			ev = failover.Tick{Acked: g.sampleHighest()}
 		}
-		g.opts.Pause(StepControl)
+		g.opts.FaultHook(StepControl)
 		g.step(ctx, ev)
 	}
 }
--- a/internal/owner/journal.go
+++ b/internal/owner/journal.go
@@ -275,7 +275,7 @@
 	if _, err := conn.Exec("COMMIT"); err != nil {
 		return nil, unknownOutcome(err.Error())
 	}
-	s.group.opts.Pause(StepAnswered)
+	s.group.opts.FaultHook(StepAnswered)
 	done := &peerpb.Done{TxStatus: 'I', Member: s.member, Reason: s.reason}
 	if err := s.acknowledgeCommit(ctx, done, upstream.Result{}); err != nil {
 		return nil, err
--- a/internal/owner/stream.go
+++ b/internal/owner/stream.go
@@ -221,16 +221,16 @@
 		conn.MarkSettingsChanged()
 	}
 	if req.DiscardConnection {
-		conn.Taint()
+		conn.MarkNeedsDiscard()
 	}
 	s.setInFlight(conn)
 	defer s.setInFlight(nil)
-	s.group.opts.Pause(StepSend)
+	s.group.opts.FaultHook(StepSend)
 	if !s.group.isCurrent(s.view) {
 		return upstream.Result{}, &refusal{kind: peerpb.Refusal_REFUSAL_NO_PRIMARY, detail: "the primary was replaced before the statement was sent"}
 	}
 	result, err := conn.Run(batchOf(req, s.wrote && req.EndsTransaction), emit)
-	s.group.opts.Pause(StepAnswered)
+	s.group.opts.FaultHook(StepAnswered)
 	if errors.Is(err, upstream.ErrNotSent) {
 		return result, &refusal{kind: peerpb.Refusal_REFUSAL_UPSTREAM, detail: err.Error()}
 	}
@@ -302,7 +302,7 @@
 // confirmLease waits for a valid lease immediately before the answer is sent, and
 // sets the time within which the answer must be passed on.
 func (s *Stream) confirmLease(ctx context.Context, done *peerpb.Done) error {
-	s.group.opts.Pause(StepReply)
+	s.group.opts.FaultHook(StepReply)
 	if err := s.group.awaitLease(ctx, s.view); err != nil {
 		return err
 	}
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -54,7 +54,7 @@
 		case s = <-w.commands:
 		case s = <-w.heartbeats:
 		}
-		w.group.opts.Pause(StepControl)
+		w.group.opts.FaultHook(StepControl)
 		reply := w.control.Do(ctx, s, w.group.opts.Self)
 		if ctx.Err() != nil {
 			return
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -34,7 +34,7 @@
 		near  bool
 		score WeightedScore
 	}
-	weights := Weigh(instances)
+	weights := NewWeights(instances)
 	ranking := make([]ranked, 0, len(instances))
 	for _, i := range instances {
 		ranking = append(ranking, ranked{
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -16,7 +16,7 @@
 
 // Weigh returns the weights of some instances. An unknown weight counts as the smallest known
 // one.
-func Weigh(instances []Instance) Weights {
+func NewWeights(instances []Instance) Weights {
 	w := Weights{equal: true}
 	for _, i := range instances {
 		if i.Weight > 0 && (w.smallest == 0 || i.Weight < w.smallest) {
@@ -24,17 +24,17 @@
 		}
 	}
 	for _, i := range instances {
-		w.equal = w.equal && w.Of(i) == w.Least()
+		w.equal = w.equal && w.Of(i) == w.Min()
 	}
 	return w
 }
 
 // Alike reports whether all instances have the same weight.
-func (w Weights) Alike() bool { return w.equal }
+func (w Weights) AllEqual() bool { return w.equal }
 
 // Least returns the smallest known weight, which also stands for unknown ones. It is 1 when none
 // is known.
-func (w Weights) Least() float64 {
+func (w Weights) Min() float64 {
 	if w.smallest > 0 {
 		return w.smallest
 	}
@@ -46,7 +46,7 @@
 	if i.Weight > 0 {
 		return i.Weight
 	}
-	return w.Least()
+	return w.Min()
 }
 
 // WeightedScore is the weighted score of an instance for a key. The greatest ranks first.
--- a/internal/ownership/weight_test.go
+++ b/internal/ownership/weight_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestWeightedScoreIsFinite(t *testing.T) {
-	w := Weigh(weighted(8))
+	w := NewWeights(weighted(8))
 	for _, score := range []uint64{0, 1, math.MaxUint64, math.MaxUint64 - 1} {
 		d := w.Apply(score, Instance{Weight: 0.8})
 		must.False(t, math.IsInf(d.weighted, 0) || math.IsNaN(d.weighted))
@@ -75,7 +75,7 @@
 // ranks before d.
 func TestThreshold(t *testing.T) {
 	for _, instances := range [][]Instance{fleetOf(40), weighted(40)} {
-		weights := Weigh(instances)
+		weights := NewWeights(instances)
 		for n, other := range instances {
 			d := weights.Apply(Score("g", other.Name), other)
 			for _, i := range instances {
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -47,7 +47,7 @@
 // to replace instances elsewhere. It returns nil for no limits when all weights are equal,
 // because then hashing alone spreads the groups.
 func (t *Table) groupLimits() map[string]int {
-	if t.weights.Alike() {
+	if t.weights.AllEqual() {
 		return nil
 	}
 	totalSlots, slotsIn := 0, make(map[string]int)
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -176,7 +176,7 @@
 	joined, left := t.updateAlive(alive)
 	if len(joined) > 0 || left > 0 {
 		t.changed = true
-		t.updateRankings(joined, left > 0, ownership.Weigh(alive))
+		t.updateRankings(joined, left > 0, ownership.NewWeights(alive))
 	}
 }
 
--- a/internal/quota/buckets.go
+++ b/internal/quota/buckets.go
@@ -62,7 +62,7 @@
 	// RetryAfter is the delay after which a token is available or the instance may hold a
 	// share; 0 with tokens, or if that is not known.
 	RetryAfter time.Duration
-	Holder     bool // the instance holds a share of the account
+	IsHolder   bool // the instance holds a share of the account
 }
 
 // Reserve grants up to wanted tokens of an account. confirmed is the time at which the
@@ -70,7 +70,7 @@
 // last known to be current.
 func (bs *Buckets) Reserve(now, confirmed time.Duration, name string, limit account.Limit, wanted int) Grant {
 	if limit.Unlimited {
-		return Grant{Tokens: wanted, Lifetime: maxLifetime, Holder: true}
+		return Grant{Tokens: wanted, Lifetime: maxLifetime, IsHolder: true}
 	}
 	holders := bs.holders.Of(name)
 	switch {
@@ -86,9 +86,9 @@
 	n := min(wanted, int(b.tokens))
 	if n > 0 {
 		b.tokens -= float64(n)
-		return Grant{Tokens: n, Lifetime: budget.Lifetime, Holder: true}
+		return Grant{Tokens: n, Lifetime: budget.Lifetime, IsHolder: true}
 	}
-	return Grant{RetryAfter: budget.refillTime(1 - b.tokens), Holder: true}
+	return Grant{RetryAfter: budget.refillTime(1 - b.tokens), IsHolder: true}
 }
 
 // refillTime returns how long it takes to refill some tokens, rounded up.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -185,10 +185,10 @@
 	l.SetHolders(0, NewHolders(names(1)))
 	must.Positive(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Tokens)
 	l.SetHolders(time.Minute, NewHolders([]string{"front-001"}))
-	must.False(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).Holder)
+	must.False(t, l.Reserve(time.Minute, time.Minute, "a", limit, 1).IsHolder)
 	l.SetSettledAt(2 * time.Minute)
 	l.SetHolders(time.Minute, NewHolders(names(1)))
-	must.False(t, l.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).Holder)
+	must.False(t, l.Reserve(2*time.Minute-1, 2*time.Minute-1, "a", limit, 1).IsHolder)
 	must.Zero(t, l.Reserve(2*time.Minute, 2*time.Minute, "a", limit, 1).Tokens)
 	must.Positive(t, l.Reserve(2*time.Minute+time.Second, 2*time.Minute+time.Second, "a", limit, 1).Tokens)
 }
@@ -219,7 +219,7 @@
 		must.Eq(t, Fetch, m.Take(now, "a").Verdict)
 		pause = min(2*pause, maxBackoff)
 	}
-	m.ApplyGrant(now, now, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
+	m.ApplyGrant(now, now, "a", "front-000", Grant{IsHolder: true, RetryAfter: time.Second})
 	m.RecordFailure(now, "front-000")
 	must.Eq(t, Fetch, m.Take(now+time.Second, "a").Verdict)
 }
@@ -234,6 +234,6 @@
 	must.Eq(t, Refuse, d.Verdict)
 	must.False(t, d.Shortage.AtLimit())
 	must.Eq(t, Fetch, m.Take(minBackoff, "a").Verdict)
-	m.ApplyGrant(0, 0, "a", "front-000", Grant{Holder: true, RetryAfter: time.Second})
+	m.ApplyGrant(0, 0, "a", "front-000", Grant{IsHolder: true, RetryAfter: time.Second})
 	must.True(t, m.Take(0, "a").Shortage.AtLimit())
 }
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -77,7 +77,7 @@
 type Token struct{ expires time.Duration }
 
 // TokenUntil returns a token that expires at a time.
-func TokenUntil(until time.Duration) Token { return Token{expires: until} }
+func NewToken(until time.Duration) Token { return Token{expires: until} }
 
 // Expired reports whether the token has expired, so that its operation must not be sent to
 // a member any more. The zero token never expires.
@@ -114,13 +114,13 @@
 	RetryAfter   time.Duration // delay after which one may be available
 	OutOfTokens  int           // holders that reported having no token
 	Unresponsive int           // holders that recently did not answer or could not serve the account
-	Gone         int           // holders that are not alive
+	NotAlive     int           // holders that are not alive
 }
 
 // AtLimit reports whether the account is at its limit: all holders reported having no token.
 // During a network partition this is false, since instances on the other side may reach
 // the holders that are unreachable here.
-func (s Shortage) AtLimit() bool { return s.OutOfTokens > 0 && s.Unresponsive == 0 && s.Gone == 0 }
+func (s Shortage) AtLimit() bool { return s.OutOfTokens > 0 && s.Unresponsive == 0 && s.NotAlive == 0 }
 
 // Take uses a cached token for an operation of an account, or returns from which holder to
 // fetch some, or why none is available.
@@ -176,13 +176,13 @@
 func (c *TokenCache) ApplyGrant(sent, now time.Duration, name, holder string, g Grant) {
 	acc := c.tokensOf(name)
 	delete(c.backoffs, holder)
-	if g.Holder {
+	if g.IsHolder {
 		delete(acc.unreadyUntil, holder)
 	}
 	switch {
-	case !g.Holder && g.RetryAfter > 0:
+	case !g.IsHolder && g.RetryAfter > 0:
 		acc.unreadyUntil[holder] = now + min(g.RetryAfter, maxBackoff)
-	case !g.Holder:
+	case !g.IsHolder:
 		acc.unreadyUntil[holder] = now + maxBackoff // its list of registered instances yields other holders
 	case g.Tokens == 0:
 		acc.emptyUntil[holder] = now + max(g.RetryAfter, minEmptyPause)
@@ -227,7 +227,7 @@
 		centre, alive := c.dataCentres[holder]
 		switch backoff, empty := max(c.backoffs[holder].until, acc.unreadyUntil[holder])-now, acc.emptyUntil[holder]-now; {
 		case !alive:
-			shortage.Gone++
+			shortage.NotAlive++
 			continue
 		case backoff > 0:
 			shortage.Unresponsive++
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -48,9 +48,9 @@
 type Limiter interface {
 	// Spend takes a token for one operation of the account. It waits no longer than patience or
 	// until ctx ends, and reports false when there is no token.
-	Spend(ctx context.Context, account string, patience time.Duration) (quota.Token, quota.Shortage, bool)
+	AcquireToken(ctx context.Context, account string, patience time.Duration) (quota.Token, quota.Shortage, bool)
 	// Return returns the token of an operation that has not run.
-	Return(account string, t quota.Token)
+	ReturnToken(account string, t quota.Token)
 	// Admit reports whether an operation may be forwarded to a carrier, or else the delay after
 	// which the client should retry.
 	Admit(v quota.Operation) (time.Duration, bool)
@@ -78,7 +78,7 @@
 	r := s.relay
 	patience := arrived + time.Duration(float64(route.LatencyObjective)*tokenWaitFraction) - answerMargin - r.now()
 	patience = min(max(patience, minTokenWait), arrived+route.Timeout-r.now())
-	token, shortage, ok := r.limiter.Spend(ctx, account, patience)
+	token, shortage, ok := r.limiter.AcquireToken(ctx, account, patience)
 	s.accountEmptyFor = 0
 	if ok {
 		s.retryAt = 0
@@ -139,7 +139,7 @@
 	if suppressed, ok := r.logSampler.Allow("limit" + account); ok {
 		r.log.WithFields(logrus.Fields{
 			"account": account, "database": database, "come_back_ms": shortage.RetryAfter.Milliseconds(), "left_out": suppressed,
-			"holders_without": shortage.OutOfTokens, "holders_silent": shortage.Unresponsive, "holders_gone": shortage.Gone,
+			"holders_without": shortage.OutOfTokens, "holders_silent": shortage.Unresponsive, "holders_gone": shortage.NotAlive,
 		}).Info("relay: an account is at its limit, or those that hold it could not be asked")
 	}
 }
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -144,11 +144,11 @@
 // unlimited is a Limiter that refuses nothing.
 type unlimited struct{}
 
-func (unlimited) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+func (unlimited) AcquireToken(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	return quota.Token{}, quota.Shortage{}, true
 }
 
-func (unlimited) Return(string, quota.Token) {}
+func (unlimited) ReturnToken(string, quota.Token) {}
 
 func (unlimited) Admit(quota.Operation) (time.Duration, bool) { return 0, true }
 
@@ -166,12 +166,12 @@
 
 const testRetryAfter = 70 * time.Millisecond
 
-func (l *fixedTokens) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *fixedTokens) AcquireToken(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	l.left--
 	return quota.Token{}, quota.Shortage{RetryAfter: testRetryAfter, OutOfTokens: 1}, l.left >= 0
 }
 
-func (l *fixedTokens) Return(string, quota.Token) { l.left++ }
+func (l *fixedTokens) ReturnToken(string, quota.Token) { l.left++ }
 
 // An operation beyond the account's limit is refused at once, with a delay after which to retry. A
 // transaction counts as one operation.
@@ -235,7 +235,7 @@
 	for _, id := range []string{"m1", "m2"} {
 		m := f.group.Entry(id)
 		if id == "m2" {
-			m.Born = 8
+			m.Incarnation = 8
 		}
 		state.SetMember(0, m, false)
 	}
@@ -254,12 +254,12 @@
 	expired, spent int
 }
 
-func (l *expiringLimiter) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *expiringLimiter) AcquireToken(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	l.spent++
 	if l.spent <= l.expired {
-		return quota.TokenUntil(1), quota.Shortage{}, true
+		return quota.NewToken(1), quota.Shortage{}, true
 	}
-	return quota.TokenUntil(time.Hour), quota.Shortage{}, true
+	return quota.NewToken(time.Hour), quota.Shortage{}, true
 }
 
 // A statement that was queued until its token expired needs another one before it is sent, since
--- a/internal/relay/disconnect_test.go
+++ b/internal/relay/disconnect_test.go
@@ -89,12 +89,12 @@
 	return &recordingLimiter{used: make(chan struct{}, 10), returned: make(chan struct{}, 10)}
 }
 
-func (l *recordingLimiter) Spend(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *recordingLimiter) AcquireToken(context.Context, string, time.Duration) (quota.Token, quota.Shortage, bool) {
 	l.used <- struct{}{}
 	return quota.Token{}, quota.Shortage{}, true
 }
 
-func (l *recordingLimiter) Return(string, quota.Token) { l.returned <- struct{}{} }
+func (l *recordingLimiter) ReturnToken(string, quota.Token) { l.returned <- struct{}{} }
 
 var write = statement.Statement{ID: "w", Kind: statement.Write, Text: "WRITE 1 x"}
 
--- a/internal/relay/execute.go
+++ b/internal/relay/execute.go
@@ -127,7 +127,7 @@
 func (a *attempt) spendAnotherToken() bool {
 	var ok bool
 	patience := min(a.deadline, a.arrived+a.route.LatencyObjective) - a.now()
-	if a.token, _, ok = a.session.relay.limiter.Spend(a.ctx, a.account, patience); !ok {
+	if a.token, _, ok = a.session.relay.limiter.AcquireToken(a.ctx, a.account, patience); !ok {
 		a.reason, a.atLimit = "the account is at its limit", true
 		return false
 	}
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -43,7 +43,7 @@
 		if ctx.Err() != nil || s.relay.now() >= arrived+route.Timeout {
 			break
 		}
-		answer, tryNext := s.forwardTo(ctx, st, route, query, carriers[choice.At(i)], arrived, i+1 < choice.Open)
+		answer, tryNext := s.forwardTo(ctx, st, route, query, carriers[choice.At(i)], arrived, i+1 < choice.Admitting)
 		if !tryNext {
 			return answer
 		}
--- a/internal/relay/ingress_test.go
+++ b/internal/relay/ingress_test.go
@@ -71,7 +71,7 @@
 	asked    int
 }
 
-func (l *emptyLimiter) Spend(_ context.Context, name string, _ time.Duration) (quota.Token, quota.Shortage, bool) {
+func (l *emptyLimiter) AcquireToken(_ context.Context, name string, _ time.Duration) (quota.Token, quota.Shortage, bool) {
 	if name != "hot" {
 		return quota.Token{}, quota.Shortage{}, true
 	}
@@ -109,7 +109,7 @@
 // that are impossible. The ingress instance must then go on forwarding.
 func TestIngressForwardsWhenShortageIsUnknown(t *testing.T) {
 	for _, shortage := range []quota.Shortage{
-		{RetryAfter: time.Second, Unresponsive: 1}, {RetryAfter: time.Second, Unresponsive: 1, OutOfTokens: 5}, {RetryAfter: time.Second, Gone: 6}, {RetryAfter: time.Second, OutOfTokens: 2, Gone: 4},
+		{RetryAfter: time.Second, Unresponsive: 1}, {RetryAfter: time.Second, Unresponsive: 1, OutOfTokens: 5}, {RetryAfter: time.Second, NotAlive: 6}, {RetryAfter: time.Second, OutOfTokens: 2, NotAlive: 4},
 		{RetryAfter: -time.Second, OutOfTokens: 1}, {RetryAfter: time.Hour, OutOfTokens: 1},
 	} {
 		f := newFixture(t)
--- a/internal/relay/queueing.go
+++ b/internal/relay/queueing.go
@@ -274,7 +274,7 @@
 // lost.
 func (a *attempt) refuse() statement.Answer {
 	if !a.mayHaveRun {
-		a.session.relay.limiter.Return(a.account, a.token)
+		a.session.relay.limiter.ReturnToken(a.account, a.token)
 	}
 	if a.readFailures > 0 {
 		return a.lastFailure
--- a/internal/relay/upstreams.go
+++ b/internal/relay/upstreams.go
@@ -82,7 +82,7 @@
 	u.snap, u.placement, u.dataCentre = snap, placement, dataCentre
 	for id, upstream := range u.members {
 		current, ok := snap.Member(id)
-		if !ok || current.Address != upstream.address || current.Born != upstream.born {
+		if !ok || current.Address != upstream.address || current.Incarnation != upstream.born {
 			upstream.pool.Close()
 			delete(u.members, id)
 			continue
@@ -120,7 +120,7 @@
 }
 
 func (u *Upstreams) newUpstreamState(m topology.Member) *upstreamState {
-	upstream := &upstreamState{id: m.ID, group: m.Group, address: m.Address, born: m.Born, draining: m.Draining, lag: -1, createdAt: u.now()}
+	upstream := &upstreamState{id: m.ID, group: m.Group, address: m.Address, born: m.Incarnation, draining: m.Draining, lag: -1, createdAt: u.now()}
 	cfg := connpool.Config{
 		Queue:       pool.Config{Capacity: 1, MaxQueue: maxQueue, KeepUntilDeadline: true},
 		Dials:       concurrentDials,
@@ -143,7 +143,7 @@
 // isFull reports whether a member refused a connection because it has too many.
 func isFull(err error) bool {
 	var refusal *statement.Error
-	return errors.As(err, &refusal) && refusal.Code == statement.TooMany
+	return errors.As(err, &refusal) && refusal.Code == statement.TooManyConnections
 }
 
 // get returns a member's state and creates it if needed. It returns nil if no member has that ID.
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -129,7 +129,7 @@
 // askMembers asks all members concurrently, the primary only when an answer to a read waits.
 func (r *Relay) askMembers(round *verificationRound, group string) {
 	ref, snap := round.primaryRef, r.snapshot()
-	if len(snap.DepartedFrom(group)) > 0 {
+	if len(snap.RecentlyDeparted(group)) > 0 {
 		return // a member whose entry is gone may have returned and been promoted, and cannot be asked
 	}
 	var asked sync.WaitGroup
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -21,7 +21,7 @@
 	Idempotent bool          // the request carries a request key and is idempotent
 	OwnerHint  bool          // the rejection names the owner of the group
 	Attempt    int           // number of the failed attempt, from 1
-	Left       time.Duration // time until the request's deadline
+	TimeLeft   time.Duration // time until the request's deadline
 	Jitter     float64       // uniformly distributed in [0, 1)
 }
 
@@ -52,7 +52,7 @@
 		delay = min(minDelay<<min(o.Attempt-1, maxShift), maxDelay)
 	}
 	delay = delay/2 + time.Duration(o.Jitter*float64(delay)/2)
-	if delay >= o.Left {
+	if delay >= o.TimeLeft {
 		return Decision{}
 	}
 	return Decision{Retry: true, Delay: delay}
@@ -65,7 +65,7 @@
 
 // retryable reports whether the request may be retried at all.
 func retryable(o Outcome) bool {
-	if o.Delivered || o.Left <= 0 {
+	if o.Delivered || o.TimeLeft <= 0 {
 		return false
 	}
 	if o.NotSent {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -16,19 +16,19 @@
 		o    Outcome
 		want bool
 	}{
-		{"not sent", Outcome{NotSent: true, Left: second}, true},
-		{"not owner", Outcome{Refusal: peerpb.Refusal_REFUSAL_NOT_OWNER, Left: second}, true},
-		{"no primary", Outcome{Refusal: peerpb.Refusal_REFUSAL_NO_PRIMARY, Left: second}, true},
-		{"unknown", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Left: second}, false},
-		{"unknown with a key", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Idempotent: true, Left: second}, true},
-		{"broken", Outcome{Broken: true, Left: second}, false},
-		{"broken with a key", Outcome{Broken: true, Idempotent: true, Left: second}, true},
-		{"partly delivered", Outcome{Broken: true, Idempotent: true, Delivered: true, Left: second}, false},
-		{"queue full", Outcome{Refusal: peerpb.Refusal_REFUSAL_QUEUE_FULL, Left: second}, false},
-		{"lost writes", Outcome{Refusal: peerpb.Refusal_REFUSAL_LOST_WRITES, Left: second}, false},
-		{"key mismatch", Outcome{Refusal: peerpb.Refusal_REFUSAL_KEY_MISMATCH, Idempotent: true, Left: second}, false},
+		{"not sent", Outcome{NotSent: true, TimeLeft: second}, true},
+		{"not owner", Outcome{Refusal: peerpb.Refusal_REFUSAL_NOT_OWNER, TimeLeft: second}, true},
+		{"no primary", Outcome{Refusal: peerpb.Refusal_REFUSAL_NO_PRIMARY, TimeLeft: second}, true},
+		{"unknown", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, TimeLeft: second}, false},
+		{"unknown with a key", Outcome{Refusal: peerpb.Refusal_REFUSAL_UNKNOWN_OUTCOME, Idempotent: true, TimeLeft: second}, true},
+		{"broken", Outcome{Broken: true, TimeLeft: second}, false},
+		{"broken with a key", Outcome{Broken: true, Idempotent: true, TimeLeft: second}, true},
+		{"partly delivered", Outcome{Broken: true, Idempotent: true, Delivered: true, TimeLeft: second}, false},
+		{"queue full", Outcome{Refusal: peerpb.Refusal_REFUSAL_QUEUE_FULL, TimeLeft: second}, false},
+		{"lost writes", Outcome{Refusal: peerpb.Refusal_REFUSAL_LOST_WRITES, TimeLeft: second}, false},
+		{"key mismatch", Outcome{Refusal: peerpb.Refusal_REFUSAL_KEY_MISMATCH, Idempotent: true, TimeLeft: second}, false},
 		{"no time left", Outcome{NotSent: true}, false},
-		{"less time left than the delay", Outcome{NotSent: true, Left: time.Millisecond, Jitter: 0.9}, false},
+		{"less time left than the delay", Outcome{NotSent: true, TimeLeft: time.Millisecond, Jitter: 0.9}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	short := 0
 	for range 1000 {
 		b.Earn()
-		d := Next(Outcome{NotSent: true, Attempt: 1, Left: time.Second, Jitter: 0.5}, b)
+		d := Next(Outcome{NotSent: true, Attempt: 1, TimeLeft: time.Second, Jitter: 0.5}, b)
 		must.True(t, d.Retry)
 		if d.Delay < maxDelay/2 {
 			short++
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -27,10 +27,10 @@
 
 // View is a snapshot of a group.
 type View struct {
-	Members       []Member
-	MaxWait       time.Duration // longest wait for a replica to catch up
-	Fallback      int           // how many reads may run on the primary at once because no replica can serve them
-	FallbackReads int           // how many reads run on the primary now for that reason
+	Members        []Member
+	MaxReplicaWait time.Duration // longest wait for a replica to catch up
+	Fallback       int           // how many reads may run on the primary at once because no replica can serve them
+	FallbackReads  int           // how many reads run on the primary now for that reason
 }
 
 // Choice is the action to take for a read.
@@ -56,7 +56,7 @@
 	Required group.Position // position that the member's log must hold
 	Age      time.Duration  // since the required position was acknowledged
 	Waited   time.Duration  // time already spent waiting for a replica
-	Left     time.Duration  // time until the read's deadline
+	TimeLeft time.Duration  // time until the read's deadline
 }
 
 // Route chooses a member for a read. It prefers the least loaded replica that holds the
@@ -69,14 +69,14 @@
 		return Decision{Choice: Use, Member: m.Name, Reason: "replica holds the position"}
 	}
 	delay, catchingUp := shortestCatchUp(v, r.Age)
-	if catchingUp && r.Waited+delay <= v.MaxWait && delay < r.Left {
+	if catchingUp && r.Waited+delay <= v.MaxReplicaWait && delay < r.TimeLeft {
 		return Decision{Choice: Wait, Reason: "a replica is about to catch up"}
 	}
 	primary := findPrimary(v)
 	if primary != nil && v.FallbackReads < v.Fallback {
 		return Decision{Choice: Use, Member: primary.Name, Fallback: true, Reason: fallbackReason(catchingUp)}
 	}
-	if r.Left <= 0 || primary == nil && !catchingUp {
+	if r.TimeLeft <= 0 || primary == nil && !catchingUp {
 		return Decision{Choice: Refuse, Reason: "no member holds the position"}
 	}
 	return Decision{Choice: Wait, Reason: "the primary's share of reads is used up"}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,9 +23,9 @@
 
 func drawView(t *rapid.T) *View {
 	v := &View{
-		MaxWait:       time.Duration(rapid.IntRange(0, 100).Draw(t, "maxWait")) * time.Millisecond,
-		Fallback:      rapid.IntRange(0, 3).Draw(t, "fallback"),
-		FallbackReads: rapid.IntRange(0, 4).Draw(t, "onPrimary"),
+		MaxReplicaWait: time.Duration(rapid.IntRange(0, 100).Draw(t, "maxWait")) * time.Millisecond,
+		Fallback:       rapid.IntRange(0, 3).Draw(t, "fallback"),
+		FallbackReads:  rapid.IntRange(0, 4).Draw(t, "onPrimary"),
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "members") {
 		v.Members = append(v.Members, Member{
@@ -51,7 +51,7 @@
 		r := Request{
 			Required: at(rapid.Uint64Range(0, 10).Draw(t, "required")),
 			Waited:   time.Duration(rapid.IntRange(0, 150).Draw(t, "waited")) * time.Millisecond,
-			Left:     time.Duration(rapid.IntRange(-10, 1000).Draw(t, "left")) * time.Millisecond,
+			TimeLeft: time.Duration(rapid.IntRange(-10, 1000).Draw(t, "left")) * time.Millisecond,
 		}
 		ready := false
 		for _, m := range v.Members {
@@ -62,7 +62,7 @@
 			t.Fatalf("replica ready: %t, decision %+v", ready, d)
 		}
 		if d.Choice != Use {
-			if d.Choice == Wait && r.Left <= 0 && v.FallbackReads >= v.Fallback {
+			if d.Choice == Wait && r.TimeLeft <= 0 && v.FallbackReads >= v.Fallback {
 				t.Fatalf("read waits beyond its deadline: %+v", d)
 			}
 			return
@@ -88,7 +88,7 @@
 
 func TestRouteDecisions(t *testing.T) {
 	base := func() *View {
-		return &View{MaxWait: 50 * time.Millisecond, Fallback: 2, Members: []Member{
+		return &View{MaxReplicaWait: 50 * time.Millisecond, Fallback: 2, Members: []Member{
 			{Name: "p", Primary: true, Healthy: true, Position: at(10)},
 			{Name: "r1", Healthy: true, Position: at(9), Lag: 10 * time.Millisecond, Capacity: 8},
 			{Name: "r2", Healthy: true, Position: at(5), Lag: 5 * time.Second, Capacity: 8},
@@ -100,15 +100,15 @@
 		req    Request
 		want   Decision
 	}{
-		{"caught up", func(*View) {}, Request{Required: at(9), Left: time.Second}, Decision{Choice: Use, Member: "r1"}},
-		{"about to catch up", func(*View) {}, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
-		{"waited for the longest allowed time", func(*View) {}, Request{Required: at(10), Waited: 45 * time.Millisecond, Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
-		{"far behind", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
-		{"fallback limit reached", func(v *View) { v.Members[1].Lag, v.FallbackReads = time.Second, 2 }, Request{Required: at(10), Left: time.Second}, Decision{Choice: Wait}},
-		{"position older than the lag", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 2 * time.Second, Left: time.Second}, Decision{Choice: Wait}},
-		{"about to catch up with an old position", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, Left: time.Second}, Decision{Choice: Wait}},
-		{"less loaded replica", func(v *View) { v.Members[1].InFlight = 3 }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Use, Member: "r2"}},
-		{"no members", func(v *View) { v.Members = nil }, Request{Required: at(5), Left: time.Second}, Decision{Choice: Refuse}},
+		{"caught up", func(*View) {}, Request{Required: at(9), TimeLeft: time.Second}, Decision{Choice: Use, Member: "r1"}},
+		{"about to catch up", func(*View) {}, Request{Required: at(10), TimeLeft: time.Second}, Decision{Choice: Wait}},
+		{"waited for the longest allowed time", func(*View) {}, Request{Required: at(10), Waited: 45 * time.Millisecond, TimeLeft: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
+		{"far behind", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), TimeLeft: time.Second}, Decision{Choice: Use, Member: "p", Fallback: true}},
+		{"fallback limit reached", func(v *View) { v.Members[1].Lag, v.FallbackReads = time.Second, 2 }, Request{Required: at(10), TimeLeft: time.Second}, Decision{Choice: Wait}},
+		{"position older than the lag", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 2 * time.Second, TimeLeft: time.Second}, Decision{Choice: Wait}},
+		{"about to catch up with an old position", func(v *View) { v.Members[1].Lag = time.Second }, Request{Required: at(10), Age: 970 * time.Millisecond, TimeLeft: time.Second}, Decision{Choice: Wait}},
+		{"less loaded replica", func(v *View) { v.Members[1].InFlight = 3 }, Request{Required: at(5), TimeLeft: time.Second}, Decision{Choice: Use, Member: "r2"}},
+		{"no members", func(v *View) { v.Members = nil }, Request{Required: at(5), TimeLeft: time.Second}, Decision{Choice: Refuse}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/sqlclass/sqlclass.go
+++ b/internal/sqlclass/sqlclass.go
@@ -124,7 +124,7 @@
 
 // Taints reports whether a statement may leave session state on the connection, which then
 // cannot be shared with other clients.
-func (c *Class) Taints() bool {
+func (c *Class) LeavesSessionState() bool {
 	for _, s := range c.Statements {
 		if s.Taints {
 			return true
--- a/internal/sqlclass/sqlclass_test.go
+++ b/internal/sqlclass/sqlclass_test.go
@@ -45,7 +45,7 @@
 		class := c.Classify(tc.sql)
 		must.Eq(t, tc.read, class.ReadOnly(), must.Sprint(tc.sql))
 		must.Eq(t, tc.refused, class.Refusal() != "", must.Sprint(tc.sql))
-		must.Eq(t, tc.taints, class.Taints(), must.Sprint(tc.sql))
+		must.Eq(t, tc.taints, class.LeavesSessionState(), must.Sprint(tc.sql))
 	}
 }
 
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -27,7 +27,7 @@
 	Instances    int                          // number of instances to start
 	Lag          time.Duration                // replica lag of the group
 	Database     string                       // name of the database and of its service; empty: roster
-	CallerAddr   func(i int) string           // address on which instance i serves clients; nil: any free port
+	ClientAddr   func(i int) string           // address on which instance i serves clients; nil: any free port
 	Operator     string                       // address on which the first instance serves operators; empty: any free port
 	Connections  int                          // to each member; 0: 8
 	QueueTimeout time.Duration                // of the service; 0: 3 s
@@ -35,7 +35,7 @@
 	Ack          resource.Acknowledgement     // when a write is acknowledged; empty: AckPrimary
 	Log          *logrus.Logger               // nil: logs are discarded
 	Adjust       func(*config.Settings)       // changes the settings of each instance before it starts; may be nil
-	Pause        func(i int, _ owner.Step)    // called at each step of instance i's owner, to inject faults; may be nil
+	FaultHook    func(i int, _ owner.Step)    // called at each step of instance i's owner, to inject faults; may be nil
 	Services     []resource.Resource          // additional services to declare
 	DataCentres  func(instance int) string    // data centre of each instance; nil: dc1, dc2 and dc3 in turn
 	NoDatabase   bool                         // declare neither database nor services
@@ -166,7 +166,7 @@
 
 // List writes the platform's entry of an instance, which registers it or marks it as
 // leaving.
-func (f *Fleet) List(name string, spec resource.InstanceSpec) {
+func (f *Fleet) PutInstance(name string, spec resource.InstanceSpec) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // specs can always be encoded
@@ -191,8 +191,8 @@
 		settings.DataCentre = f.opts.DataCentres(i)
 	}
 	settings.ClientListen, settings.PeerListen, settings.OperatorListen = anyPort, anyPort, anyPort
-	if f.opts.CallerAddr != nil {
-		settings.ClientListen = f.opts.CallerAddr(i)
+	if f.opts.ClientAddr != nil {
+		settings.ClientListen = f.opts.ClientAddr(i)
 	}
 	if f.opts.Operator != "" && i == 0 {
 		settings.OperatorListen = f.opts.Operator
@@ -205,8 +205,8 @@
 		f.opts.Adjust(settings)
 	}
 	var pause func(owner.Step)
-	if f.opts.Pause != nil {
-		pause = func(s owner.Step) { f.opts.Pause(i, s) }
+	if f.opts.FaultHook != nil {
+		pause = func(s owner.Step) { f.opts.FaultHook(i, s) }
 	}
 	inst, err := instance.New(settings, f.opts.Log, instance.Options{FaultHook: pause})
 	if err != nil {
@@ -215,7 +215,7 @@
 	if err := inst.Start(); err != nil {
 		return nil, err
 	}
-	f.List(inst.Name(), resource.InstanceSpec{Address: inst.PeerAddr(), DataCentre: settings.DataCentre})
+	f.PutInstance(inst.Name(), resource.InstanceSpec{Address: inst.PeerAddr(), DataCentre: settings.DataCentre})
 	for len(f.Instances) <= i {
 		f.Instances = append(f.Instances, nil)
 	}
@@ -297,6 +297,6 @@
 
 // PinCallerAddresses sets the addresses on which restarted instances serve clients, so
 // that they listen on the same ones as before.
-func (f *Fleet) PinCallerAddresses(addrs []string) {
-	f.opts.CallerAddr = func(i int) string { return addrs[i] }
+func (f *Fleet) PinClientAddresses(addrs []string) {
+	f.opts.ClientAddr = func(i int) string { return addrs[i] }
 }
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -273,7 +273,7 @@
 	for _, p := range txn.Puts {
 		s.put(p)
 	}
-	for _, key := range txn.Delete {
+	for _, key := range txn.Deletes {
 		s.remove(key)
 	}
 	s.notifyWatches()
--- a/internal/standin/pggroup/faults.go
+++ b/internal/standin/pggroup/faults.go
@@ -90,10 +90,10 @@
 func (m *Member) Resume() { m.faults.pause.open() }
 
 // CutFrom blocks all traffic between the member and an instance.
-func (m *Member) CutFrom(instance string) { m.faults.instanceGate(instance).close() }
+func (m *Member) BlockTraffic(instance string) { m.faults.instanceGate(instance).close() }
 
 // Heal undoes CutFrom.
-func (m *Member) Heal(instance string) { m.faults.instanceGate(instance).open() }
+func (m *Member) UnblockTraffic(instance string) { m.faults.instanceGate(instance).open() }
 
 // SetStuck stops or resumes the replication of this member.
 func (m *Member) SetStuck(stuck bool) { m.faults.replicationStopped.Store(stuck) }
--- a/internal/standin/platformstore/platformstore.go
+++ b/internal/standin/platformstore/platformstore.go
@@ -161,7 +161,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	txn := kv.Txn{Delete: body.Delete}
+	txn := kv.Txn{Deletes: body.Delete}
 	for _, e := range body.Expect {
 		txn.Conditions = append(txn.Conditions, kv.Condition{Key: e.Key, Revision: e.ModRevision})
 	}
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -55,26 +55,26 @@
 
 // The error codes. NotRun tells which of them guarantee that the statement had no effect.
 const (
-	Busy              Code = iota + 1 // no connection was available in time
-	Aborted                           // the transaction was rolled back
-	Lagging                           // the replica's log has not reached the required position
-	ReadOnly                          // the member is not the primary
-	Misrouted                         // another member answers at that address
-	TooMany                           // the member accepts no more connections
-	Unprepared                        // the member does not have the prepared statement
-	NoDatabase                        // no route for the database exists
-	Unauthenticated                   // the client's key belongs to no account
-	Malformed                         // the request cannot be parsed
-	StatementFailed                   // the statement ran and failed
-	TimedOut                          // no answer in time: the statement may have run
-	OutcomeUnknown                    // the answer was lost: the statement may have run
-	UnrecognisedError                 // the member returned an unrecognised code: the statement may have run
+	Busy               Code = iota + 1 // no connection was available in time
+	Aborted                            // the transaction was rolled back
+	Lagging                            // the replica's log has not reached the required position
+	ReadOnly                           // the member is not the primary
+	Misrouted                          // another member answers at that address
+	TooManyConnections                 // the member accepts no more connections
+	Unprepared                         // the member does not have the prepared statement
+	NoDatabase                         // no route for the database exists
+	Unauthenticated                    // the client's key belongs to no account
+	Malformed                          // the request cannot be parsed
+	StatementFailed                    // the statement ran and failed
+	TimedOut                           // no answer in time: the statement may have run
+	OutcomeUnknown                     // the answer was lost: the statement may have run
+	UnrecognisedError                  // the member returned an unrecognised code: the statement may have run
 )
 
 // NotRun reports whether the code guarantees that the attempt had no lasting effect.
 func (c Code) NotRun() bool {
 	switch c {
-	case Busy, Aborted, Lagging, ReadOnly, Misrouted, TooMany, Unprepared, NoDatabase, Unauthenticated, Malformed:
+	case Busy, Aborted, Lagging, ReadOnly, Misrouted, TooManyConnections, Unprepared, NoDatabase, Unauthenticated, Malformed:
 		return true
 	}
 	return false
@@ -90,7 +90,7 @@
 
 var codeNames = map[Code]string{
 	Busy: "busy", Aborted: "aborted", Lagging: "lagging", ReadOnly: "read_only",
-	Misrouted: "misrouted", TooMany: "too_many_connections", Unprepared: "unprepared",
+	Misrouted: "misrouted", TooManyConnections: "too_many_connections", Unprepared: "unprepared",
 	NoDatabase: "no_database", Unauthenticated: "unauthenticated", Malformed: "malformed", StatementFailed: "failed",
 	TimedOut: "timed_out", OutcomeUnknown: "outcome_unknown", UnrecognisedError: "unrecognised",
 }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -66,7 +66,7 @@
 
 	// Born distinguishes the starts of a member with the same ID. A restarted member has lost
 	// its earlier data and state. 0: the member does not report it.
-	Born int64
+	Incarnation int64
 
 	Revision int64         // store revision of the entry's last change
 	Since    time.Duration // time from which the entry has been present without interruption
@@ -104,7 +104,7 @@
 // DepartedFrom returns the members of a group whose entries vanished so recently that they may
 // have been back in the store since this instance's last contact with it. The caller must not
 // modify the slice.
-func (s *Snapshot) DepartedFrom(group string) []Member {
+func (s *Snapshot) RecentlyDeparted(group string) []Member {
 	members, _ := s.departed.Get(group)
 	return members
 }
@@ -187,7 +187,7 @@
 
 // TakeChanged returns the sorted names of the groups whose declaration or members have changed
 // since the last call.
-func (s *State) TakeChanged() []string {
+func (s *State) TakeChangedGroups() []string {
 	if len(s.changed) == 0 {
 		return nil
 	}
@@ -203,7 +203,7 @@
 func (s *State) SetMember(now time.Duration, m Member, listed bool) bool {
 	_, missing := s.missingSince[m.ID]
 	known, ok := s.current.members.Get(m.ID)
-	if m.Since = known.Since; !ok || missing || known.Born != m.Born || listed && known.Revision != m.Revision {
+	if m.Since = known.Since; !ok || missing || known.Incarnation != m.Incarnation || listed && known.Revision != m.Revision {
 		m.Since = now
 	}
 	if ok && known == m && !missing {
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -31,10 +31,10 @@
 	must.Len(t, 1, s.Snapshot().MembersOf("g"))
 	must.True(t, s.Expire(2*time.Second))
 	must.SliceEmpty(t, s.Snapshot().MembersOf("g"))
-	must.Len(t, 1, s.Snapshot().DepartedFrom("g"))
+	must.Len(t, 1, s.Snapshot().RecentlyDeparted("g"))
 	must.False(t, s.Expire(4*time.Second-1))
 	must.True(t, s.Expire(4*time.Second))
-	must.SliceEmpty(t, s.Snapshot().DepartedFrom("g"))
+	must.SliceEmpty(t, s.Snapshot().RecentlyDeparted("g"))
 
 	s.SetMember(3*time.Second, Member{ID: "b", Group: "g"}, false)
 	s.MarkMissingExcept(3*time.Second, map[string]bool{})
@@ -64,9 +64,9 @@
 // A member that was restarted under its ID counts as new: it has been present since the restart.
 func TestRestartedMemberCountsAsNew(t *testing.T) {
 	s := New(time.Second, time.Minute)
-	s.SetMember(1, Member{ID: "a", Group: "g", Born: 7}, false)
-	must.False(t, s.SetMember(5, Member{ID: "a", Group: "g", Born: 7}, false))
+	s.SetMember(1, Member{ID: "a", Group: "g", Incarnation: 7}, false)
+	must.False(t, s.SetMember(5, Member{ID: "a", Group: "g", Incarnation: 7}, false))
 	must.Eq(t, 1, member(s, "a").Since)
-	must.True(t, s.SetMember(9, Member{ID: "a", Group: "g", Born: 8}, false))
+	must.True(t, s.SetMember(9, Member{ID: "a", Group: "g", Incarnation: 8}, false))
 	must.Eq(t, 9, member(s, "a").Since)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -132,7 +132,7 @@
 func (c *Conn) Synced() bool { return !c.unsynced }
 
 // Taint marks the connection as holding session state that only DISCARD ALL clears.
-func (c *Conn) Taint() { c.tainted = true }
+func (c *Conn) MarkNeedsDiscard() { c.tainted = true }
 
 // MarkSettingsChanged records that a batch may have changed run-time parameters.
 func (c *Conn) MarkSettingsChanged() { c.settingsChanged = true }
