--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -230,7 +230,7 @@
 }
 
 // pauser blocks all goroutines of an instance's groups, like a paused process. Its
-// hook is the fleet's Options.Pause.
+// hook is the fleet's Options.FaultHook.
 type pauser struct {
 	instance atomic.Int64
 	step     atomic.Value // owner.Step at which to pause, "" for none
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -26,7 +26,7 @@
 	maxConcurrentAttests = 16
 )
 
-// Locate sets the distances between data centres. It must be called before the first Tick.
+// SetLocalities sets the distances between data centres. It must be called before the first Tick.
 // Without it all other data centres count as equally far.
 func (c *Controller) SetLocalities(localities locality.Map) { c.localities = localities }
 
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -158,7 +158,7 @@
 // started together, and then they know of one another.
 const assumedJoinedDivisor = 5
 
-// Joined returns how many of the registered instances may be unknown to an instance whose
+// RecentlyJoined returns how many of the registered instances may be unknown to an instance whose
 // last answer of the store is as old as attestations permit.
 func (r *registry) RecentlyJoined(now time.Duration) int {
 	if now-r.followedSince < attestedUseLapseTime {
@@ -218,7 +218,7 @@
 	return before
 }
 
-// Registration returns the transaction that registers an instance and marks it as alive
+// RegistrationTxn returns the transaction that registers an instance and marks it as alive
 // under its lease. The transaction is conditional, so that a delayed one cannot overwrite
 // the registration of a later process with the same name.
 func (r *registry) RegistrationTxn(self Instance, lease kv.LeaseID) kv.Txn {
--- a/internal/lead/select.go
+++ b/internal/lead/select.go
@@ -19,7 +19,7 @@
 	Unreached       bool           // unreachable instances may still use the old primary, so only members that they know may be promoted
 	KnownBefore     time.Duration  // they know each member that has been known here since before this time
 	SeenRevision    int64          // they know each member whose entry has been unchanged since this store revision; 0: unknown
-	AllowShorterLog bool           // promote a member whose log does not reach Last, instead of waiting longer
+	AllowShorterLog bool           // promote a member whose log does not reach FinalPosition, instead of waiting longer
 }
 
 // knownToUnreachable reports whether each unreachable instance knows a member. If it does,
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -130,8 +130,8 @@
 	l.buckets.SetSettledAt(at)
 }
 
-// Spend uses a token of an account for one operation. It usually takes a cached token at
-// once; otherwise it waits for one for at most patience, or until ctx is done. If it gets
+// AcquireToken uses a token of an account for one operation. It usually takes a cached token
+// at once; otherwise it waits for one for at most patience, or until ctx is done. If it gets
 // none it returns false and the reason.
 func (l *Limiter) AcquireToken(ctx context.Context, name string, patience time.Duration) (quota.Token, quota.Shortage, bool) {
 	if !l.isLimited(name) {
@@ -172,7 +172,7 @@
 	return name != account.Anonymous && !(known && limit.Unlimited)
 }
 
-// Return puts back the token of an operation that did not run.
+// ReturnToken puts back the token of an operation that did not run.
 func (l *Limiter) ReturnToken(name string, t quota.Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -64,7 +64,7 @@
 
 // SetList applies the platform's list of instances. The list can lack new instances
 // and contain stopped ones, so an instance that is not listed is kept while it has
-// been in contact within Config.Introduced.
+// been in contact within Config.UnlistedRetention.
 func (s *State) SetList(now time.Duration, list []Instance) {
 	s.listed = true
 	for _, r := range s.records {
@@ -91,7 +91,7 @@
 	return r
 }
 
-// prune drops unlisted instances without contact within Config.Introduced.
+// prune drops unlisted instances without contact within Config.UnlistedRetention.
 func (s *State) prune(now time.Duration) {
 	for name, r := range s.records {
 		lastSeen := max(r.lastContact, r.introducedAt)
--- a/internal/owner/group.go
+++ b/internal/owner/group.go
@@ -44,7 +44,7 @@
 	ReplicaAck   bool
 }
 
-// Step identifies a place in the code at which Options.Pause is called.
+// Step identifies a place in the code at which Options.FaultHook is called.
 type Step string
 
 // The steps of a statement and of the control loop.
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -14,7 +14,7 @@
 	smallest float64 // smallest known weight, used for unknown ones; 0: none is known
 }
 
-// Weigh returns the weights of some instances. An unknown weight counts as the smallest known
+// NewWeights returns the weights of some instances. An unknown weight counts as the smallest known
 // one.
 func NewWeights(instances []Instance) Weights {
 	w := Weights{equal: true}
@@ -29,10 +29,10 @@
 	return w
 }
 
-// Alike reports whether all instances have the same weight.
+// AllEqual reports whether all instances have the same weight.
 func (w Weights) AllEqual() bool { return w.equal }
 
-// Least returns the smallest known weight, which also stands for unknown ones. It is 1 when none
+// Min returns the smallest known weight, which also stands for unknown ones. It is 1 when none
 // is known.
 func (w Weights) Min() float64 {
 	if w.smallest > 0 {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -61,7 +61,7 @@
 
 // Route chooses a member for a read. It prefers the least loaded replica that holds the
 // required position. If there is none, the read waits as long as some replica is expected to
-// catch up within MaxWait and before the deadline. Otherwise the primary serves it, up to
+// catch up within MaxReplicaWait and before the deadline. Otherwise the primary serves it, up to
 // View.Fallback such reads at once. Beyond that limit the read keeps waiting, so that lagging
 // replicas do not overload the primary.
 func Route(v *View, r Request) Decision {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -164,7 +164,7 @@
 	return f.Store.Put(Prefix+"resources/"+string(r.Kind)+"/"+r.Metadata.Name, raw)
 }
 
-// List writes the platform's entry of an instance, which registers it or marks it as
+// PutInstance writes the platform's entry of an instance, which registers it or marks it as
 // leaving.
 func (f *Fleet) PutInstance(name string, spec resource.InstanceSpec) {
 	raw, err := json.Marshal(spec)
@@ -295,7 +295,7 @@
 // SetSeeds sets the seed instances in the settings of instances started from now on.
 func (f *Fleet) SetSeeds(seeds []membership.Instance) { f.seeds = seeds }
 
-// PinCallerAddresses sets the addresses on which restarted instances serve clients, so
+// PinClientAddresses sets the addresses on which restarted instances serve clients, so
 // that they listen on the same ones as before.
 func (f *Fleet) PinClientAddresses(addrs []string) {
 	f.opts.ClientAddr = func(i int) string { return addrs[i] }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -64,7 +64,7 @@
 	Primary    bool // it considers itself the primary
 	Slots      int  // how many statements it runs at once
 
-	// Born distinguishes the starts of a member with the same ID. A restarted member has lost
+	// Incarnation distinguishes the starts of a member with the same ID. A restarted member has lost
 	// its earlier data and state. 0: the member does not report it.
 	Incarnation int64
 
@@ -101,7 +101,7 @@
 	return members
 }
 
-// DepartedFrom returns the members of a group whose entries vanished so recently that they may
+// RecentlyDeparted returns the members of a group whose entries vanished so recently that they may
 // have been back in the store since this instance's last contact with it. The caller must not
 // modify the slice.
 func (s *Snapshot) RecentlyDeparted(group string) []Member {
@@ -119,7 +119,7 @@
 	current      Snapshot                  // state that the next snapshot shows
 	missingSince map[string]time.Duration  // when the entry of a member that is still used vanished, by ID
 	departedByID map[string]departedMember // members that are no longer used, by ID
-	changed      map[string]struct{}       // names of groups that changed since the last TakeChanged
+	changed      map[string]struct{}       // names of groups that changed since the last TakeChangedGroups
 }
 
 // departedMember is a member that is no longer used because its entry has vanished.
@@ -185,7 +185,7 @@
 	return c
 }
 
-// TakeChanged returns the sorted names of the groups whose declaration or members have changed
+// TakeChangedGroups returns the sorted names of the groups whose declaration or members have changed
 // since the last call.
 func (s *State) TakeChangedGroups() []string {
 	if len(s.changed) == 0 {
