--- a/internal/owner/admission.go
+++ b/internal/owner/admission.go
@@ -173,10 +173,10 @@
 func (g *Group) route(v *view, p *progress, required group.Position, started, deadline time.Duration) routing.Decision {
 	now := g.opts.Now()
 	snapshot := &routing.View{
-		Members:        make([]routing.Member, 0, len(p.members)),
-		MaxReplicaWait: g.opts.MaxReplicaWait,
-		Fallback:       g.opts.MaxPrimaryReads,
-		FallbackReads:  int(g.primaryReads.Load()),
+		Members:         make([]routing.Member, 0, len(p.members)),
+		MaxReplicaWait:  g.opts.MaxReplicaWait,
+		MaxPrimaryReads: g.opts.MaxPrimaryReads,
+		FallbackReads:   int(g.primaryReads.Load()),
 	}
 	for _, m := range p.members {
 		member := routing.Member{
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -27,10 +27,10 @@
 
 // View is a snapshot of a group.
 type View struct {
-	Members        []Member
-	MaxReplicaWait time.Duration // longest wait for a replica to catch up
-	Fallback       int           // how many reads may run on the primary at once because no replica can serve them
-	FallbackReads  int           // how many reads run on the primary now for that reason
+	Members         []Member
+	MaxReplicaWait  time.Duration // longest wait for a replica to catch up
+	MaxPrimaryReads int           // how many reads may run on the primary at once because no replica can serve them
+	FallbackReads   int           // how many reads run on the primary now for that reason
 }
 
 // Choice is the action to take for a read.
@@ -62,8 +62,8 @@
 // Route chooses a member for a read. It prefers the least loaded replica that holds the
 // required position. If there is none, the read waits as long as some replica is expected to
 // catch up within MaxReplicaWait and before the deadline. Otherwise the primary serves it, up to
-// View.Fallback such reads at once. Beyond that limit the read keeps waiting, so that lagging
-// replicas do not overload the primary.
+// View.MaxPrimaryReads such reads at once. Beyond that limit the read keeps waiting, so that
+// lagging replicas do not overload the primary.
 func Route(v *View, r Request) Decision {
 	if m := readyReplica(v, r.Required); m != nil {
 		return Decision{Choice: Use, Member: m.Name, Reason: "replica holds the position"}
@@ -73,7 +73,7 @@
 		return Decision{Choice: Wait, Reason: "a replica is about to catch up"}
 	}
 	primary := findPrimary(v)
-	if primary != nil && v.FallbackReads < v.Fallback {
+	if primary != nil && v.FallbackReads < v.MaxPrimaryReads {
 		return Decision{Choice: Use, Member: primary.Name, Fallback: true, Reason: fallbackReason(catchingUp)}
 	}
 	if r.TimeLeft <= 0 || primary == nil && !catchingUp {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,9 +23,9 @@
 
 func drawView(t *rapid.T) *View {
 	v := &View{
-		MaxReplicaWait: time.Duration(rapid.IntRange(0, 100).Draw(t, "maxWait")) * time.Millisecond,
-		Fallback:       rapid.IntRange(0, 3).Draw(t, "fallback"),
-		FallbackReads:  rapid.IntRange(0, 4).Draw(t, "onPrimary"),
+		MaxReplicaWait:  time.Duration(rapid.IntRange(0, 100).Draw(t, "maxWait")) * time.Millisecond,
+		MaxPrimaryReads: rapid.IntRange(0, 3).Draw(t, "fallback"),
+		FallbackReads:   rapid.IntRange(0, 4).Draw(t, "onPrimary"),
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "members") {
 		v.Members = append(v.Members, Member{
@@ -62,7 +62,7 @@
 			t.Fatalf("replica ready: %t, decision %+v", ready, d)
 		}
 		if d.Choice != Use {
-			if d.Choice == Wait && r.TimeLeft <= 0 && v.FallbackReads >= v.Fallback {
+			if d.Choice == Wait && r.TimeLeft <= 0 && v.FallbackReads >= v.MaxPrimaryReads {
 				t.Fatalf("read waits beyond its deadline: %+v", d)
 			}
 			return
@@ -71,7 +71,7 @@
 		if !m.Healthy || !m.Primary && (m.Leaving || m.Position.Less(r.Required)) {
 			t.Fatalf("member %+v may not serve %+v", m, r)
 		}
-		if d.Fallback != m.Primary || d.Fallback && v.FallbackReads >= v.Fallback {
+		if d.Fallback != m.Primary || d.Fallback && v.FallbackReads >= v.MaxPrimaryReads {
 			t.Fatalf("fallback beyond the limit or wrongly marked: %+v", d)
 		}
 	})
@@ -88,7 +88,7 @@
 
 func TestRouteDecisions(t *testing.T) {
 	base := func() *View {
-		return &View{MaxReplicaWait: 50 * time.Millisecond, Fallback: 2, Members: []Member{
+		return &View{MaxReplicaWait: 50 * time.Millisecond, MaxPrimaryReads: 2, Members: []Member{
 			{Name: "p", Primary: true, Healthy: true, Position: at(10)},
 			{Name: "r1", Healthy: true, Position: at(9), Lag: 10 * time.Millisecond, Capacity: 8},
 			{Name: "r2", Healthy: true, Position: at(5), Lag: 5 * time.Second, Capacity: 8},
--- a/internal/sqlclass/select.go
+++ b/internal/sqlclass/select.go
@@ -44,7 +44,7 @@
 // selectFacts collects what a query does, over all nodes of its parse tree.
 type selectFacts struct {
 	writes  bool   // must run on the primary: writes, locks rows or calls an unlisted function
-	taints  bool   // see Statement.Taints
+	taints  bool   // see Statement.LeavesSessionState
 	refused string // reason for which the statement is refused, or ""
 }
 
@@ -61,7 +61,7 @@
 		return Statement{Kind: KindRefused, Reason: facts.refused}
 	}
 	if facts.writes {
-		return Statement{Kind: KindWrite, Taints: facts.taints}
+		return Statement{Kind: KindWrite, LeavesSessionState: facts.taints}
 	}
 	return Statement{Kind: KindRead}
 }
--- a/internal/sqlclass/sqlclass.go
+++ b/internal/sqlclass/sqlclass.go
@@ -33,13 +33,13 @@
 
 // Statement is the classification of one statement of a text.
 type Statement struct {
-	Kind     Kind
-	ReadOnly bool   // KindBegin: declared READ ONLY
-	Local    bool   // KindSet: SET LOCAL
-	Name     string // KindSet, KindReset: parameter; KindDeallocate: statement
-	Value    string // KindSet: new value as text
-	Reason   string // KindRefused: the unsupported feature; part of the error message to the client
-	Taints   bool   // may leave session state on the connection that a reset is not known to clear
+	Kind               Kind
+	ReadOnly           bool   // KindBegin: declared READ ONLY
+	Local              bool   // KindSet: SET LOCAL
+	Name               string // KindSet, KindReset: parameter; KindDeallocate: statement
+	Value              string // KindSet: new value as text
+	Reason             string // KindRefused: the unsupported feature; part of the error message to the client
+	LeavesSessionState bool   // may leave session state on the connection that a reset is not known to clear
 }
 
 // Class is the classification of a text, which may hold several statements.
@@ -122,11 +122,11 @@
 	return false
 }
 
-// LeavesSessionState reports whether a statement may leave session state on the connection, which then
-// cannot be shared with other clients.
+// LeavesSessionState reports whether a statement may leave session state on the connection,
+// which then cannot be shared with other clients.
 func (c *Class) LeavesSessionState() bool {
 	for _, s := range c.Statements {
-		if s.Taints {
+		if s.LeavesSessionState {
 			return true
 		}
 	}
@@ -149,14 +149,14 @@
 		if n.DiscardStmt.Target == pgquery.DiscardMode_DISCARD_ALL {
 			return Statement{Kind: KindDiscardAll}
 		}
-		return Statement{Kind: KindWrite, Taints: true}
+		return Statement{Kind: KindWrite, LeavesSessionState: true}
 	case *pgquery.Node_DeallocateStmt:
 		return Statement{Kind: KindDeallocate, Name: n.DeallocateStmt.Name}
 	}
 	if reason := refusedStatement(node); reason != "" {
 		return Statement{Kind: KindRefused, Reason: reason}
 	}
-	return Statement{Kind: KindWrite, Taints: taintingStatement(node)}
+	return Statement{Kind: KindWrite, LeavesSessionState: taintingStatement(node)}
 }
 
 // refusedStatement returns the feature of the statement that transaction pooling does not
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -185,8 +185,8 @@
 	return c
 }
 
-// TakeChangedGroups returns the sorted names of the groups whose declaration or members have changed
-// since the last call.
+// TakeChangedGroups returns the sorted names of the groups whose declaration or members have
+// changed since the last call.
 func (s *State) TakeChangedGroups() []string {
 	if len(s.changed) == 0 {
 		return nil
