--- a/internal/admission/correction.go
+++ b/internal/admission/correction.go
@@ -29,7 +29,7 @@
 // deviation, like a retransmission timeout.
 func (c *Correction) Factor() float64 { return clampCorrection(1 + c.excess + deviations*c.deviation) }
 
-// Waited records the actual wait of a request for which the backlog alone predicted another. For
+// ObserveWait records the actual wait of a request for which the backlog alone predicted another. For
 // a request that was given up, the wait is the time until then.
 func (c *Correction) ObserveWait(actual, predicted time.Duration) {
 	if predicted < minPredicted || actual < 0 {
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -13,7 +13,7 @@
 	active      bool
 }
 
-// Refused records a rejection and returns the duration of the overload so far.
+// RecordRejection records a rejection and returns the duration of the overload so far.
 func (o *Overload) RecordRejection(now time.Duration) time.Duration {
 	now = bounded(now)
 	if !o.lasts(now) {
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -460,7 +460,7 @@
 	return p.connsByAccount[r.Account]
 }
 
-// GiveBack ends a lease that has no connection.
+// ReleaseSlot ends a lease that has no connection.
 func (l *Lease[C]) ReleaseSlot() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -130,7 +130,7 @@
 	l.buckets.SetSettledAt(at)
 }
 
-// Spend uses a token of an account for one operation. It usually takes a cached token at
+// AcquireToken uses a token of an account for one operation. It usually takes a cached token at
 // once; otherwise it waits for one for at most maxWait, or until ctx is done. If it gets
 // none it returns false and the reason.
 func (l *Limiter) AcquireToken(ctx context.Context, name string, maxWait time.Duration) (quota.Token, quota.Shortage, bool) {
@@ -172,7 +172,7 @@
 	return name != account.Anonymous && !(known && limit.Unlimited)
 }
 
-// Return puts back the token of an operation that did not run.
+// ReturnToken puts back the token of an operation that did not run.
 func (l *Limiter) ReturnToken(name string, t quota.Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/owner/explain.go
+++ b/internal/owner/explain.go
@@ -8,7 +8,7 @@
 	"github.com/stackspindle/stackspindle/internal/routing"
 )
 
-// Choice is the routing decision for a statement.
+// RoutingDecision is the routing decision for a statement.
 type RoutingDecision struct {
 	Primary  string
 	Member   string
--- a/internal/ownership/weight.go
+++ b/internal/ownership/weight.go
@@ -29,7 +29,7 @@
 	return w
 }
 
-// Alike reports whether all instances have the same weight.
+// AllEqual reports whether all instances have the same weight.
 func (w Weights) AllEqual() bool { return w.equal }
 
 // Min returns the smallest known weight, which also stands for unknown ones. It is 1 when none
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -76,7 +76,7 @@
 // needs none and never expires.
 type Token struct{ expires time.Duration }
 
-// TokenUntil returns a token that expires at a time.
+// NewToken returns a token that expires at a time.
 func NewToken(until time.Duration) Token { return Token{expires: until} }
 
 // Expired reports whether the token has expired, so that its operation must not be sent to
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -46,10 +46,10 @@
 
 // Limiter enforces the rate limits of client accounts over the whole fleet.
 type Limiter interface {
-	// Spend takes a token for one operation of the account. It waits no longer than patience or
+	// AcquireToken takes a token for one operation of the account. It waits no longer than patience or
 	// until ctx ends, and reports false when there is no token.
 	AcquireToken(ctx context.Context, account string, patience time.Duration) (quota.Token, quota.Shortage, bool)
-	// Return returns the token of an operation that has not run.
+	// ReturnToken returns the token of an operation that has not run.
 	ReturnToken(account string, t quota.Token)
 	// Admit reports whether an operation may be forwarded to a carrier, or else the delay after
 	// which the client should retry.
--- a/internal/sqlclass/sqlclass.go
+++ b/internal/sqlclass/sqlclass.go
@@ -122,7 +122,7 @@
 	return false
 }
 
-// Taints reports whether a statement may leave session state on the connection, which then
+// LeavesSessionState reports whether a statement may leave session state on the connection, which then
 // cannot be shared with other clients.
 func (c *Class) LeavesSessionState() bool {
 	for _, s := range c.Statements {
--- a/internal/standin/pggroup/faults.go
+++ b/internal/standin/pggroup/faults.go
@@ -89,10 +89,10 @@
 // Resume ends a pause.
 func (m *Member) Resume() { m.faults.pause.open() }
 
-// CutFrom blocks all traffic between the member and an instance.
+// BlockTraffic blocks all traffic between the member and an instance.
 func (m *Member) BlockTraffic(instance string) { m.faults.instanceGate(instance).close() }
 
-// Heal undoes CutFrom.
+// UnblockTraffic undoes BlockTraffic.
 func (m *Member) UnblockTraffic(instance string) { m.faults.instanceGate(instance).open() }
 
 // SetStuck stops or resumes the replication of this member.
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -185,7 +185,7 @@
 	return c
 }
 
-// TakeChanged returns the sorted names of the groups whose declaration or members have changed
+// TakeChangedGroups returns the sorted names of the groups whose declaration or members have changed
 // since the last call.
 func (s *State) TakeChangedGroups() []string {
 	if len(s.changed) == 0 {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -131,7 +131,7 @@
 // complete with ReadyForQuery.
 func (c *Conn) Synced() bool { return !c.unsynced }
 
-// Taint marks the connection as holding session state that only DISCARD ALL clears.
+// MarkNeedsDiscard marks the connection as holding session state that only DISCARD ALL clears.
 func (c *Conn) MarkNeedsDiscard() { c.tainted = true }
 
 // MarkSettingsChanged records that a batch may have changed run-time parameters.
