--- a/internal/bench/slopes_test.go
+++ b/internal/bench/slopes_test.go
@@ -16,7 +16,7 @@
 	"github.com/stackspindle/stackspindle/internal/failover"
 	"github.com/stackspindle/stackspindle/internal/group"
 	"github.com/stackspindle/stackspindle/internal/owner"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 	"github.com/stackspindle/stackspindle/internal/resource"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 	"github.com/stackspindle/stackspindle/internal/session"
@@ -278,16 +278,16 @@
 
 func slopePlacement(b *testing.B) {
 	printRow(b, "processor time of placing 610 groups", "µs an instance", []int{50, 150, 550}, func(n int) float64 {
-		instances := make([]ownership.Instance, n)
+		instances := make([]rendezvous.Instance, n)
 		for i := range instances {
-			instances[i] = ownership.Instance{Name: fmt.Sprintf("i%d", i), DataCentre: fmt.Sprintf("dc%d", i%6)}
+			instances[i] = rendezvous.Instance{Name: fmt.Sprintf("i%d", i), DataCentre: fmt.Sprintf("dc%d", i%6)}
 		}
-		groups := make([]ownership.Group, 610)
+		groups := make([]rendezvous.Group, 610)
 		for i := range groups {
-			groups[i] = ownership.Group{Name: fmt.Sprintf("g%d", i), DataCentre: fmt.Sprintf("dc%d", i%6)}
+			groups[i] = rendezvous.Group{Name: fmt.Sprintf("g%d", i), DataCentre: fmt.Sprintf("dc%d", i%6)}
 		}
 		before := time.Now()
-		ownership.Assign(groups, instances, ownership.Limit(len(groups), n))
+		rendezvous.Assign(groups, instances, rendezvous.Limit(len(groups), n))
 		return float64(time.Since(before).Microseconds())
 	})
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,11 +17,11 @@
 	"github.com/sirupsen/logrus"
 	"gopkg.in/ini.v1"
 
-	"github.com/stackspindle/stackspindle/internal/caller"
 	"github.com/stackspindle/stackspindle/internal/failover"
 	"github.com/stackspindle/stackspindle/internal/findings"
 	"github.com/stackspindle/stackspindle/internal/membership"
 	"github.com/stackspindle/stackspindle/internal/owner"
+	"github.com/stackspindle/stackspindle/internal/pgserver"
 	"github.com/stackspindle/stackspindle/internal/placement"
 	"github.com/stackspindle/stackspindle/internal/quota"
 )
@@ -47,7 +47,7 @@
 	Capacity Capacity
 
 	ClientListen string
-	Client       caller.Options
+	Client       pgserver.Options
 	ClientTLS    KeyPair
 
 	PeerListen  string
@@ -115,7 +115,7 @@
 // Defaults returns the settings of an instance for which nothing is configured.
 func Defaults() *Settings {
 	return &Settings{
-		Client:          caller.DefaultOptions(),
+		Client:          pgserver.DefaultOptions(),
 		PlatformPrefix:  "stackspindle/",
 		PlatformTimeout: 2 * time.Second,
 		Failover:        failover.DefaultConfig(),
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stackspindle/stackspindle/internal/feed/feedpb"
 	"github.com/stackspindle/stackspindle/internal/kv"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 func put(key string, revision int64) kv.Event {
@@ -184,10 +184,10 @@
 	must.Eq(t, 2, (<-answered).Revision)
 }
 
-func instances(dataCentre string, n int) []ownership.Instance {
-	var all []ownership.Instance
+func instances(dataCentre string, n int) []rendezvous.Instance {
+	var all []rendezvous.Instance
 	for k := range n {
-		all = append(all, ownership.Instance{Name: fmt.Sprintf("%s-%d", dataCentre, k), DataCentre: dataCentre})
+		all = append(all, rendezvous.Instance{Name: fmt.Sprintf("%s-%d", dataCentre, k), DataCentre: dataCentre})
 	}
 	return all
 }
@@ -202,7 +202,7 @@
 }
 
 // follower returns an instance of the first instance's data centre that is not a watcher.
-func follower(alive []ownership.Instance) ownership.Instance {
+func follower(alive []rendezvous.Instance) rendezvous.Instance {
 	watchers := Watchers(alive, alive[0].DataCentre)
 	for _, i := range alive {
 		if !slices.Contains(watchers, i.Name) {
@@ -269,7 +269,7 @@
 func TestWatcherPrefersStore(t *testing.T) {
 	alive := instances("a", twoWatchers)
 	watchers := Watchers(alive, "a")
-	s := NewSelector(ownership.Instance{Name: watchers[0], DataCentre: "a"})
+	s := NewSelector(rendezvous.Instance{Name: watchers[0], DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, alive).Name)
 	s.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, watchers[1], s.Next(0, alive).Name, must.Sprint("rejected by the store, it polls another watcher"))
@@ -287,13 +287,13 @@
 	must.Eq(t, Store, s.Next(0, alive).Name)
 	s.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, remote[0], s.Next(0, alive).Name)
-	watcher := NewSelector(ownership.Instance{Name: local[0], DataCentre: "a"})
+	watcher := NewSelector(rendezvous.Instance{Name: local[0], DataCentre: "a"})
 	watcher.RecordFailure(0, Store, Unresponsive)
 	must.Eq(t, remote[0], watcher.Next(0, alive).Name)
 }
 
 func TestFirstInstanceUsesStore(t *testing.T) {
-	s := NewSelector(ownership.Instance{Name: "x", DataCentre: "a"})
+	s := NewSelector(rendezvous.Instance{Name: "x", DataCentre: "a"})
 	must.Eq(t, Store, s.Next(0, nil).Name)
 }
 
--- a/internal/feed/regions_test.go
+++ b/internal/feed/regions_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // The only watcher of a data centre fails and the store does not answer. The watcher's followers
@@ -45,9 +45,9 @@
 	must.MapLen(t, len(watchers), followers)
 	for name, n := range followers {
 		must.LessEq(t, maxPerWatcher*3/2, n, must.Sprint(name))
-		at := slices.IndexFunc(alive, func(i ownership.Instance) bool { return i.Name == name })
+		at := slices.IndexFunc(alive, func(i rendezvous.Instance) bool { return i.Name == name })
 		must.Eq(t, 8, alive[at].Weight)
 	}
-	weak := slices.DeleteFunc(alive, func(i ownership.Instance) bool { return i.Weight > 1 })
+	weak := slices.DeleteFunc(alive, func(i rendezvous.Instance) bool { return i.Weight > 1 })
 	must.Len(t, len(weak)/instancesPerWatcher, Watchers(weak, "a"), must.Sprint("all high-capacity instances are lost"))
 }
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // Settings of the choice of an update source.
@@ -69,11 +69,11 @@
 // Selector selects the update source that an instance polls next. It has no clock of its own and is
 // not safe for concurrent use.
 type Selector struct {
-	self                          ownership.Instance
+	self                          rendezvous.Instance
 	localities                    locality.Map
-	alive                         []ownership.Instance // as of the last call of Next
-	localWatchers, remoteWatchers []string             // watchers of the own and of other data centres, in the order of preference
-	nonWatchers                   []string             // instances that do not watch
+	alive                         []rendezvous.Instance // as of the last call of Next
+	localWatchers, remoteWatchers []string              // watchers of the own and of other data centres, in the order of preference
+	nonWatchers                   []string              // instances that do not watch
 	nextNonWatcher                int
 	avoidStoreUntil               time.Duration            // the store is not polled before this time
 	isWatcher                     bool                     // this instance is a watcher
@@ -83,7 +83,7 @@
 }
 
 // NewSelector returns a selector for an instance.
-func NewSelector(self ownership.Instance) *Selector {
+func NewSelector(self rendezvous.Instance) *Selector {
 	return &Selector{self: self, pauses: make(map[string]time.Duration), retryAt: make(map[string]time.Duration)}
 }
 
@@ -95,14 +95,14 @@
 // the same on all instances that see the same instances alive. Instances of a higher capacity class
 // come first: a watcher sends every change to many followers, which would take the whole network
 // link of a weak instance.
-func Watchers(alive []ownership.Instance, dataCentre string) []string {
-	var local []ownership.Instance
+func Watchers(alive []rendezvous.Instance, dataCentre string) []string {
+	var local []rendezvous.Instance
 	for _, i := range alive {
 		if i.DataCentre == dataCentre {
 			local = append(local, i)
 		}
 	}
-	weights := ownership.NewWeights(local)
+	weights := rendezvous.NewWeights(local)
 	ranked := rankWatchers(local, weights)
 	count, served := 0, 0
 	for count < len(ranked) && (count < minWatchers || served < len(local)) {
@@ -122,18 +122,18 @@
 
 // candidate is an instance that may become a watcher.
 type candidate struct {
-	ownership.Instance
+	rendezvous.Instance
 	class int // of its capacity
-	score ownership.WeightedScore
+	score rendezvous.WeightedScore
 }
 
 // rankWatchers returns instances in the order in which they become watchers.
-func rankWatchers(instances []ownership.Instance, weights ownership.Weights) []candidate {
+func rankWatchers(instances []rendezvous.Instance, weights rendezvous.Weights) []candidate {
 	ranked := make([]candidate, len(instances))
 	for n, i := range instances {
 		ranked[n] = candidate{
 			Instance: i, class: int(math.Floor(math.Log(weights.Of(i)) / math.Log(capacityClassRatio))),
-			score: weights.Apply(ownership.Score(watchKey, i.Name), i),
+			score: weights.Apply(rendezvous.Score(watchKey, i.Name), i),
 		}
 	}
 	slices.SortFunc(ranked, func(a, b candidate) int {
@@ -148,7 +148,7 @@
 // watchers of other data centres, those of its own region first, then any other instance. A source
 // that failed recently is skipped while another is left. A list that is the same slice as in the
 // last call is taken to hold the same instances.
-func (s *Selector) Next(now time.Duration, alive []ownership.Instance) Choice {
+func (s *Selector) Next(now time.Duration, alive []rendezvous.Instance) Choice {
 	if !sameSlice(alive, s.alive) {
 		s.setInstances(alive)
 	}
@@ -166,7 +166,7 @@
 	return best
 }
 
-func sameSlice(a, b []ownership.Instance) bool {
+func sameSlice(a, b []rendezvous.Instance) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
@@ -179,7 +179,7 @@
 }
 
 // setInstances sets the instances that are alive.
-func (s *Selector) setInstances(alive []ownership.Instance) {
+func (s *Selector) setInstances(alive []rendezvous.Instance) {
 	s.alive = alive
 	localWatchers := Watchers(alive, s.self.DataCentre)
 	s.isWatcher = slices.Contains(localWatchers, s.self.Name) || len(localWatchers) == 0
@@ -206,7 +206,7 @@
 func (s *Selector) shuffle(watchers []string) []string {
 	others := slices.DeleteFunc(watchers, func(name string) bool { return name == s.self.Name })
 	slices.SortFunc(others, func(a, b string) int {
-		return cmp.Compare(ownership.Score(s.self.Name, a), ownership.Score(s.self.Name, b))
+		return cmp.Compare(rendezvous.Score(s.self.Name, a), rendezvous.Score(s.self.Name, b))
 	})
 	return others
 }
@@ -220,7 +220,7 @@
 }
 
 // dataCentres returns the data centres of the given instances, the nearest first.
-func (s *Selector) dataCentres(alive []ownership.Instance) []string {
+func (s *Selector) dataCentres(alive []rendezvous.Instance) []string {
 	var names []string
 	for _, i := range alive {
 		if !slices.Contains(names, i.DataCentre) {
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -11,7 +11,7 @@
 	"github.com/stackspindle/stackspindle/internal/feed/feedpb"
 	"github.com/stackspindle/stackspindle/internal/kv"
 	"github.com/stackspindle/stackspindle/internal/lead"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // Settings of the calls to the store and to the instances that watch it.
@@ -73,7 +73,7 @@
 func (i *Instance) follow() error {
 	pause := minWatchPause
 	i.setGCPercent(0)
-	selector := feed.NewSelector(ownership.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
+	selector := feed.NewSelector(rendezvous.Instance{Name: i.self.Name, DataCentre: i.self.DataCentre})
 	selector.SetLocalities(i.settings.Localities)
 	peers, peersExpiry := i.initialPeers(), time.Duration(0)
 	selector.AvoidStoreUntil(i.now() + initialSnapshotWait)
@@ -113,7 +113,7 @@
 type peers struct {
 	view       *lead.View // from which they were taken
 	addresses  map[string]string
-	candidates []ownership.Instance
+	candidates []rendezvous.Instance
 }
 
 func (i *Instance) alivePeers(view *lead.View) peers { return newPeers(view, view.Alive()) }
@@ -127,10 +127,10 @@
 }
 
 func newPeers(view *lead.View, alive []lead.Instance) peers {
-	p := peers{view: view, addresses: make(map[string]string, len(alive)), candidates: make([]ownership.Instance, 0, len(alive))}
+	p := peers{view: view, addresses: make(map[string]string, len(alive)), candidates: make([]rendezvous.Instance, 0, len(alive))}
 	for _, peer := range alive {
 		p.addresses[peer.Name] = peer.Address
-		p.candidates = append(p.candidates, ownership.Instance{
+		p.candidates = append(p.candidates, rendezvous.Instance{
 			Name: peer.Name, DataCentre: peer.DataCentre, Weight: peer.Capacity.StatementsPerSecond(),
 		})
 	}
--- a/internal/instance/backend.go
+++ b/internal/instance/backend.go
@@ -8,12 +8,12 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"github.com/stackspindle/stackspindle/internal/caller"
 	"github.com/stackspindle/stackspindle/internal/group"
 	"github.com/stackspindle/stackspindle/internal/membership"
 	"github.com/stackspindle/stackspindle/internal/owner"
 	"github.com/stackspindle/stackspindle/internal/peer"
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
+	"github.com/stackspindle/stackspindle/internal/pgserver"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 	"github.com/stackspindle/stackspindle/internal/timeline"
 )
@@ -232,7 +232,7 @@
 // forwardCancel forwards a cancel request to all instances whose name hashes to the tag.
 func (i *Instance) forwardCancel(tag, pid uint32, secret []byte) {
 	for _, m := range i.fleet.Load().known {
-		if caller.InstanceTag(m.Name) != tag {
+		if pgserver.InstanceTag(m.Name) != tag {
 			continue
 		}
 		p, err := i.peers.Peer(m.Name)
--- a/internal/instance/catalogue.go
+++ b/internal/instance/catalogue.go
@@ -9,10 +9,10 @@
 
 	"github.com/xdg-go/scram"
 
-	"github.com/stackspindle/stackspindle/internal/caller"
 	"github.com/stackspindle/stackspindle/internal/etcd"
 	"github.com/stackspindle/stackspindle/internal/membership"
 	"github.com/stackspindle/stackspindle/internal/owner"
+	"github.com/stackspindle/stackspindle/internal/pgserver"
 	"github.com/stackspindle/stackspindle/internal/resource"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 )
@@ -24,7 +24,7 @@
 	databases               map[string]*resource.DatabaseSpec
 	services                map[string]*resource.ServiceSpec
 	instances               []membership.Instance
-	accessByServiceDatabase map[serviceDatabase]*caller.Service
+	accessByServiceDatabase map[serviceDatabase]*pgserver.Service
 }
 
 type serviceDatabase struct{ service, database string }
@@ -36,7 +36,7 @@
 		snapshot:                s,
 		databases:               make(map[string]*resource.DatabaseSpec),
 		services:                make(map[string]*resource.ServiceSpec),
-		accessByServiceDatabase: make(map[serviceDatabase]*caller.Service),
+		accessByServiceDatabase: make(map[serviceDatabase]*pgserver.Service),
 	}
 	for _, entry := range s.Entries() {
 		if entry.Deleted {
@@ -94,8 +94,8 @@
 	}
 }
 
-func callerService(name string, s *resource.ServiceSpec, database string, credentials *scram.StoredCredentials) *caller.Service {
-	return &caller.Service{
+func callerService(name string, s *resource.ServiceSpec, database string, credentials *scram.StoredCredentials) *pgserver.Service {
+	return &pgserver.Service{
 		Name:           name,
 		Group:          database,
 		Database:       database,
@@ -107,19 +107,19 @@
 	}
 }
 
-// Service implements caller.Catalogue.
-func (i *Instance) Service(name, database string) (*caller.Service, error) {
+// Service implements pgserver.Catalogue.
+func (i *Instance) Service(name, database string) (*pgserver.Service, error) {
 	c := i.catalogue.Load()
 	if c.snapshot.Revision() == 0 {
-		return nil, caller.ErrNoConfig
+		return nil, pgserver.ErrNoConfig
 	}
 	if s := c.accessByServiceDatabase[serviceDatabase{name, database}]; s != nil {
 		return s, nil
 	}
 	if c.services[name] == nil {
-		return nil, fmt.Errorf("service %q: %w", name, caller.ErrNoService)
+		return nil, fmt.Errorf("service %q: %w", name, pgserver.ErrNoService)
 	}
-	return nil, fmt.Errorf("service %q, database %q: %w", name, database, caller.ErrNoDatabase)
+	return nil, fmt.Errorf("service %q, database %q: %w", name, database, pgserver.ErrNoDatabase)
 }
 
 // groupSpec builds the specification that the owner of a group works with. passwords maps
--- a/internal/instance/catalogue_test.go
+++ b/internal/instance/catalogue_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"github.com/stackspindle/stackspindle/internal/caller"
+	"github.com/stackspindle/stackspindle/internal/pgserver"
 	"github.com/stackspindle/stackspindle/internal/resource"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 )
@@ -33,16 +33,16 @@
 	report := func(key, _ string) { ignored = append(ignored, key) }
 	i.catalogue.Store(newCatalogue(rollout.Empty(), nil, report))
 	_, err := i.Service("s1", "roster")
-	must.ErrorIs(t, err, caller.ErrNoConfig)
+	must.ErrorIs(t, err, pgserver.ErrNoConfig)
 	broken := rollout.Entry{Key: rollout.Key{Kind: "Service", Name: "newer"}, Document: "{", Revision: 99}
 	i.catalogue.Store(newCatalogue(snapshotOf(t, 3).Merge(0, []rollout.Entry{broken}), nil, report))
 	s, err := i.Service("s1", "roster")
 	must.NoError(t, err)
 	must.Eq(t, "roster", s.Group)
 	_, err = i.Service("s1", "none")
-	must.ErrorIs(t, err, caller.ErrNoDatabase)
+	must.ErrorIs(t, err, pgserver.ErrNoDatabase)
 	_, err = i.Service("s9", "roster")
-	must.ErrorIs(t, err, caller.ErrNoService)
+	must.ErrorIs(t, err, pgserver.ErrNoService)
 	must.Eq(t, []string{"Service/newer"}, ignored)
 }
 
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -8,8 +8,8 @@
 
 	"github.com/stackspindle/stackspindle/internal/membership"
 	"github.com/stackspindle/stackspindle/internal/owner"
-	"github.com/stackspindle/stackspindle/internal/ownership"
 	"github.com/stackspindle/stackspindle/internal/peer/peerpb"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 	"github.com/stackspindle/stackspindle/internal/timeline"
 )
@@ -184,17 +184,17 @@
 	if !changed && (now < c.nextPlacement || slices.Equal(live, old.live) && slices.Equal(known, old.known)) {
 		return
 	}
-	placements := make([]ownership.Group, 0, len(cat.databases))
+	placements := make([]rendezvous.Group, 0, len(cat.databases))
 	for name, d := range cat.databases {
-		placements = append(placements, ownership.Group{Name: name, DataCentre: d.DataCentre})
+		placements = append(placements, rendezvous.Group{Name: name, DataCentre: d.DataCentre})
 	}
 	addrs := make(map[string]string, len(known))
 	for _, m := range known {
 		addrs[m.Name] = m.Address
 	}
 	c.inst.peers.SetAddresses(addrs)
-	limit := ownership.Limit(len(placements), len(live))
-	c.inst.fleet.Store(&fleet{live: live, known: known, rankings: ownership.Assign(placements, live, limit)})
+	limit := rendezvous.Limit(len(placements), len(live))
+	c.inst.fleet.Store(&fleet{live: live, known: known, rankings: rendezvous.Assign(placements, live, limit)})
 	after := c.inst.now()
 	c.nextPlacement = after + (after-now)*placementPauseFactor
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -20,15 +20,15 @@
 	"github.com/sirupsen/logrus"
 	"github.com/xdg-go/scram"
 
-	"github.com/stackspindle/stackspindle/internal/caller"
 	"github.com/stackspindle/stackspindle/internal/config"
 	"github.com/stackspindle/stackspindle/internal/dispatch"
 	"github.com/stackspindle/stackspindle/internal/etcd"
 	"github.com/stackspindle/stackspindle/internal/membership"
 	"github.com/stackspindle/stackspindle/internal/operator"
 	"github.com/stackspindle/stackspindle/internal/owner"
-	"github.com/stackspindle/stackspindle/internal/ownership"
 	"github.com/stackspindle/stackspindle/internal/peer"
+	"github.com/stackspindle/stackspindle/internal/pgserver"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 	"github.com/stackspindle/stackspindle/internal/sqlclass"
 	"github.com/stackspindle/stackspindle/internal/timeline"
@@ -54,7 +54,7 @@
 	peerTraffic    peer.Traffic // bytes sent and received in RPCs between instances
 	peers          *peer.Client
 	peerServer     *peer.Server
-	clientServer   *caller.Server
+	clientServer   *pgserver.Server
 	operatorServer *operator.Server
 	dispatcher     *dispatch.Dispatcher
 	classifier     *sqlclass.Classifier
@@ -73,7 +73,7 @@
 
 // fleet is an immutable snapshot of the instances and of the placement of groups.
 type fleet struct {
-	live     []ownership.Instance
+	live     []rendezvous.Instance
 	known    []membership.Instance
 	rankings map[string][]string // by group: instances in the order in which they should own it
 }
@@ -111,7 +111,7 @@
 		i.store = etcd.NewClient(settings.PlatformEndpoint, settings.PlatformPrefix, settings.PlatformTimeout)
 	}
 	for reference, password := range settings.Credentials {
-		stored, err := caller.NewCredentials(password)
+		stored, err := pgserver.NewCredentials(password)
 		if err != nil {
 			return nil, fmt.Errorf("credential %s: %w", reference, err)
 		}
@@ -141,7 +141,7 @@
 	options := i.settings.Client
 	options.Instance = i.settings.Name
 	options.TLS = tls.clientListener
-	i.clientServer, err = caller.NewServer(options, i, i.dispatcher, i.classifier, i.metrics, i.loggerFor("caller"))
+	i.clientServer, err = pgserver.NewServer(options, i, i.dispatcher, i.classifier, i.metrics, i.loggerFor("caller"))
 	if err != nil {
 		return err
 	}
--- a/internal/instance/metrics.go
+++ b/internal/instance/metrics.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Statement implements caller.Events.
+// Statement implements pgserver.Events.
 func (c *counters) Statement(_ string, read, primary bool, duration time.Duration) {
 	switch {
 	case !read:
@@ -47,7 +47,7 @@
 	c.latency.Update(duration.Seconds())
 }
 
-// Refused implements caller.Events.
+// Refused implements pgserver.Events.
 func (c *counters) Refused(code string) {
 	c.set.GetOrCreateCounter(fmt.Sprintf(`stackspindle_refusals_total{sqlstate=%q}`, code)).Inc()
 }
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -9,7 +9,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"github.com/stackspindle/stackspindle/internal/etcd"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 	"github.com/stackspindle/stackspindle/internal/rollout"
 	"github.com/stackspindle/stackspindle/internal/timeline"
 )
@@ -32,13 +32,13 @@
 // isWatcher reports whether this instance is one of the watchers of its data centre.
 func (i *Instance) isWatcher() bool {
 	f := i.fleet.Load()
-	var local []ownership.Instance
+	var local []rendezvous.Instance
 	for _, l := range f.live {
 		if l.DataCentre == i.settings.DataCentre {
 			local = append(local, l)
 		}
 	}
-	ranking := ownership.Rank(ownership.Group{Name: "watch/" + i.settings.DataCentre}, local)
+	ranking := rendezvous.Rank(rendezvous.Group{Name: "watch/" + i.settings.DataCentre}, local)
 	return slices.Contains(ranking[:min(watchersPerDataCentre, len(ranking))], i.settings.Name)
 }
 
--- a/internal/lead/attest.go
+++ b/internal/lead/attest.go
@@ -11,7 +11,7 @@
 
 	"github.com/stackspindle/stackspindle/internal/lead/leadpb"
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // Limits of one round of attestation requests.
@@ -92,7 +92,7 @@
 	slices.SortFunc(far, func(a, b Instance) int {
 		return cmp.Or(
 			cmp.Compare(localities.Distance(a.DataCentre, self.DataCentre), localities.Distance(b.DataCentre, self.DataCentre)),
-			cmp.Compare(ownership.Score(self.Name, a.Name), ownership.Score(self.Name, b.Name)),
+			cmp.Compare(rendezvous.Score(self.Name, a.Name), rendezvous.Score(self.Name, b.Name)),
 		)
 	})
 	asked := append(near, far...)
--- a/internal/lead/registry.go
+++ b/internal/lead/registry.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/stackspindle/stackspindle/internal/kv"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // registry is the part of a View about instances. Views that differ only in groups share
@@ -206,12 +206,12 @@
 	if _, alive := r.aliveIncarnations[name]; !alive {
 		return min(len(r.aliveInstances), limit)
 	}
-	own, before := ownership.Score(key, name), 0
+	own, before := rendezvous.Score(key, name), 0
 	for _, i := range r.aliveInstances {
 		if before >= limit {
 			break
 		}
-		if score := ownership.Score(key, i.Name); score > own || score == own && i.Name < name {
+		if score := rendezvous.Score(key, i.Name); score > own || score == own && i.Name < name {
 			before++
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // Instance is one instance of the fleet.
@@ -172,18 +172,18 @@
 
 // Live returns the instances that may own groups, including this one, sorted by
 // name.
-func (s *State) Live(now time.Duration) []ownership.Instance {
-	var live []ownership.Instance
+func (s *State) Live(now time.Duration) []rendezvous.Instance {
+	var live []rendezvous.Instance
 	if !s.self.Leaving {
-		live = append(live, ownership.Instance{Name: s.self.Name, DataCentre: s.self.DataCentre})
+		live = append(live, rendezvous.Instance{Name: s.self.Name, DataCentre: s.self.DataCentre})
 	}
 	for name, r := range s.records {
 		if r.Leaving || r.announcedLeaving || s.Down(now, name) {
 			continue
 		}
-		live = append(live, ownership.Instance{Name: name, DataCentre: r.DataCentre})
+		live = append(live, rendezvous.Instance{Name: name, DataCentre: r.DataCentre})
 	}
-	slices.SortFunc(live, func(a, b ownership.Instance) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(live, func(a, b rendezvous.Instance) int { return strings.Compare(a.Name, b.Name) })
 	return live
 }
 
@@ -203,9 +203,9 @@
 // fleet: those that rank highest for it in rendezvous hashing. Adding or removing
 // an instance changes few of these pairs.
 func (s *State) Neighbours() []string {
-	all := make([]ownership.Instance, 0, len(s.records))
+	all := make([]rendezvous.Instance, 0, len(s.records))
 	for name := range s.records {
-		all = append(all, ownership.Instance{Name: name})
+		all = append(all, rendezvous.Instance{Name: name})
 	}
-	return ownership.Neighbours(s.self.Name, all, s.cfg.Neighbours)
+	return rendezvous.Neighbours(s.self.Name, all, s.cfg.Neighbours)
 }
--- a/internal/caller/codec.go
+++ b/internal/pgserver/codec.go
@@ -1,4 +1,4 @@
-package caller
+package pgserver
 
 import (
 	"bufio"
--- a/internal/caller/extended.go
+++ b/internal/pgserver/extended.go
@@ -1,4 +1,4 @@
-package caller
+package pgserver
 
 import (
 	"github.com/jackc/pgx/v5/pgproto3"
--- a/internal/caller/server.go
+++ b/internal/pgserver/server.go
@@ -1,11 +1,11 @@
-// Package caller is the PostgreSQL server side: it serves clients over version 3 of the
+// Package pgserver is the PostgreSQL server side: it serves clients over version 3 of the
 // protocol. It authenticates them, keeps the state of their sessions (settings, prepared
 // statements, the log position that reads must see), collects messages into batches and runs
 // these through package dispatch. Package instance starts it.
 //
 // Invariants: only what a transaction pool can serve is run; everything else is refused with an
 // SQLSTATE that says whether the statement was not run or its outcome is unknown.
-package caller
+package pgserver
 
 import (
 	"context"
--- a/internal/placement/capacity_test.go
+++ b/internal/placement/capacity_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // Two capacities that differ as much as any in a fleet. Each data centre has instances of both.
@@ -18,7 +18,7 @@
 )
 
 // mixedFleet returns a fleet with some strong and some weak instances in each data centre.
-func mixedFleet(strongOnes, weakOnes int, dataCentres ...string) []ownership.Instance {
+func mixedFleet(strongOnes, weakOnes int, dataCentres ...string) []rendezvous.Instance {
 	all := fleet(strongOnes+weakOnes, dataCentres...)
 	for n := range all {
 		all[n].Weight = weak.StatementsPerSecond()
@@ -92,7 +92,7 @@
 // Both strong instances of a data centre are lost at once. The next ones in its ranking replace
 // them, and each group keeps its number of carriers.
 func TestLossOfAllStrongInstances(t *testing.T) {
-	alive := slices.DeleteFunc(mixedFleet(2, 14, "a", "b", "c"), func(i ownership.Instance) bool {
+	alive := slices.DeleteFunc(mixedFleet(2, 14, "a", "b", "c"), func(i rendezvous.Instance) bool {
 		return i.DataCentre == "a" && i.Weight == strong.StatementsPerSecond()
 	})
 	for _, c := range Place(groupsOf(40), Fleet{Alive: alive, Registered: 500}) {
@@ -122,7 +122,7 @@
 // one has more capacity.
 func TestOrderSpreadsEvenlyDespiteCapacity(t *testing.T) {
 	carriers := mixedFleet(1, 1, "a")
-	same := func(i ownership.Instance) ownership.Instance { return i }
+	same := func(i rendezvous.Instance) rendezvous.Instance { return i }
 	first := 0
 	const origins = 2000
 	for n := range origins {
@@ -136,7 +136,7 @@
 // BenchmarkPlace measures a full placement, the cost of one change of the fleet without a Table.
 func BenchmarkPlace(b *testing.B) {
 	for _, size := range []int{100, 550, 1000} {
-		for kind, alive := range map[string][]ownership.Instance{
+		for kind, alive := range map[string][]rendezvous.Instance{
 			"alike":  fleet(size/6, "a", "b", "c", "d", "e", "f"),
 			"unlike": mixedFleet(size/60, size/6-size/60, "a", "b", "c", "d", "e", "f"),
 		} {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,7 +20,7 @@
 	"slices"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 const (
@@ -60,7 +60,7 @@
 
 // Fleet holds the instances and regions that placement depends on.
 type Fleet struct {
-	Alive      []ownership.Instance
+	Alive      []rendezvous.Instance
 	Registered int          // number of instances that may hold connections, including any that may have died
 	Regions    locality.Map // of the data centres
 }
@@ -156,14 +156,14 @@
 // spreads evenly. It spreads evenly even if one carrier has more capacity: a carrier's
 // concurrent statements at a member are limited, so a carrier with most of the statements
 // would reach that limit while the member has free slots.
-func Order[C any](carriers []C, instanceOf func(C) ownership.Instance, origin Origin, preferred string, regions locality.Map) []C {
+func Order[C any](carriers []C, instanceOf func(C) rendezvous.Instance, origin Origin, preferred string, regions locality.Map) []C {
 	sorted := slices.Clone(carriers)
 	slices.SortStableFunc(sorted, func(a, b C) int {
 		ia, ib := instanceOf(a), instanceOf(b)
 		return cmp.Or(
 			cmp.Compare(regions.Distance(ia.DataCentre, preferred), regions.Distance(ib.DataCentre, preferred)),
 			cmp.Compare(regions.Distance(ia.DataCentre, origin.DataCentre), regions.Distance(ib.DataCentre, origin.DataCentre)),
-			cmp.Compare(ownership.Score(origin.HashKey, ia.Name), ownership.Score(origin.HashKey, ib.Name)),
+			cmp.Compare(rendezvous.Score(origin.HashKey, ia.Name), rendezvous.Score(origin.HashKey, ib.Name)),
 		)
 	})
 	return sorted
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,23 +12,23 @@
 	"pgregory.net/rapid"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
 	"github.com/stackspindle/stackspindle/internal/pool"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // fleet returns n instances in each data centre.
-func fleet(n int, dataCentres ...string) []ownership.Instance {
-	var all []ownership.Instance
+func fleet(n int, dataCentres ...string) []rendezvous.Instance {
+	var all []rendezvous.Instance
 	for _, dc := range dataCentres {
 		for i := range n {
-			all = append(all, ownership.Instance{Name: fmt.Sprintf("%s-%d", dc, i), DataCentre: dc})
+			all = append(all, rendezvous.Instance{Name: fmt.Sprintf("%s-%d", dc, i), DataCentre: dc})
 		}
 	}
 	return all
 }
 
 // place places a group in a fleet with a single region.
-func place(g Group, alive []ownership.Instance, registered int) Carriers {
+func place(g Group, alive []rendezvous.Instance, registered int) Carriers {
 	return Place([]Group{g}, Fleet{Alive: alive, Registered: registered})[g.Name]
 }
 
@@ -109,7 +109,7 @@
 	all := fleet(50, "a", "b", "c", "d", "e")
 	must.Eq(t, map[string]int{"a": 2, "b": 2, "c": 2}, count(place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, all, 250)))
 	must.Eq(t, map[string]int{"a": 4, "b": 2}, count(place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "a", "b"}}, all, 250)))
-	gone := slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.DataCentre == "a" })
+	gone := slices.DeleteFunc(slices.Clone(all), func(i rendezvous.Instance) bool { return i.DataCentre == "a" })
 	c := place(Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}, gone, 250)
 	must.Len(t, 6, c.Names)
 	must.Greater(t, 1, count(c)["b"])
@@ -120,7 +120,7 @@
 	all := fleet(50, "a", "b", "c", "d", "e")
 	g := Group{Name: "g", MaxConnections: 131, MemberDataCentres: []string{"a", "b", "c"}}
 	before := place(g, all, 250).Names
-	without := place(g, slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.Name == before[0] }), 249).Names
+	without := place(g, slices.DeleteFunc(slices.Clone(all), func(i rendezvous.Instance) bool { return i.Name == before[0] }), 249).Names
 	kept := 0
 	for _, name := range without {
 		if slices.Contains(before, name) {
@@ -151,7 +151,7 @@
 // the primary's data centre, others stay in their own where it has a carrier.
 func TestOrderPrefersNearCarriers(t *testing.T) {
 	carriers := fleet(2, "a", "b", "c")
-	same := func(i ownership.Instance) ownership.Instance { return i }
+	same := func(i rendezvous.Instance) rendezvous.Instance { return i }
 	near := func(origin Origin, preferred string) []string {
 		var dcs []string
 		for _, i := range Order(carriers, same, origin, preferred, locality.Map{})[:2] {
@@ -253,11 +253,11 @@
 // with few or no instances in a data centre and with instances of different capacity.
 func TestCarriersStayWithinMaxConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var alive []ownership.Instance
+		var alive []rendezvous.Instance
 		centres := make(map[string]string)
 		for _, centre := range []string{"a", "b", "c", "d"} {
 			for n := range rapid.IntRange(0, 4).Draw(t, "instances") {
-				i := ownership.Instance{Name: fmt.Sprint(centre, n), DataCentre: centre, Weight: rapid.SampledFrom([]float64{0, 1, 10}).Draw(t, "weight")}
+				i := rendezvous.Instance{Name: fmt.Sprint(centre, n), DataCentre: centre, Weight: rapid.SampledFrom([]float64{0, 1, 10}).Draw(t, "weight")}
 				alive, centres[i.Name] = append(alive, i), centre
 			}
 		}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // placer assigns carriers to the groups of a table, one group after another.
@@ -152,7 +152,7 @@
 // candidate is an instance with its weighted hash score for a group.
 type candidate struct {
 	*instance
-	score ownership.WeightedScore
+	score rendezvous.WeightedScore
 }
 
 func byRank(a, b candidate) int {
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 func init() {
@@ -26,11 +26,11 @@
 var twoRegions = locality.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "y", "e": "y", "f": "y"})
 
 // drawFleet draws up to six instances in each of six data centres.
-func drawFleet(t *rapid.T) []ownership.Instance {
-	var all []ownership.Instance
+func drawFleet(t *rapid.T) []rendezvous.Instance {
+	var all []rendezvous.Instance
 	for _, dc := range []string{"a", "b", "c", "d", "e", "f"} {
 		for n := range rapid.IntRange(0, 6).Draw(t, "instances of "+dc) {
-			all = append(all, ownership.Instance{Name: fmt.Sprintf("%s-%d", dc, n), DataCentre: dc})
+			all = append(all, rendezvous.Instance{Name: fmt.Sprintf("%s-%d", dc, n), DataCentre: dc})
 		}
 	}
 	return all
@@ -38,13 +38,13 @@
 
 // withoutRegions chooses carriers without regard to regions: the highest-ranked instances near each
 // member, then others in rank order for the missing ones.
-func withoutRegions(g Group, alive []ownership.Instance, most int) []string {
+func withoutRegions(g Group, alive []rendezvous.Instance, most int) []string {
 	left := make(map[string]int)
 	for _, dataCentre := range g.MemberDataCentres {
 		left[dataCentre] += CarriersPerMember
 	}
 	var names, others []string
-	for _, name := range ownership.Rank(ownership.Group{Name: g.Name}, alive) {
+	for _, name := range rendezvous.Rank(rendezvous.Group{Name: g.Name}, alive) {
 		if dataCentre := name[:1]; left[dataCentre] > 0 && len(names) < most {
 			left[dataCentre]--
 			names = append(names, name)
@@ -59,13 +59,13 @@
 // computed without regard to regions.
 func TestSingleRegionMatchesNoRegions(t *testing.T) {
 	one := locality.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x", "e": "x", "f": "x"})
-	same := func(i ownership.Instance) ownership.Instance { return i }
+	same := func(i rendezvous.Instance) rendezvous.Instance { return i }
 	rapid.Check(t, func(t *rapid.T) {
 		alive := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
 		g := Group{Name: rapid.StringN(1, 8, -1).Draw(t, "group"), MaxConnections: 58, MemberDataCentres: rapid.SliceOfN(dcs, 1, 3).Draw(t, "memberDataCentres")}
 		preferred, origin := dcs.Draw(t, "preferred"), Origin{rapid.StringN(1, 8, -1).Draw(t, "origin"), dcs.Draw(t, "its data centre")}
-		near := func(i ownership.Instance) int {
+		near := func(i rendezvous.Instance) int {
 			switch i.DataCentre {
 			case preferred:
 				return 0
@@ -75,8 +75,8 @@
 			return 2
 		}
 		wanted := slices.Clone(alive)
-		slices.SortStableFunc(wanted, func(a, b ownership.Instance) int {
-			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(ownership.Score(origin.HashKey, a.Name), ownership.Score(origin.HashKey, b.Name)))
+		slices.SortStableFunc(wanted, func(a, b rendezvous.Instance) int {
+			return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(rendezvous.Score(origin.HashKey, a.Name), rendezvous.Score(origin.HashKey, b.Name)))
 		})
 		for _, regions := range []locality.Map{{}, one} {
 			c := Place([]Group{g}, Fleet{Alive: alive, Registered: 500, Regions: regions})[g.Name]
@@ -91,7 +91,7 @@
 // region of its ingress instance if there is a carrier, and a statement that needs the primary goes
 // to the primary's data centre, or else to its region; neither changes regions more than once.
 func TestOrderSortsByRegionDistance(t *testing.T) {
-	same := func(i ownership.Instance) ownership.Instance { return i }
+	same := func(i rendezvous.Instance) rendezvous.Instance { return i }
 	rapid.Check(t, func(t *rapid.T) {
 		carriers := drawFleet(t)
 		dcs := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // Table maintains the carriers of many groups while the fleet changes. It is designed for the
@@ -23,15 +23,15 @@
 	byDataCentre   map[string][]*instance
 	registered     int
 	regions        locality.Map
-	weights        ownership.Weights
-	changed        bool                 // groups or instances have changed since the last Update
-	weightClasses  []ownership.Instance // one instance of each weight
-	scoresComputed int                  // number of scores computed so far; tests read it
+	weights        rendezvous.Weights
+	changed        bool                  // groups or instances have changed since the last Update
+	weightClasses  []rendezvous.Instance // one instance of each weight
+	scoresComputed int                   // number of scores computed so far; tests read it
 }
 
 // instance is an instance that is alive.
 type instance struct {
-	ownership.Instance
+	rendezvous.Instance
 	limited  bool
 	limit    int  // maximum number of groups; valid if limited
 	load     int  // groups assigned to it so far during an Update
@@ -172,17 +172,17 @@
 }
 
 // SetInstances sets the instances that are alive.
-func (t *Table) SetInstances(alive []ownership.Instance) {
+func (t *Table) SetInstances(alive []rendezvous.Instance) {
 	joined, left := t.updateAlive(alive)
 	if len(joined) > 0 || left > 0 {
 		t.changed = true
-		t.updateRankings(joined, left > 0, ownership.NewWeights(alive))
+		t.updateRankings(joined, left > 0, rendezvous.NewWeights(alive))
 	}
 }
 
 // updateAlive updates the table's instances, and returns those that joined and how many left. An
 // instance whose registration has changed counts as one that left and one that joined.
-func (t *Table) updateAlive(alive []ownership.Instance) (joined []*instance, left int) {
+func (t *Table) updateAlive(alive []rendezvous.Instance) (joined []*instance, left int) {
 	present := make(map[string]bool, len(alive))
 	for _, i := range alive {
 		present[i.Name] = true
@@ -216,11 +216,11 @@
 }
 
 // updateRankings updates the rankings of all groups after instances joined or left.
-func (t *Table) updateRankings(joined []*instance, someLeft bool, weights ownership.Weights) {
+func (t *Table) updateRankings(joined []*instance, someLeft bool, weights rendezvous.Weights) {
 	reweighted := weights != t.weights
 	t.weights = weights
 	for _, i := range joined {
-		if len(t.weightClasses) < maxWeightClasses && !slices.ContainsFunc(t.weightClasses, func(k ownership.Instance) bool { return k.Weight == i.Weight }) {
+		if len(t.weightClasses) < maxWeightClasses && !slices.ContainsFunc(t.weightClasses, func(k rendezvous.Instance) bool { return k.Weight == i.Weight }) {
 			t.weightClasses = append(t.weightClasses, i.Instance)
 		}
 	}
@@ -253,7 +253,7 @@
 // score returns the hash score of an instance for a group, and counts the computation.
 func (t *Table) score(group string, i *instance) uint64 {
 	t.scoresComputed++
-	return ownership.Score(group, i.Name)
+	return rendezvous.Score(group, i.Name)
 }
 
 // newCandidate returns the candidate for an instance with a given hash score.
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // applyFleet updates a table to some groups and instances, and the map of the carriers that it has
@@ -40,7 +40,7 @@
 func TestTableMatchesPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, reported := NewTable(), make(map[string]Carriers)
-		alive := make(map[string]ownership.Instance)
+		alive := make(map[string]rendezvous.Instance)
 		groups := make(map[string]Group)
 		unequal := rapid.IntRange(0, 3).Draw(t, "unequal") == 0
 		weight := func() float64 {
@@ -56,7 +56,7 @@
 				if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
 					delete(alive, name)
 				} else {
-					alive[name] = ownership.Instance{Name: name, DataCentre: dataCentre.Draw(t, "data centre"), Weight: weight()}
+					alive[name] = rendezvous.Instance{Name: name, DataCentre: dataCentre.Draw(t, "data centre"), Weight: weight()}
 				}
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "groups") {
@@ -98,7 +98,7 @@
 		}
 		table, reported, placed := NewTable(), make(map[string]Carriers), 0
 		all := fleet(instances/3, "a", "b", "c")
-		slices.SortFunc(all, func(a, b ownership.Instance) int { return strings.Compare(a.Name[1:], b.Name[1:]) })
+		slices.SortFunc(all, func(a, b rendezvous.Instance) int { return strings.Compare(a.Name[1:], b.Name[1:]) })
 		for n := range all {
 			placed += applyFleet(table, reported, groups, Fleet{Alive: all[:n+1], Registered: n + 1})
 		}
@@ -158,7 +158,7 @@
 			must.LessEq(t, CarriersPerMember*max(1, known), len(c.Names))
 		}
 	}
-	lost := slices.DeleteFunc(slices.Clone(all), func(i ownership.Instance) bool { return i.DataCentre == "a" })
+	lost := slices.DeleteFunc(slices.Clone(all), func(i rendezvous.Instance) bool { return i.DataCentre == "a" })
 	applyFleet(table, reported, groups, Fleet{Alive: lost, Registered: size})
 	must.LessEq(t, 3*size, table.scoresComputed/len(groups), must.Sprint("all instances, those near members, and all that are left"))
 }
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 const (
@@ -37,15 +37,15 @@
 // Of returns the limit holders of an account. The caller must not modify the result. Of is
 // not safe for concurrent use.
 func (h *Holders) Of(account string) []string {
-	partition := ownership.Score("account", account) % partitions
+	partition := rendezvous.Score("account", account) % partitions
 	if known, ok := h.byPartition[partition]; ok {
 		return known
 	}
-	candidates := make([]ownership.Instance, 0, len(h.registered))
+	candidates := make([]rendezvous.Instance, 0, len(h.registered))
 	for _, name := range h.registered {
-		candidates = append(candidates, ownership.Instance{Name: name})
+		candidates = append(candidates, rendezvous.Instance{Name: name})
 	}
-	ranked := ownership.Rank(ownership.Group{Name: fmt.Sprintf("accounts/%d", partition)}, candidates)
+	ranked := rendezvous.Rank(rendezvous.Group{Name: fmt.Sprintf("accounts/%d", partition)}, candidates)
 	holders := slices.Clone(ranked[:min(holdersPerAccount, len(ranked))])
 	h.byPartition[partition] = holders
 	return holders
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/stackspindle/stackspindle/internal/ownership"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 const (
@@ -241,7 +241,7 @@
 			shortage.Unresponsive++
 			continue
 		}
-		r, sc := c.distance(holder, centre), ownership.Score(c.self, holder)
+		r, sc := c.distance(holder, centre), rendezvous.Score(c.self, holder)
 		if best == "" || r < rank || r == rank && sc > score {
 			best, rank, score = holder, r, sc
 		}
--- a/internal/relay/carriers.go
+++ b/internal/relay/carriers.go
@@ -4,8 +4,8 @@
 	"cmp"
 
 	"github.com/stackspindle/stackspindle/internal/lead"
-	"github.com/stackspindle/stackspindle/internal/ownership"
 	"github.com/stackspindle/stackspindle/internal/placement"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 	"github.com/stackspindle/stackspindle/internal/topology"
 )
 
@@ -27,8 +27,8 @@
 	return g, ok
 }
 
-func ownershipCandidate(instance lead.Instance) ownership.Instance {
-	return ownership.Instance{Name: instance.Name, DataCentre: instance.DataCentre, Weight: instance.Capacity.StatementsPerSecond()}
+func ownershipCandidate(instance lead.Instance) rendezvous.Instance {
+	return rendezvous.Instance{Name: instance.Name, DataCentre: instance.DataCentre, Weight: instance.Capacity.StatementsPerSecond()}
 }
 
 // SetPlacement sets the placement by which statements are routed from now on.
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -7,8 +7,8 @@
 
 	"github.com/stackspindle/stackspindle/internal/lead"
 	"github.com/stackspindle/stackspindle/internal/locality"
-	"github.com/stackspindle/stackspindle/internal/ownership"
 	"github.com/stackspindle/stackspindle/internal/placement"
+	"github.com/stackspindle/stackspindle/internal/rendezvous"
 )
 
 // PlacementSnapshot is an immutable snapshot of the carriers of all groups, as this instance
@@ -121,7 +121,7 @@
 
 // SetInstances sets the instances whose lease is valid.
 func (p *PlacementTracker) SetInstances(alive []lead.Instance) {
-	candidates := make([]ownership.Instance, 0, len(alive))
+	candidates := make([]rendezvous.Instance, 0, len(alive))
 	p.next.instances = make(map[string]lead.Instance, len(alive))
 	for _, i := range alive {
 		p.next.instances[i.Name] = i
--- a/internal/ownership/ownership.go
+++ b/internal/rendezvous/ownership.go
@@ -1,10 +1,10 @@
-// Package ownership assigns database groups to instances by rendezvous hashing. Each
+// Package rendezvous assigns database groups to instances by rendezvous hashing. Each
 // instance computes the same ranking from the same list. When an instance joins or leaves,
 // only the groups that it owns move, apart from a few that a limit on groups per instance
 // moves on. The assignment is a hint: a temporary disagreement between instances is
 // harmless, because authority depends on the terms of the group (package failover). Package
 // placement uses the same ranking to choose carriers.
-package ownership
+package rendezvous
 
 import (
 	"cmp"
--- a/internal/ownership/weight_test.go
+++ b/internal/rendezvous/weight_test.go
@@ -1,4 +1,4 @@
-package ownership
+package rendezvous
 
 import (
 	"fmt"
